--- a/internal/iax2/endpoint.go
+++ b/internal/iax2/endpoint.go
@@ -11,7 +11,7 @@
 // placeholder is the source call number of answers that belong to no dialog; no dialog gets it.
 const placeholder = 1
 
-// Errors of Call and Register.
+// ErrNumbers is returned by Call and Register when no call number is free.
 var ErrNumbers = errors.New("iax2: all call numbers are taken")
 
 // Endpoint speaks IAX2 for one socket. It is not safe for concurrent use.
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -15,7 +15,7 @@
 // Conn is the handle of a connection; 0 is none.
 type Conn uint64
 
-// How dialling a connection failed.
+// DialError tells how dialling a connection failed.
 type DialError uint8
 
 // Kinds of DialError.
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -34,7 +34,7 @@
 	socketRoom = 4 << 20          // bytes of the socket's buffers
 )
 
-// Errors of Do.
+// ErrStopped is returned by Do when the router has stopped.
 var ErrStopped = errors.New("runtime: the router has stopped")
 
 // Server is one router on a socket.
