--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -64,21 +64,21 @@
 }
 
 type knownText struct {
-	Index   uint64
+	Index   uint64 `json:"index"`
 	Updates []struct {
-		Index     uint64
+		Index     uint64 `json:"index"`
 		Endpoints struct {
-			Reset     bool
+			Reset     bool `json:"reset"`
 			Instances []struct {
 				InstanceID  string `json:"instanceId"`
-				HostPort    string
-				Zone        string
-				Cell        int
-				Lifecycle   string
-				StartedAtMs int64
-			}
-		}
-	}
+				HostPort    string `json:"hostPort"`
+				Zone        string `json:"zone"`
+				Cell        int    `json:"cell"`
+				Lifecycle   string `json:"lifecycle"`
+				StartedAtMs int64  `json:"startedAtMs"`
+			} `json:"instances"`
+		} `json:"endpoints"`
+	} `json:"updates"`
 }
 
 var lifecycles = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -485,7 +485,10 @@
 
 // Left is what is held when all should be over.
 type Left struct {
-	Calls, Legs, Dialogs, Circuits int
+	Calls    int `json:"Calls"`
+	Legs     int `json:"Legs"`
+	Dialogs  int `json:"Dialogs"`
+	Circuits int `json:"Circuits"`
 }
 
 // left adds up what routers that run hold.
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,13 +34,17 @@
 // ParseConfig reads a configuration; an error names the key. Unknown keys are ignored.
 func ParseConfig(text []byte) (*Config, error) {
 	var t struct {
-		Name, Listen, Seed, Coordinator string
-		Limits                          struct {
-			Cores    float64
+		Name        string `json:"name"`
+		Listen      string `json:"listen"`
+		Seed        string `json:"seed"`
+		Coordinator string `json:"coordinator"`
+		Limits      struct {
+			Cores    float64 `json:"cores"`
 			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Known, Settings json.RawMessage
+			Sockets  int     `json:"sockets"`
+		} `json:"limits"`
+		Known    json.RawMessage `json:"known"`
+		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &t); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
--- /dev/null
+++ b/internal/platform/config_test.go
@@ -0,0 +1,22 @@
+package platform
+
+import (
+	"net/netip"
+	"testing"
+
+	"pipitring/internal/standin"
+)
+
+// TestConfigurationKeepsItsKeys guards against a field whose key in the configuration changes with its Go name: keys
+// without a field are ignored, and most of them may be absent.
+func TestConfigurationKeepsItsKeys(t *testing.T) {
+	listen, coordinator := netip.MustParseAddrPort("127.0.0.2:5060"), netip.MustParseAddrPort("127.0.0.3:5061")
+	c, err := ParseConfig(standin.PlatformConfig(listen, coordinator, 70, netip.MustParseAddrPort("127.0.0.4:5062")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n0" || c.Listen != listen || c.Coordinator != coordinator || c.Seed != 1 || c.Cores != 1 || c.Memory != 64<<20 ||
+		c.Sockets != 70 || c.Last != 1 || len(c.Known) != 1 || len(c.Setup.Settings.Classes) != 1 {
+		t.Errorf("read %+v", c)
+	}
+}
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -102,15 +102,15 @@
 // healthEntry is one element of the answer, as far as it is used.
 type healthEntry struct {
 	Service struct {
-		ID      string
-		Address string
-		Port    uint16
-		Meta    map[string]string
-	}
+		ID      string            `json:"ID"`
+		Address string            `json:"Address"`
+		Port    uint16            `json:"Port"`
+		Meta    map[string]string `json:"Meta"`
+	} `json:"Service"`
 	Checks []struct {
-		CheckID string
-		Status  string
-	}
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	} `json:"Checks"`
 }
 
 func (r Register) ask(ctx context.Context, client *http.Client, index uint64) (List, error) {
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -137,17 +137,22 @@
 
 // health is an answer's element in the published form.
 type health struct {
-	Service service
-	Checks  []check
+	Service service `json:"Service"`
+	Checks  []check `json:"Checks"`
 }
 
 type service struct {
-	ID, Service, Address string
-	Port                 uint16
-	Meta                 map[string]string
+	ID      string            `json:"ID"`
+	Service string            `json:"Service"`
+	Address string            `json:"Address"`
+	Port    uint16            `json:"Port"`
+	Meta    map[string]string `json:"Meta"`
 }
 
-type check struct{ CheckID, Status string }
+type check struct {
+	CheckID string `json:"CheckID"`
+	Status  string `json:"Status"`
+}
 
 func (r *Register) serve(w http.ResponseWriter, q *http.Request) {
 	router, err := strconv.Atoi(q.PathValue("router"))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -23,40 +23,51 @@
 
 type settingsText struct {
 	Clients struct {
-		MarksRetry bool
-	}
+		MarksRetry bool `json:"marksRetry"`
+	} `json:"clients"`
 	Contract struct {
-		ColdFrom, ColdS, FallMultiple, MustAskInS float64
-	}
-	Discovery      string
-	FailureDomains []string
+		ColdFrom     float64 `json:"coldFrom"`
+		ColdS        float64 `json:"coldS"`
+		FallMultiple float64 `json:"fallMultiple"`
+		MustAskInS   float64 `json:"mustAskInS"`
+	} `json:"contract"`
+	Discovery      string   `json:"discovery"`
+	FailureDomains []string `json:"failureDomains"`
 	FamilyInfo     struct {
-		ClassCells    [][]int
-		HoldingS      []float64
-		Widths        []float64
-		SelfNo        *int
-		ReleaseGuardS float64
-		ResendS       float64
-		Shape         string
-	}
+		ClassCells    [][]int   `json:"classCells"`
+		HoldingS      []float64 `json:"holdingS"`
+		Widths        []float64 `json:"widths"`
+		SelfNo        *int      `json:"selfNo"`
+		ReleaseGuardS float64   `json:"releaseGuardS"`
+		ResendS       float64   `json:"resendS"`
+		Shape         string    `json:"shape"`
+	} `json:"familyInfo"`
 	Limits struct {
-		RetryAfter                      bool
-		MaxAttempts, MaxOpen            int
-		MaxRetryAfterS, ConnectTimeoutS float64
-	}
-	OverShareWorth float64
-	PeersTotal     int
+		RetryAfter      bool    `json:"retryAfter"`
+		MaxAttempts     int     `json:"maxAttempts"`
+		MaxOpen         int     `json:"maxOpen"`
+		MaxRetryAfterS  float64 `json:"maxRetryAfterS"`
+		ConnectTimeoutS float64 `json:"connectTimeoutS"`
+	} `json:"limits"`
+	OverShareWorth float64 `json:"overShareWorth"`
+	PeersTotal     int     `json:"peersTotal"`
 	Profiles       []struct {
-		AimS, DeadlineS, LateValue, Value, WindowS float64
-		KeyScope, Name, Repeat                     string
-	}
+		AimS      float64 `json:"aimS"`
+		DeadlineS float64 `json:"deadlineS"`
+		LateValue float64 `json:"lateValue"`
+		Value     float64 `json:"value"`
+		WindowS   float64 `json:"windowS"`
+		KeyScope  string  `json:"keyScope"`
+		Name      string  `json:"name"`
+		Repeat    string  `json:"repeat"`
+	} `json:"profiles"`
 	Realms []struct {
-		Name      string
-		QuotaPerS float64
-	}
+		Name      string  `json:"name"`
+		QuotaPerS float64 `json:"quotaPerS"`
+	} `json:"realms"`
 	Telemetry struct {
-		Fields []string
-	}
+		Fields []string `json:"fields"`
+	} `json:"telemetry"`
 }
 
 // ParseSettings reads a settings text. Unknown keys are ignored; absent ones are zero, one circuit wide
