--- a/cmd/pipitring/cdr.go
+++ b/cmd/pipitring/cdr.go
@@ -180,7 +180,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
 			return fmt.Errorf("%s: %w", u.String(), err)
 		}
-		if f.filter.Fits(&r) {
+		if f.filter.Matches(&r) {
 			if err := do(&r); err != nil {
 				return err
 			}
@@ -220,8 +220,8 @@
 		charge += " (" + r.Charge.Note + ")"
 	}
 	_, err := fmt.Fprintf(p.tab, "%v/%d\t%s\t%v\t%d\t%v\t%s\t%s\t%s\t%s\t%v\t%v\t%s\t%s\t%s\n", r.ID, r.Version,
-		r.Offered.Format("2006-01-02T15:04:05.000Z"), r.End, r.Cause, r.Known, r.Class, r.Tenant, r.Calling, r.Called,
-		r.SetUp.Round(time.Millisecond), r.Length.Round(time.Millisecond), strings.Join(route, " "), charge, r.Charge.Tariff)
+		r.Offered.Format("2006-01-02T15:04:05.000Z"), r.End, r.Cause, r.EndSource, r.Class, r.Tenant, r.Calling, r.Called,
+		r.SetUp.Round(time.Millisecond), r.Duration.Round(time.Millisecond), strings.Join(route, " "), charge, r.Charge.Tariff)
 	return err
 }
 
@@ -279,7 +279,7 @@
 			name = "command line " + to
 		}
 		o := records.ExportOptions{Dir: to, Timeout: 30 * time.Second, ExportSettings: cdr.ExportSettings{Target: name, Router: router,
-			Format: form, Most: 10000, Least: 1, Keep: 1000}}
+			Format: form, MaxRecords: 10000, MinRecords: 1, KeepBatches: 1000}}
 		if (&config.Export{To: to}).Address() {
 			o.Dir, o.URL = "", to
 		}
@@ -329,17 +329,17 @@
 	if err != nil {
 		return 0, err
 	}
-	from := e.Batches()
+	from := e.BatchCount()
 	for fails := 0; ; {
-		sent, _, err := export.Step(ctx, e, t, l.Last(), true, time.Now, records.Commit(s))
+		sent, _, err := export.SendNext(ctx, e, t, l.LastNumber(), true, time.Now, records.Commit(s))
 		switch {
 		case err != nil && (fails == exportTries || ctx.Err() != nil):
-			return e.Batches() - from, err
+			return e.BatchCount() - from, err
 		case err != nil:
 			fails++
 			fmt.Fprintln(os.Stderr, err)
 		case !sent:
-			return e.Batches() - from, nil
+			return e.BatchCount() - from, nil
 		}
 	}
 }
@@ -437,7 +437,7 @@
 			return err
 		}
 		charge := t.Rate(r)
-		if !charge.Same(r.Charge) {
+		if !charge.Equal(r.Charge) {
 			changed = append(changed, r.ID)
 		}
 		r.Charge = charge
--- a/cmd/pipitring/cdr_test.go
+++ b/cmd/pipitring/cdr_test.go
@@ -47,8 +47,8 @@
 	at := time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC)
 	for call := range uint64(5) {
 		class := map[bool]string{true: "alarm", false: "status"}[call == 2]
-		r := cdr.Record{ID: rec.ID(call + 1), End: cdr.Stood, Known: cdr.ByCaller, Class: class, Called: "21", Calling: "9", Width: 1,
-			Offered: at, Answered: at, Ended: at.Add(time.Minute), Length: time.Minute}
+		r := cdr.Record{ID: rec.ID(call + 1), End: cdr.Answered, EndSource: cdr.EndedByCaller, Class: class, Called: "21", Calling: "9", Width: 1,
+			Offered: at, Answered: at, Ended: at.Add(time.Minute), Duration: time.Minute}
 		if _, ok := rec.Submit(cdr.Item{Record: r}); !ok {
 			t.Fatal("not taken")
 		}
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	b := s.Batch()
-	b.Delete(cdr.NumberKey(2))
+	b.Delete(cdr.RecordKey(2))
 	if err := errors.Join(s.Commit(b), s.Close()); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -69,7 +69,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("record %d: proxy %d: %w", i, e.Proxy, err)
 			}
-			h.instances[e.Proxy] = &instance{decide.New(setup.Settings, e.Entropy), setup.Fields}
+			h.instances[e.Proxy] = &instance{decide.New(setup.Settings, e.Entropy), setup.ReportFields}
 		default:
 			if in := h.instances[e.Proxy]; in != nil {
 				out = h.feed(in, now, e, out)
--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -29,29 +29,29 @@
 	switch e.Op {
 	case wire.OpResult:
 		cause, wait := toCause(e.Cause)
-		return decide.Ended{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
+		return decide.AttemptEnded{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
 			Outcome: toOutcome(e.How), Cause: cause, Wait: wait, Took: wire.Seconds(e.Duration),
-			Concluded: e.Ended != 0, Report: wire.Report(e.Stats, fields)}
+			Concluded: e.Ended != 0, Report: wire.ParseReport(e.Stats, fields)}
 	case wire.OpStreaming:
 		return decide.Standing{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
 			Took: wire.Seconds(e.Duration)}
 	case wire.OpDue:
-		return decide.TimerDue{Token: e.Cookie}
+		return decide.TimerExpired{Token: e.Cookie}
 	case wire.OpClientLeft:
-		return decide.CallerLeft{Call: call}
+		return decide.CallerAbandoned{Call: call}
 	case wire.OpProbeResult:
-		return decide.Reported{Exchange: exchangeID(e.Switch), Outcome: toOutcome(e.How),
-			Took: wire.Seconds(e.Duration), Report: wire.Report(e.Stats, fields)}
+		return decide.ReportReceived{Exchange: exchangeID(e.Switch), Outcome: toOutcome(e.How),
+			Took: wire.Seconds(e.Duration), Report: wire.ParseReport(e.Stats, fields)}
 	case wire.OpSync:
 		return toList(e, tables)
 	case wire.OpSubmit:
 		transit, advised := e.Attrs&wire.AttrTransit != 0, decide.Unknown
 		if !transit {
-			advised = wire.Whole(float64(e.Through)) // in transit it is where the call comes from
+			advised = wire.RoundToInt(float64(e.Through)) // in transit it is where the call comes from
 		}
-		return decide.Offer{Call: call, Class: int(e.Priority), Tenant: int(e.Party), Number: e.RouteKey,
-			Patience: wire.Seconds(e.Grace), Dest: wire.Whole(float64(e.Dest)),
-			Width: wire.Whole(float64(e.Units)), Transit: transit, Advised: advised, Redial: e.Attrs&wire.AttrRedial != 0,
+		return decide.Offer{Call: call, Class: int(e.Priority), Tenant: int(e.Party), CalledNumber: e.RouteKey,
+			Patience: wire.Seconds(e.Grace), Dest: wire.RoundToInt(float64(e.Dest)),
+			Width: wire.RoundToInt(float64(e.Units)), Transit: transit, AdvisedTandem: advised, Redial: e.Attrs&wire.AttrRedial != 0,
 			WasCut: e.Attrs&wire.AttrWasCut != 0}
 	}
 	return nil
@@ -60,9 +60,9 @@
 func toList(e *wire.Event, tables map[uint16][]wire.Entry) decide.Event {
 	kind := decide.ListKind(e.Scope)
 	if kind >= decide.ListFailed {
-		return decide.List{Kind: decide.ListFailed}
+		return decide.ListUpdate{Kind: decide.ListFailed}
 	}
-	l := decide.List{Kind: kind}
+	l := decide.ListUpdate{Kind: kind}
 	for _, t := range tables[e.Buffer] {
 		l.Entries = append(l.Entries, decide.Entry{Exchange: exchangeID(t.Switch), Number: int(t.Point),
 			Zone: int(t.Hall), Phase: decide.Phase(t.Phase), Started: wire.Seconds(t.ReadyAt)})
@@ -81,14 +81,14 @@
 // toCause splits a cause into its kind and the wait that a full processor asked for.
 func toCause(c uint32) (decide.Cause, time.Duration) {
 	if c == 18 {
-		return decide.TurnedBackFull, 0
+		return decide.TandemRejectedFull, 0
 	}
 	wait := time.Duration(c/16) * time.Millisecond
 	switch c % 16 {
 	case 1:
 		return decide.NoCircuit, 0
 	case 2:
-		return decide.TurnedBack, 0
+		return decide.TandemRejected, 0
 	case 3:
 		return decide.ProcessorFull, wait
 	case 4:
@@ -105,14 +105,14 @@
 		out.Op, out.ID, out.Switch = wire.OpPlace, uint32(a.Call), addr(a.Exchange)
 		out.TryFor = a.Timeout.Seconds()
 	case decide.Refuse:
-		out.Op, out.ID, out.CoolDown = wire.OpShed, uint32(a.Call), a.StayAway.Seconds()
+		out.Op, out.ID, out.CoolDown = wire.OpShed, uint32(a.Call), a.RetryAfter.Seconds()
 	case decide.Fail:
 		out.Op, out.ID = wire.OpEndFailed, uint32(a.Call)
 	case decide.Timer:
 		out.Op, out.SleepFor, out.Cookie = wire.OpSleep, a.After.Seconds(), a.Token
 	case decide.Subscribe:
 		out.Op, out.Active = wire.OpStreamChanges, 1
-	case decide.Note:
+	case decide.LogLine:
 		out.Op, out.Blob = wire.OpJournalLine, []byte(a.Text)
 	}
 	return out
--- a/decide/api.go
+++ b/decide/api.go
@@ -20,15 +20,15 @@
 
 // Class describes one class of call.
 type Class struct {
-	Hold      time.Duration // mean time a call stands
-	Width     int           // circuits taken on each group
-	Aim       time.Duration // a call that stands within this earns its full worth
-	Deadline  time.Duration // how long a caller goes on trying, from the first try
-	Worth     float64       // worth of a call that stands in time
-	LateWorth float64       // share of Worth earned after Aim
-	Repeat    Repeat        // may a set-up that may have run be sent again?
-	Scope     KeyScope      // for Keyed: the exchanges that discard repeats of one call
-	Window    time.Duration // for Keyed: how long they do
+	HoldTime    time.Duration // mean time a call stands
+	Width       int           // circuits taken on each group
+	SetupTarget time.Duration // a call that stands within this earns its full worth
+	Deadline    time.Duration // how long a caller goes on trying, from the first try
+	Value       float64       // worth of a call that stands in time
+	LateValue   float64       // share of Worth earned after Aim
+	Repeat      Repeat        // may a set-up that may have run be sent again?
+	KeyScope    KeyScope      // for Keyed: the exchanges that discard repeats of one call
+	KeyWindow   time.Duration // for Keyed: how long they do
 }
 
 // Repeat tells how freely a call may be sent again.
@@ -58,28 +58,28 @@
 
 // Settings are what one instance is given at its start.
 type Settings struct {
-	Own        int  // number of the own exchange; Unknown with Pools
-	Pools      bool // the far ends are pools of agents, without transit
-	Deliver    bool // calls to the own exchange may be set up at its own processor
-	Proxies    int  // number of proxies
-	Classes    []Class
-	ClassPools [][]int // with Pools: the pools each class may go to
-	Tenants    []Tenant
-
-	OverShareWorth float64 // worth of calls beyond a tenant's share, as a part of their class's
+	OwnExchange  int  // number of the own exchange; Unknown with Pools
+	Pools        bool // the far ends are pools of agents, without transit
+	DeliverLocal bool // calls to the own exchange may be set up at its own processor
+	Proxies      int  // number of proxies
+	Classes      []Class
+	ClassPools   [][]int // with Pools: the pools each class may go to
+	Tenants      []Tenant
+
+	OverShareValue float64 // worth of calls beyond a tenant's share, as a part of their class's
 	MaxAttempts    int
 
-	RetryAfter  bool // callers are told how long to stay away
-	Subscribe   bool // the list has to be asked for
-	MarksRedial bool // callers mark further tries
-
-	MaxStayAway  time.Duration // longest stay-away that callers observe
-	ReleaseGuard time.Duration // wait before a new set-up after a time-out, cut or cancel
-	ResendAfter  time.Duration // waiting set-ups are repeated after this; 0 is never
-	MustAskIn    time.Duration // with Subscribe: ask for the list at least this often until it comes
-	ColdFrom     float64       // least part of its capacity with which a processor starts
-	ColdFor      time.Duration
-	FallMultiple float64 // sent more than this multiple of its capacity for long, it falls over
+	SendRetryAfter bool // callers are told how long to stay away
+	Subscribe      bool // the list has to be asked for
+	RedialsMarked  bool // callers mark further tries
+
+	MaxRetryAfter        time.Duration // longest stay-away that callers observe
+	ReleaseGuard         time.Duration // wait before a new set-up after a time-out, cut or cancel
+	ResendAfter          time.Duration // waiting set-ups are repeated after this; 0 is never
+	MaxSubscribeInterval time.Duration // with Subscribe: ask for the list at least this often until it comes
+	ColdCapacity         float64       // least part of its capacity with which a processor starts
+	ColdDuration         time.Duration
+	OverloadMultiple     float64 // sent more than this multiple of its capacity for long, it falls over
 }
 
 // Validate reports the first setting that deciding cannot work with.
@@ -88,10 +88,10 @@
 		return errors.New("no classes of call")
 	}
 	for i, c := range s.Classes {
-		if c.Hold <= 0 || c.Width < 1 || c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
+		if c.HoldTime <= 0 || c.Width < 1 || c.SetupTarget <= 0 || c.Deadline <= 0 || c.KeyWindow < 0 {
 			return fmt.Errorf("class %d: hold, width, aim and deadline must be above zero", i)
 		}
-		if !(c.Worth >= 0) || !(c.LateWorth >= 0) {
+		if !(c.Value >= 0) || !(c.LateValue >= 0) {
 			return fmt.Errorf("class %d: worth must not be negative", i)
 		}
 	}
@@ -101,13 +101,13 @@
 	if s.MaxAttempts < 1 || s.Proxies < 1 {
 		return errors.New("attempts and proxies must be at least one")
 	}
-	for _, d := range []time.Duration{s.MaxStayAway, s.ReleaseGuard, s.ResendAfter, s.MustAskIn,
-		s.ColdFor} {
+	for _, d := range []time.Duration{s.MaxRetryAfter, s.ReleaseGuard, s.ResendAfter, s.MaxSubscribeInterval,
+		s.ColdDuration} {
 		if d < 0 {
 			return fmt.Errorf("a time of %v is negative", d)
 		}
 	}
-	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) || !(s.FallMultiple >= 0) {
+	if !(s.ColdCapacity >= 0 && s.ColdCapacity <= 1) || !(s.OverloadMultiple >= 0) {
 		return errors.New("the cold-start figures are out of range")
 	}
 	return nil
@@ -132,7 +132,7 @@
 
 // Phases of an exchange.
 const (
-	Gone Phase = iota
+	Removed Phase = iota
 	Ready
 	Draining
 )
@@ -148,12 +148,12 @@
 
 // Report is what is known of an exchange at one time; Unknown where not told.
 type Report struct {
-	Free, Size float64 // circuits of the group toward it
-	Util       float64 // share of its processor that is busy
-	Queue      float64 // set-ups waiting
-	Wait       float64 // seconds of wait at its processor
-	MaxRate    float64 // set-ups a second it can take from all
-	HoldBack   float64 // share of set-ups each sender should hold back
+	Free, Size    float64 // circuits of the group toward it
+	Util          float64 // share of its processor that is busy
+	Queue         float64 // set-ups waiting
+	Wait          float64 // seconds of wait at its processor
+	MaxRate       float64 // set-ups a second it can take from all
+	ThrottleShare float64 // share of set-ups each sender should hold back
 }
 
 // NoReport is the report in which nothing is told.
@@ -166,7 +166,7 @@
 const (
 	Completed   Outcome   = iota + 1
 	Busy                  // all lines of the number busy, or a signalling fault
-	Full                  // not set up: returned, or no room
+	Rejected              // not set up: returned, or no room
 	TimedOut              // may have gone on
 	Unreachable           // no connection
 	Cut                   // set-up or standing call cut
@@ -182,31 +182,31 @@
 const (
 	CauseUnknown Cause = iota
 	NoCircuit
-	TurnedBack
-	TurnedBackFull // turned back, the processor beyond was full
+	TandemRejected
+	TandemRejectedFull // turned back, the processor beyond was full
 	ProcessorFull
 	LinesBusy
 )
 
 type (
-	// List brings news of the exchanges.
-	List struct {
+	// ListUpdate brings news of the exchanges.
+	ListUpdate struct {
 		Kind    ListKind
 		Entries []Entry
 	}
 	// Offer hands a call to this proxy, which then owes it one final answer.
 	Offer struct {
-		Call     CallID
-		Class    int
-		Tenant   int
-		Number   uint64        // the number called
-		Patience time.Duration // until the caller gives up this try
-		Dest     int           // number of the exchange called, or of the pool of first choice
-		Advised  int           // the tandem that a centre saw most room at, late; Unknown if none
-		Width    int           // circuits on each group
-		Transit  bool
-		Redial   bool
-		WasCut   bool // stood before, was cut, comes again
+		Call          CallID
+		Class         int
+		Tenant        int
+		CalledNumber  uint64        // the number called
+		Patience      time.Duration // until the caller gives up this try
+		Dest          int           // number of the exchange called, or of the pool of first choice
+		AdvisedTandem int           // the tandem that a centre saw most room at, late; Unknown if none
+		Width         int           // circuits on each group
+		Transit       bool
+		Redial        bool
+		WasCut        bool // stood before, was cut, comes again
 	}
 	// Standing tells that a call was set up.
 	Standing struct {
@@ -215,8 +215,8 @@
 		Exchange ExchangeID
 		Took     time.Duration
 	}
-	// Ended tells how an attempt ended; each SetUp gets exactly one.
-	Ended struct {
+	// AttemptEnded tells how an attempt ended; each SetUp gets exactly one.
+	AttemptEnded struct {
 		Call      CallID
 		Attempt   int
 		Exchange  ExchangeID
@@ -227,26 +227,26 @@
 		Concluded bool // no answer is owed any more
 		Report    Report
 	}
-	// CallerLeft tells that no answer is owed any more.
-	CallerLeft struct{ Call CallID }
-	// Reported brings a report, asked for by a Probe or not (then Took is 0).
-	Reported struct {
+	// CallerAbandoned tells that no answer is owed any more.
+	CallerAbandoned struct{ Call CallID }
+	// ReportReceived brings a report, asked for by a Probe or not (then Took is 0).
+	ReportReceived struct {
 		Exchange ExchangeID
 		Outcome  Outcome
 		Took     time.Duration
 		Report   Report
 	}
-	// TimerDue answers a Timer.
-	TimerDue struct{ Token uint64 }
+	// TimerExpired answers a Timer.
+	TimerExpired struct{ Token uint64 }
 )
 
-func (List) event()       {}
-func (Offer) event()      {}
-func (Standing) event()   {}
-func (Ended) event()      {}
-func (CallerLeft) event() {}
-func (Reported) event()   {}
-func (TimerDue) event()   {}
+func (ListUpdate) event()      {}
+func (Offer) event()           {}
+func (Standing) event()        {}
+func (AttemptEnded) event()    {}
+func (CallerAbandoned) event() {}
+func (ReportReceived) event()  {}
+func (TimerExpired) event()    {}
 
 // Action is one thing this instance wants done: one of the action types below.
 type Action interface{ action() }
@@ -260,8 +260,8 @@
 	}
 	// Refuse is the final answer: turned away.
 	Refuse struct {
-		Call     CallID
-		StayAway time.Duration // advice to the caller; 0 is none
+		Call       CallID
+		RetryAfter time.Duration // advice to the caller; 0 is none
 	}
 	// Fail is the final answer: given up.
 	Fail struct{ Call CallID }
@@ -272,8 +272,8 @@
 	}
 	// Subscribe asks for changes of the list.
 	Subscribe struct{}
-	// Note writes one line to the log.
-	Note struct{ Text string }
+	// LogLine writes one line to the log.
+	LogLine struct{ Text string }
 )
 
 func (SetUp) action()     {}
@@ -281,4 +281,4 @@
 func (Fail) action()      {}
 func (Timer) action()     {}
 func (Subscribe) action() {}
-func (Note) action()      {}
+func (LogLine) action()   {}
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -26,7 +26,7 @@
 		shares[i] = math.Pow(max(f.uneven, 1), -float64(i)/float64(f.proxies))
 		sum += shares[i]
 	}
-	hold := s.Classes[0].Hold.Seconds()
+	hold := s.Classes[0].HoldTime.Seconds()
 	type proxy struct {
 		c    *Controller
 		rate float64
@@ -40,7 +40,7 @@
 		load := p.rate * hold
 		p.size = math.Ceil(load + 1.2*math.Sqrt(load))
 		s := s
-		s.Own, s.Proxies = 100+i, f.proxies
+		s.OwnExchange, s.Proxies = 100+i, f.proxies
 		p.c = New(s, uint64(i)*31+rng)
 		fleet[i] = p
 	}
@@ -74,20 +74,20 @@
 		if f.fresh {
 			e = Entry{Exchange: 2000, Number: far, Phase: Ready, Started: epoch + start}
 		}
-		p.c.Feed(epoch+begin, List{Kind: ListCached, Entries: []Entry{{Exchange: 1, Number: p.c.s.Own, Phase: Ready}, e}})
-		p.c.Feed(epoch+begin, Reported{Exchange: e.Exchange, Report: Report{Free: p.size, Size: p.size}})
+		p.c.Feed(epoch+begin, ListUpdate{Kind: ListCached, Entries: []Entry{{Exchange: 1, Number: p.c.s.OwnExchange, Phase: Ready}, e}})
+		p.c.Feed(epoch+begin, ReportReceived{Exchange: e.Exchange, Report: Report{Free: p.size, Size: p.size}})
 	}
-	for now := begin; now < start+s.ColdFor; now += step {
+	for now := begin; now < start+s.ColdDuration; now += step {
 		if now == start && !f.fresh {
 			for _, p := range fleet {
-				p.c.Feed(epoch+now, List{Kind: ListChanges, Entries: []Entry{{Exchange: 1000, Number: far, Phase: Gone},
+				p.c.Feed(epoch+now, ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 1000, Number: far, Phase: Removed},
 					{Exchange: 2000, Number: far, Phase: Ready, Started: epoch + now}}})
-				p.c.Feed(epoch+now, Reported{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}})
+				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}})
 			}
 			clear(ends) // what stood was cut
 		}
 		for _, e := range ends[now] {
-			e.p.c.Feed(epoch+now, Ended{Call: e.call, Exchange: e.ex, Outcome: Completed, Concluded: true,
+			e.p.c.Feed(epoch+now, AttemptEnded{Call: e.call, Exchange: e.ex, Outcome: Completed, Concluded: true,
 				Report: Report{Free: math.Min(e.p.size, 1), Size: e.p.size}})
 		}
 		for _, p := range fleet {
@@ -101,14 +101,14 @@
 			for x := p.rate * k * step.Seconds(); draw() < x; x-- {
 				call++
 				transit := draw() < f.transit
-				carry(p, now, p.c.Feed(epoch+now, Offer{Call: call, Dest: far, Width: 1, Advised: Unknown, Patience: 9 * time.Second,
+				carry(p, now, p.c.Feed(epoch+now, Offer{Call: call, Dest: far, Width: 1, AdvisedTandem: Unknown, Patience: 9 * time.Second,
 					Transit: transit, Tenant: Unknown}))
 			}
 			if now%tick == 0 {
-				carry(p, now, p.c.Feed(epoch+now, TimerDue{tokenTick}))
+				carry(p, now, p.c.Feed(epoch+now, TimerExpired{tokenTick}))
 			}
 			if now >= start && now%(200*ms) == 0 {
-				p.c.Feed(epoch+now, Reported{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // room enough: only the guard holds back
+				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // room enough: only the guard holds back
 			}
 		}
 	}
@@ -125,8 +125,8 @@
 			}
 		}
 		// How it grows is not told; evenly, as the module takes it, and judged by the window's beginning.
-		g := s.ColdFrom + (1-s.ColdFrom)*from.Seconds()/s.ColdFor.Seconds()
-		allowed := s.FallMultiple * capacity * g * window.Seconds()
+		g := s.ColdCapacity + (1-s.ColdCapacity)*from.Seconds()/s.ColdDuration.Seconds()
+		allowed := s.OverloadMultiple * capacity * g * window.Seconds()
 		most := allowed + 2*math.Sqrt(allowed) + 2
 		if r := float64(n) / most; r > worst {
 			worst, text = r, fmt.Sprintf("%d within %v from %v after the start, allowed %.1f, with chance %.1f", n, window, from, allowed, most)
@@ -138,8 +138,8 @@
 // TestColdFleetKeepsItsBudget: the rule counts what all proxies send together: N in the window, and 2·√N + 2 of chance.
 func TestColdFleetKeepsItsBudget(t *testing.T) {
 	unlike := settings()
-	unlike.ColdFrom, unlike.ColdFor, unlike.FallMultiple = 0.25, 8*time.Second, 2.5
-	unlike.Classes[0].Hold = 4 * time.Second
+	unlike.ColdCapacity, unlike.ColdDuration, unlike.OverloadMultiple = 0.25, 8*time.Second, 2.5
+	unlike.Classes[0].HoldTime = 4 * time.Second
 	for _, n := range []int{8, 30, 48} {
 		for _, f := range []coldFleet{{demand: 1}, {demand: 10}, {demand: 10, uneven: 30}, {demand: 10, transit: 0.4}, {demand: 10, fresh: true},
 			{demand: 10, fresh: true, uneven: 30}, {demand: 10, uncalled: true}, {demand: 10, uncalled: true, fresh: true}} {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -73,9 +73,9 @@
 	c.band, c.bands = holdBands(s.Classes)
 	for i := range s.Classes {
 		c.widest = max(c.widest, s.Classes[i].Width)
-		c.minAim = min(c.minAim, s.Classes[i].Aim)
+		c.minAim = min(c.minAim, s.Classes[i].SetupTarget)
 	}
-	c.meanWorth, c.carriedShare = s.Classes[0].Worth, 1
+	c.meanWorth, c.carriedShare = s.Classes[0].Value, 1
 	return c
 }
 
@@ -84,21 +84,21 @@
 	c.now, c.out = max(c.now, now), nil
 	c.common = c.medianSight()
 	switch e := ev.(type) {
-	case List:
+	case ListUpdate:
 		c.onList(e)
 	case Offer:
 		c.onOffer(e)
 	case Standing:
 		c.onStanding(e)
-	case Ended:
+	case AttemptEnded:
 		c.onEnded(e)
-	case CallerLeft:
+	case CallerAbandoned:
 		if k := c.calls[e.Call]; k != nil {
 			c.close(k)
 		}
-	case Reported:
+	case ReportReceived:
 		c.onReport(e)
-	case TimerDue:
+	case TimerExpired:
 		c.onTimer(e.Token)
 	}
 	return c.out
@@ -113,18 +113,18 @@
 		class = 0
 	}
 	cl := &c.s.Classes[class]
-	k := &call{id: e.Call, class: class, width: e.Width, dest: e.Dest, number: e.Number, advised: e.Advised,
-		transit: e.Transit, arrived: c.now, first: c.now, deadline: c.now + e.Patience, worth: cl.Worth}
+	k := &call{id: e.Call, class: class, width: e.Width, dest: e.Dest, number: e.CalledNumber,
+		advised: e.AdvisedTandem, transit: e.Transit, arrived: c.now, first: c.now, deadline: c.now + e.Patience, worth: cl.Value}
 	if k.width < 1 {
 		k.width = cl.Width
 	}
 	c.calls[k.id] = k
 	k.worth *= c.shareWorth(e)
-	if first, again := c.tries[k.number]; again && !k.transit && (e.Redial || !c.s.MarksRedial) {
+	if first, again := c.tries[k.number]; again && !k.transit && (e.Redial || !c.s.RedialsMarked) {
 		k.first = first
 	}
-	if k.late(c.now, cl.Aim) && !e.WasCut {
-		k.worth *= cl.LateWorth
+	if k.late(c.now, cl.SetupTarget) && !e.WasCut {
+		k.worth *= cl.LateValue
 	}
 	if to := c.far[k.dest]; to != nil {
 		c.countOffered(to, class)
@@ -137,7 +137,7 @@
 		c.refuse(k)
 		return
 	}
-	if k.dest == c.s.Own && c.s.Deliver {
+	if k.dest == c.s.OwnExchange && c.s.DeliverLocal {
 		c.deliver(k)
 		return
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *Controller) onEnded(e Ended) {
+func (c *Controller) onEnded(e AttemptEnded) {
 	c.takeReport(e.Exchange, e.Report)
 	k := c.calls[e.Call]
 	if k == nil || k.to == nil || k.attempts != e.Attempt+1 {
@@ -194,7 +194,7 @@
 }
 
 // goOn decides what follows a failed attempt: another route where one can help, else an early answer.
-func (c *Controller) goOn(k *call, e Ended) {
+func (c *Controller) goOn(k *call, e AttemptEnded) {
 	switch {
 	case e.Outcome == Busy && e.Cause == LinesBusy:
 		c.markBusy(k)
@@ -203,11 +203,11 @@
 		c.refuse(k)
 	case e.Outcome == NotSent && e.Cause != NoCircuit: // the own processor is down, or the time is up
 		c.refuse(k)
-	case e.Outcome == Busy && !k.late(c.now, c.s.Classes[k.class].Aim): // a fault: another may pass
+	case e.Outcome == Busy && !k.late(c.now, c.s.Classes[k.class].SetupTarget): // a fault: another may pass
 		c.route(k)
 	case !k.isTandem && !c.s.Pools && (e.Outcome != NotSent && e.Cause != NoCircuit):
 		c.refuse(k) // the far end itself is silent or full: every other route ends there too
-	case k.isTandem && (e.Cause == TurnedBackFull):
+	case k.isTandem && (e.Cause == TandemRejectedFull):
 		c.refuse(k)
 	default:
 		c.route(k)
@@ -220,11 +220,11 @@
 func holdBands(classes []Class) (band []int, n int) {
 	shortest, longest := time.Duration(math.MaxInt64), time.Duration(0)
 	for _, cl := range classes {
-		shortest, longest = min(shortest, cl.Hold), max(longest, cl.Hold)
+		shortest, longest = min(shortest, cl.HoldTime), max(longest, cl.HoldTime)
 	}
 	n = max(1, int(math.Ceil(octaves(longest, shortest))))
 	for _, cl := range classes {
-		band = append(band, min(n-1, int(octaves(cl.Hold, shortest))))
+		band = append(band, min(n-1, int(octaves(cl.HoldTime, shortest))))
 	}
 	return band, n
 }
@@ -255,7 +255,7 @@
 func (c *Controller) shares(n *neighbour) []float64 {
 	share, sum := make([]float64, c.bands), 0.0
 	for i, cl := range c.s.Classes {
-		f := n.offered[i] * cl.Hold.Seconds()
+		f := n.offered[i] * cl.HoldTime.Seconds()
 		share[c.band[i]] += f
 		sum += f
 	}
@@ -300,7 +300,7 @@
 
 // minor tells whether a call is worth so little that it stays off last circuits and tandems. Exception to the
 // design: acts on redials past their aim, near a full group only.
-func (c *Controller) minor(k *call) bool { return k.worth < minorShare*c.s.Classes[k.class].Worth }
+func (c *Controller) minor(k *call) bool { return k.worth < minorShare*c.s.Classes[k.class].Value }
 
 // reserve is the number of a group's last circuits that transit and tandem legs stay off: at least one.
 func (c *Controller) reserve(n *neighbour) float64 {
@@ -316,7 +316,7 @@
 // route sends a call by its next route, or holds or refuses it.
 func (c *Controller) route(k *call) {
 	to := c.far[k.dest]
-	if to == nil || k.attempts >= c.s.MaxAttempts || !c.mayRepeat(k) || k.dest == c.s.Own {
+	if to == nil || k.attempts >= c.s.MaxAttempts || !c.mayRepeat(k) || k.dest == c.s.OwnExchange {
 		c.refuse(k)
 		return
 	}
@@ -389,12 +389,12 @@
 func (c *Controller) tandems(to *neighbour) []*tandem {
 	if to.tandems == nil {
 		for _, n := range c.order {
-			if n != to && n.number != c.s.Own {
+			if n != to && n.number != c.s.OwnExchange {
 				to.tandems = append(to.tandems, &tandem{via: n})
 			}
 		}
 		rank := func(t *tandem) uint64 {
-			return mix(uint64(c.s.Own+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
+			return mix(uint64(c.s.OwnExchange+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
 		}
 		slices.SortFunc(to.tandems, func(a, b *tandem) int { return cmp.Compare(rank(a), rank(b)) })
 	}
@@ -415,9 +415,9 @@
 	var timeout time.Duration
 	if tandem {
 		k.tandems = append(k.tandems, to)
-		timeout = min(k.deadline-c.now, time.Duration(tandemWait*float64(c.s.Classes[k.class].Aim)))
+		timeout = min(k.deadline-c.now, time.Duration(tandemWait*float64(c.s.Classes[k.class].SetupTarget)))
 	} else if c.s.ResendAfter == 0 { // a set-up lost on the way stays lost: waiting on cannot help
-		timeout = min(k.deadline-c.now, time.Duration(directWait*float64(c.s.Classes[k.class].Aim)))
+		timeout = min(k.deadline-c.now, time.Duration(directWait*float64(c.s.Classes[k.class].SetupTarget)))
 	}
 	c.fill(to, k)
 	to.sent = append(to.sent, k)
@@ -447,7 +447,7 @@
 // passOn sends a call in transit to its destination at once, or turns it back.
 func (c *Controller) passOn(k *call) {
 	to := c.far[k.dest]
-	if to == nil || k.dest == c.s.Own || !c.usable(to) || !c.fitsTandem(to, k) || !c.lets(k, to) ||
+	if to == nil || k.dest == c.s.OwnExchange || !c.usable(to) || !c.fitsTandem(to, k) || !c.lets(k, to) ||
 		!c.coldLets(to) {
 		c.refuse(k)
 		return
@@ -502,12 +502,12 @@
 
 // density is a call's worth for each circuit and second.
 func (c *Controller) density(k *call) float64 {
-	return k.worth / (float64(k.width) * c.s.Classes[k.class].Hold.Seconds())
+	return k.worth / (float64(k.width) * c.s.Classes[k.class].HoldTime.Seconds())
 }
 
 // latest is the last moment at which sending a held call still makes sense.
 func (c *Controller) latest(k *call) time.Duration {
-	aim := c.s.Classes[k.class].Aim
+	aim := c.s.Classes[k.class].SetupTarget
 	at := k.arrived + time.Duration(holdShare*float64(aim)) - c.far[k.dest].quickest
 	if k.attempts > 0 {
 		at = max(at, k.after+2*tick)
@@ -552,10 +552,10 @@
 // ---- Guard: the list. Nothing new goes to an exchange from the moment it is told to drain or be gone,
 // held calls included. Guards calls from being cut when it stops; harms if the list is wrong.
 
-func (c *Controller) onList(e List) {
+func (c *Controller) onList(e ListUpdate) {
 	if e.Kind == ListFailed {
 		c.asks++
-		wait := min(time.Second<<min(c.asks-1, 4), max(c.s.MustAskIn/2, time.Second))
+		wait := min(time.Second<<min(c.asks-1, 4), max(c.s.MaxSubscribeInterval/2, time.Second))
 		c.out = append(c.out, Timer{After: wait/2 + c.jitter(wait/2), Token: tokenAsk})
 		return
 	}
@@ -566,7 +566,7 @@
 	}
 	if e.Kind != ListChanges {
 		for _, x := range c.listed {
-			x.phase = Gone
+			x.phase = Removed
 		}
 	}
 	for _, n := range e.Entries {
@@ -592,7 +592,7 @@
 	best := map[int]*exchange{}
 	for _, id := range ids {
 		x := c.listed[id]
-		if x.phase == Gone {
+		if x.phase == Removed {
 			delete(c.listed, id) // or the list of the dead grows for ever
 		}
 		if b := best[x.number]; x.phase == Ready && (b == nil || x.started > b.started) {
@@ -609,7 +609,7 @@
 
 // usable tells whether set-ups may go to a neighbour at all.
 func (c *Controller) usable(n *neighbour) bool {
-	return n.cur != nil && n.cur.phase == Ready && n.number != c.s.Own
+	return n.cur != nil && n.cur.phase == Ready && n.number != c.s.OwnExchange
 }
 
 // ---- Guard: cold starts. A processor that just started gets from each proxy the proxy's usual rate, times
@@ -619,13 +619,14 @@
 
 // cold tells whether a processor is still starting.
 func (c *Controller) cold(x *exchange) bool {
-	return x != nil && x.started > 0 && c.now < x.started+c.s.ColdFor
+	return x != nil && x.started > 0 && c.now < x.started+c.s.ColdDuration
 }
 
 // coldRate is the set-ups a second that a starting processor may be sent from here.
 func (c *Controller) coldRate(x *exchange, usual float64) float64 {
-	age := float64(c.now-x.started) / float64(c.s.ColdFor)
-	return usual * max(1, coldPart*c.s.FallMultiple) * (c.s.ColdFrom + (1-c.s.ColdFrom)*max(0, age))
+	age := float64(c.now-x.started) / float64(c.s.ColdDuration)
+	return usual * max(1, coldPart*c.s.OverloadMultiple) *
+		(c.s.ColdCapacity + (1-c.s.ColdCapacity)*max(0, age))
 }
 
 // coldLets takes a set-up from a starting processor's part; others are not asked. The part starts at a random
@@ -640,7 +641,7 @@
 
 // usual is the rate of set-ups to a neighbour in quiet times: as seen, or as its group's size suggests.
 func (c *Controller) usual(n *neighbour) float64 {
-	plan := max(1, n.size) / (2 * c.s.Classes[0].Hold.Seconds() * float64(c.s.Classes[0].Width))
+	plan := max(1, n.size) / (2 * c.s.Classes[0].HoldTime.Seconds() * float64(c.s.Classes[0].Width))
 	rate := n.sets * decay(c.now-n.setAt, rateHalfLife) * math.Ln2 / rateHalfLife.Seconds()
 	return max(min(rate, 2*plan), plan/2)
 }
@@ -719,7 +720,7 @@
 
 // lets decides whether pressure lets a call through to its destination.
 func (c *Controller) lets(k *call, to *neighbour) bool {
-	p := c.pressed(to, c.s.Classes[k.class].Aim, k.worth)
+	p := c.pressed(to, c.s.Classes[k.class].SetupTarget, k.worth)
 	if p <= 0 || p < 1 && float64(c.jitter(time.Second)) >= p*float64(time.Second) {
 		return true
 	}
@@ -751,7 +752,7 @@
 // note writes a line for on-call staff; there are not many of them.
 func (c *Controller) note(format string, number int) {
 	if c.notes++; c.notes <= maxNotes {
-		c.out = append(c.out, Note{fmt.Sprintf(format, number)})
+		c.out = append(c.out, LogLine{fmt.Sprintf(format, number)})
 	}
 }
 
@@ -765,7 +766,7 @@
 }
 
 // judge learns from an attempt that did not stand.
-func (c *Controller) judge(to *neighbour, k *call, e Ended) {
+func (c *Controller) judge(to *neighbour, k *call, e AttemptEnded) {
 	end := to
 	if k.isTandem {
 		if end = c.far[k.dest]; end == nil {
@@ -775,11 +776,11 @@
 	switch {
 	case e.Outcome == NotSent && e.Cause == NoCircuit:
 		to.free = 0 // also where no group was ever told: the pair may have none
-	case e.Cause == TurnedBackFull, e.Outcome == Full && e.Cause == ProcessorFull && !k.isTandem:
+	case e.Cause == TandemRejectedFull, e.Outcome == Rejected && e.Cause == ProcessorFull && !k.isTandem:
 		c.atLeast(&end.load, fullWait*c.minAim.Seconds())
-	case e.Outcome == Full && e.Cause == ProcessorFull:
+	case e.Outcome == Rejected && e.Cause == ProcessorFull:
 		c.atLeast(&to.load, fullWait*c.minAim.Seconds())
-	case k.isTandem && (e.Outcome == Full || e.Outcome == TimedOut):
+	case k.isTandem && (e.Outcome == Rejected || e.Outcome == TimedOut):
 		end.passOver(to, c.now+turnedFor, end.calls+turnedCalls)
 		c.carriedShare -= c.carriedShare / oddsOver
 	case e.Outcome == TimedOut && !k.isTandem && k.sentAt < to.overtook:
@@ -790,7 +791,7 @@
 	}
 }
 
-func (c *Controller) onReport(e Reported) {
+func (c *Controller) onReport(e ReportReceived) {
 	c.takeReport(e.Exchange, e.Report)
 	c.serve()
 }
@@ -821,10 +822,10 @@
 	if k.ranAt == nil || cl.Repeat == RepeatSafe {
 		return true
 	}
-	if cl.Repeat == RepeatUnsafe || c.now >= k.ranSent+cl.Window {
+	if cl.Repeat == RepeatUnsafe || c.now >= k.ranSent+cl.KeyWindow {
 		return false
 	}
-	switch cl.Scope {
+	switch cl.KeyScope {
 	case ScopeZone:
 		return x.zone == k.ranAt.zone
 	case ScopeExchange:
@@ -836,7 +837,7 @@
 // mayRefuse tells whether 'refused' is a true answer: the call cannot have run, or its repeats are known.
 func (c *Controller) mayRefuse(k *call) bool {
 	cl := &c.s.Classes[k.class]
-	return k.ranAt == nil || cl.Repeat == RepeatSafe || cl.Repeat == RepeatKeyed && cl.Scope == ScopeAll
+	return k.ranAt == nil || cl.Repeat == RepeatSafe || cl.Repeat == RepeatKeyed && cl.KeyScope == ScopeAll
 }
 
 // refuse gives the final answer, with a spread-out advice to stay away.
@@ -851,8 +852,8 @@
 		return
 	}
 	var away time.Duration
-	if c.s.RetryAfter && !k.transit {
-		away = c.s.MaxStayAway - c.jitter(c.s.MaxStayAway/5)
+	if c.s.SendRetryAfter && !k.transit {
+		away = c.s.MaxRetryAfter - c.jitter(c.s.MaxRetryAfter/5)
 	}
 	c.out = append(c.out, Refuse{k.id, away})
 }
@@ -915,7 +916,7 @@
 	if c.tenants[e.Tenant].take(c.now, rate, max(2, 3*rate)) {
 		return 1
 	}
-	return (1 + c.s.OverShareWorth) / 2
+	return (1 + c.s.OverShareValue) / 2
 }
 
 // skilled tells whether a class may go to a pool.
@@ -924,5 +925,5 @@
 }
 
 func mayHaveRun(o Outcome) bool {
-	return o != Full && o != Unreachable && o != NotSent
+	return o != Rejected && o != Unreachable && o != NotSent
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -12,10 +12,10 @@
 // settings are those of a small mesh whose own exchange is 0 and that has one class.
 func settings() Settings {
 	return Settings{
-		Own: 0, Proxies: 4, MaxAttempts: 5, RetryAfter: true, OverShareWorth: 0.05,
-		Classes:     []Class{{Hold: 10 * time.Second, Width: 1, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
-		MaxStayAway: 2 * time.Second, ReleaseGuard: 300 * ms,
-		MustAskIn: 10 * time.Second, ColdFrom: 0.3, ColdFor: 12 * time.Second, FallMultiple: 3,
+		OwnExchange: 0, Proxies: 4, MaxAttempts: 5, SendRetryAfter: true, OverShareValue: 0.05,
+		Classes:       []Class{{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}},
+		MaxRetryAfter: 2 * time.Second, ReleaseGuard: 300 * ms,
+		MaxSubscribeInterval: 10 * time.Second, ColdCapacity: 0.3, ColdDuration: 12 * time.Second, OverloadMultiple: 3,
 	}
 }
 
@@ -40,7 +40,7 @@
 func newRig(t *testing.T, s Settings) *rig {
 	r := &rig{t: t, c: New(s, 7), now: 100 * time.Second, offered: map[CallID]bool{},
 		answered: map[CallID]int{}, out: map[CallID]bool{}, attempts: map[CallID]int{}}
-	var l List
+	var l ListUpdate
 	l.Kind = ListCached
 	for i := 0; i < 4; i++ {
 		l.Entries = append(l.Entries, Entry{Exchange: id(i), Number: i, Phase: Ready})
@@ -88,7 +88,7 @@
 func (r *rig) free(number int, free, size float64) []Action {
 	rep := NoReport
 	rep.Free, rep.Size = free, size
-	return r.feed(Reported{Exchange: id(number), Outcome: Completed, Report: rep})
+	return r.feed(ReportReceived{Exchange: id(number), Outcome: Completed, Report: rep})
 }
 
 func (r *rig) offer(call CallID, dest int, more ...func(*Offer)) []Action {
@@ -102,7 +102,7 @@
 
 func (r *rig) end(call CallID, to int, how Outcome, cause Cause) []Action {
 	r.out[call] = false
-	return r.feed(Ended{Call: call, Attempt: r.attempts[call] - 1, Exchange: id(to), Outcome: how, Cause: cause,
+	return r.feed(AttemptEnded{Call: call, Attempt: r.attempts[call] - 1, Exchange: id(to), Outcome: how, Cause: cause,
 		Concluded: how == Completed, Report: NoReport})
 }
 
@@ -119,7 +119,7 @@
 		r.timers = nil
 		for _, tm := range due {
 			if tm.at <= r.now {
-				acts = append(acts, r.feed(TimerDue{tm.token})...)
+				acts = append(acts, r.feed(TimerExpired{tm.token})...)
 			} else {
 				r.timers = append(r.timers, tm)
 			}
@@ -175,7 +175,7 @@
 	} {
 		var cl []Class
 		for _, h := range tc.holds {
-			cl = append(cl, Class{Hold: time.Duration(h * float64(time.Second))})
+			cl = append(cl, Class{HoldTime: time.Duration(h * float64(time.Second))})
 		}
 		band, n := holdBands(cl)
 		if n != tc.n || fmt.Sprint(band) != fmt.Sprint(tc.band) {
@@ -188,7 +188,7 @@
 func banded() Settings {
 	s := settings()
 	long := s.Classes[0]
-	long.Hold = 40 * time.Second
+	long.HoldTime = 40 * time.Second
 	s.Classes = append(s.Classes, long)
 	return s
 }
@@ -239,11 +239,11 @@
 	if first != 1 && first != 3 {
 		t.Fatalf("second route is %d, want a tandem", first)
 	}
-	second := sent(r.end(2, first, Full, TurnedBack))
+	second := sent(r.end(2, first, Rejected, TandemRejected))
 	if second != 4-first {
 		t.Fatalf("third route is %d, want the other tandem", second)
 	}
-	acts := append(r.end(2, second, Full, TurnedBack), r.run(2*time.Second)...)
+	acts := append(r.end(2, second, Rejected, TandemRejected), r.run(2*time.Second)...)
 	if !refused(acts) {
 		t.Fatal("a call that every route turned away must be refused")
 	}
@@ -335,9 +335,9 @@
 func TestCallerLeftWhileOut(t *testing.T) {
 	r := newRig(t, settings())
 	r.offer(1, 2)
-	r.feed(CallerLeft{1})
+	r.feed(CallerAbandoned{1})
 	r.out[1] = false
-	if acts := r.feed(Ended{Call: 1, Exchange: id(2), Outcome: TimedOut, Report: NoReport}); len(acts) != 0 {
+	if acts := r.feed(AttemptEnded{Call: 1, Exchange: id(2), Outcome: TimedOut, Report: NoReport}); len(acts) != 0 {
 		t.Fatalf("an outcome after the caller left asks for nothing, got %v", acts)
 	}
 	if len(r.c.calls) != 0 {
@@ -366,13 +366,13 @@
 }
 
 func TestNothingNewToADrainingOrGoneExchange(t *testing.T) {
-	for _, phase := range []Phase{Draining, Gone} {
+	for _, phase := range []Phase{Draining, Removed} {
 		r := newRig(t, settings())
 		for _, n := range []int{1, 2, 3} {
 			r.free(n, 0, 40)
 		}
 		r.offer(1, 2) // held
-		r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: phase}}})
+		r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: phase}}})
 		r.free(2, 20, 40)
 		r.offer(2, 2)
 		r.run(3 * time.Second)
@@ -387,7 +387,7 @@
 
 func TestAbsentFromAFullListIsGone(t *testing.T) {
 	r := newRig(t, settings())
-	r.feed(List{Kind: ListFull, Entries: []Entry{{Exchange: id(1), Number: 1, Phase: Ready}}})
+	r.feed(ListUpdate{Kind: ListFull, Entries: []Entry{{Exchange: id(1), Number: 1, Phase: Ready}}})
 	if got := sent(r.offer(1, 2)); got != Unknown {
 		t.Fatalf("went to %d, which the list no longer has", got)
 	}
@@ -411,7 +411,7 @@
 func TestColdProcessorGetsItsPart(t *testing.T) {
 	r := newRig(t, settings())
 	warm := coldSends(r, 0, 4, 30*time.Second)
-	r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Phase: Gone, Number: 2},
+	r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Phase: Removed, Number: 2},
 		{Exchange: 2222, Number: 2, Phase: Ready, Started: r.now}}})
 	usual := float64(warm) / 30
 	n := 0
@@ -433,10 +433,10 @@
 	c := New(settings(), 1)
 	nan := math.NaN()
 	for i, ev := range []Event{
-		TimerDue{99}, CallerLeft{5}, Standing{Call: 9}, Ended{Call: 9, Outcome: 77},
-		Reported{Exchange: 1, Report: Report{nan, nan, nan, nan, nan, nan, nan}},
-		List{Kind: ListFailed}, List{Kind: ListFull},
-		List{Kind: ListChanges, Entries: []Entry{{Exchange: 4, Number: 4, Phase: 9}}},
+		TimerExpired{99}, CallerAbandoned{5}, Standing{Call: 9}, AttemptEnded{Call: 9, Outcome: 77},
+		ReportReceived{Exchange: 1, Report: Report{nan, nan, nan, nan, nan, nan, nan}},
+		ListUpdate{Kind: ListFailed}, ListUpdate{Kind: ListFull},
+		ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 4, Number: 4, Phase: 9}}},
 	} {
 		for _, a := range c.Feed(time.Duration(i), ev) {
 			if _, ok := a.(SetUp); ok {
@@ -463,16 +463,16 @@
 		fail   bool
 	}{
 		{"unsafe may have run", RepeatUnsafe, ScopeAll, Cut, false, true},
-		{"unsafe never ran", RepeatUnsafe, ScopeAll, Full, true, false},
+		{"unsafe never ran", RepeatUnsafe, ScopeAll, Rejected, true, false},
 		{"keyed anywhere", RepeatKeyed, ScopeAll, Cut, true, false},
 		{"keyed in one exchange", RepeatKeyed, ScopeExchange, Cut, false, true},
 	} {
 		s := settings()
-		s.Classes[0].Repeat, s.Classes[0].Scope, s.Classes[0].Window = tc.repeat, tc.scope, 5*time.Second
+		s.Classes[0].Repeat, s.Classes[0].KeyScope, s.Classes[0].KeyWindow = tc.repeat, tc.scope, 5*time.Second
 		r := newRig(t, s)
 		r.free(2, 0, 40)
 		first := sent(r.offer(1, 2))
-		acts := append(r.end(1, first, tc.how, TurnedBack), r.run(3*time.Second)...)
+		acts := append(r.end(1, first, tc.how, TandemRejected), r.run(3*time.Second)...)
 		if got := sent(acts) != Unknown; got != tc.again {
 			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.again)
 		}
@@ -518,10 +518,10 @@
 	if !asked(r.acts) {
 		t.Fatal("the list is asked for at the start")
 	}
-	if acts := r.feed(List{Kind: ListFailed}); asked(acts) {
+	if acts := r.feed(ListUpdate{Kind: ListFailed}); asked(acts) {
 		t.Fatal("a failed call is repeated after a while, not at once")
 	}
-	if !asked(r.run(s.MustAskIn)) {
+	if !asked(r.run(s.MaxSubscribeInterval)) {
 		t.Fatal("a failed call must be repeated in time")
 	}
 }
@@ -540,12 +540,12 @@
 // A redial past its aim yields to a new call for the same circuit.
 func TestLateRedialYields(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0.25
+	s.Classes[0].LateValue = 0.25
 	r := newRig(t, s)
 	for _, n := range []int{1, 2, 3} {
 		r.free(n, 0, 40)
 	}
-	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.Number = n } }
+	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.CalledNumber = n } }
 	r.offer(1, 2, number(77))
 	if acts := r.run(1500 * ms); !refused(acts) {
 		t.Fatal("no circuit came: refused")
@@ -656,7 +656,7 @@
 	r := newRig(t, settings())
 	r.free(2, 0, 40)
 	first := sent(r.offer(1, 2))
-	r.end(1, first, Full, TurnedBack)
+	r.end(1, first, Rejected, TandemRejected)
 	r.end(1, 4-first, Busy, LinesBusy)
 	if got := sent(r.offer(2, 2)); got != 4-first {
 		t.Fatalf("next call went to %d, want the other tandem %d", got, 4-first)
@@ -678,7 +678,7 @@
 	r := newRig(t, settings())
 	r.free(2, 0, 40)
 	call, first := CallID(1), sent(r.offer(1, 2))
-	r.end(1, first, Full, TurnedBack)
+	r.end(1, first, Rejected, TandemRejected)
 	r.end(1, 4-first, Busy, LinesBusy)
 	for i := 1; i < turnedCalls; i++ {
 		r.free(4-first, 30, 40)
@@ -698,7 +698,7 @@
 	r := newRig(t, settings())
 	r.free(2, 0, 40)
 	first := sent(r.offer(1, 2))
-	second := sent(r.end(1, first, Full, TurnedBack))
+	second := sent(r.end(1, first, Rejected, TandemRejected))
 	if second != 4-first {
 		t.Fatalf("second choice went to %d", second)
 	}
@@ -713,16 +713,16 @@
 func TestAdvisedTandemIsTheSecondChoice(t *testing.T) {
 	for advised := Unknown; advised <= 5; advised++ {
 		r := newRig(t, settings())
-		r.feed(List{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
+		r.feed(ListUpdate{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
 		r.free(4, 30, 40)
 		r.free(2, 0, 40)
-		plain := sent(r.offer(1, 2, func(o *Offer) { o.Advised = Unknown }))
+		plain := sent(r.offer(1, 2, func(o *Offer) { o.AdvisedTandem = Unknown }))
 		r.end(1, plain, Busy, LinesBusy)
-		first := sent(r.offer(2, 2, func(o *Offer) { o.Advised = advised }))
+		first := sent(r.offer(2, 2, func(o *Offer) { o.AdvisedTandem = advised }))
 		if first != plain {
 			t.Fatalf("advice %d moved the first choice from %d to %d", advised, plain, first)
 		}
-		second := sent(r.end(2, first, Full, TurnedBack))
+		second := sent(r.end(2, first, Rejected, TandemRejected))
 		good := advised == 1 || advised == 3 || advised == 4
 		if good && advised != first && second != advised || second == first || second == 2 || second == Unknown {
 			t.Errorf("advice %d: first choice %d, second %d", advised, first, second)
@@ -759,7 +759,7 @@
 			r.c.far[2].carried(r.c.tandems(r.c.far[2])[0].via)
 		}
 		r.c.atLeast(&r.c.far[2].load, tc.wait)
-		got := sent(r.offer(1, 2, func(o *Offer) { o.Advised = tc.advised }))
+		got := sent(r.offer(1, 2, func(o *Offer) { o.AdvisedTandem = tc.advised }))
 		if (got != Unknown) != tc.goes || tc.advised > 0 && got != tc.advised {
 			t.Errorf("%s: went to %d", tc.name, got)
 		}
@@ -781,8 +781,8 @@
 		if call <= 20 {
 			r.stand(call, to, 50*ms)
 			r.end(call, to, Completed, CauseUnknown)
-		} else if next := sent(r.end(call, to, Full, TurnedBack)); next != Unknown {
-			r.end(call, next, Full, TurnedBack)
+		} else if next := sent(r.end(call, to, Rejected, TandemRejected)); next != Unknown {
+			r.end(call, next, Rejected, TandemRejected)
 		}
 		r.run(turnedFor + time.Second)
 		if got := r.c.carriedShare; call <= 20 && got < before || call > 20 && got >= before {
@@ -797,8 +797,8 @@
 // A redial past its aim stays off the last circuits of its direct group and off tandems.
 func TestMinorCallsStayOffLastCircuitsAndTandems(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0.25
-	again := func(o *Offer) { o.Number = 5 }
+	s.Classes[0].LateValue = 0.25
+	again := func(o *Offer) { o.CalledNumber = 5 }
 	r := newRig(t, s)
 	for n := 1; n < 4; n++ {
 		r.free(n, 0, 40)
@@ -834,7 +834,7 @@
 
 // A number with all lines busy is not tried again at once, by any call; other numbers are.
 func TestBusyNumberIsLeftAlone(t *testing.T) {
-	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.Number = n } }
+	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.CalledNumber = n } }
 	r := newRig(t, settings())
 	r.offer(1, 2, number(9))
 	r.end(1, 2, Busy, LinesBusy)
@@ -873,7 +873,7 @@
 // While answers stay late, trials grow rare, and late redials are never one.
 func TestTrialsGrowRareInADeepJam(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0.25
+	s.Classes[0].LateValue = 0.25
 	r := newRig(t, s)
 	call := CallID(0)
 	for i := 0; i < 9; i++ {
@@ -893,7 +893,7 @@
 	r.c.tries[5] = 0
 	for i := 0; i < 50; i++ {
 		call++
-		if sent(r.offer(call, 1+i%3, func(o *Offer) { o.Number = 5 })) != Unknown {
+		if sent(r.offer(call, 1+i%3, func(o *Offer) { o.CalledNumber = 5 })) != Unknown {
 			t.Fatal("a late redial went as a trial")
 		}
 		r.run(20 * ms)
@@ -931,7 +931,7 @@
 	r.stand(50, 2, 20*ms)
 	var notes []string
 	for _, a := range r.acts {
-		if n, ok := a.(Note); ok {
+		if n, ok := a.(LogLine); ok {
 			notes = append(notes, n.Text)
 		}
 	}
@@ -943,7 +943,7 @@
 // With pools there is no transit: second choices are pools with the skill, and keep a reserve.
 func TestPoolsOfSecondChoice(t *testing.T) {
 	s := settings()
-	s.Own, s.Pools, s.ClassPools = Unknown, true, [][]int{{1, 3}}
+	s.OwnExchange, s.Pools, s.ClassPools = Unknown, true, [][]int{{1, 3}}
 	r := newRig(t, s)
 	r.free(1, 0, 40)
 	if got := sent(r.offer(1, 1)); got != 3 {
@@ -958,7 +958,7 @@
 // What a starting processor's part saves up in an idle while is no burst.
 func TestIdlePartOfAStartingProcessorIsNoBurst(t *testing.T) {
 	r := newRig(t, settings())
-	r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
+	r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
 	r.run(8 * time.Second)
 	n := 0
 	for call := CallID(1); call <= 10; call++ {
@@ -978,7 +978,7 @@
 	for seed := uint64(0); seed < proxies; seed++ {
 		r := newRig(t, settings())
 		r.c = New(settings(), seed)
-		r.feed(List{Kind: ListFull, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
+		r.feed(ListUpdate{Kind: ListFull, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
 		r.free(2, size, size)
 		for call := CallID(1); call <= 4; call++ {
 			r.offer(call, 2)
@@ -999,7 +999,7 @@
 // A proxy that has just started knows no usual rates: the size of the group speaks for them.
 func TestColdProcessorSeenByANewProxy(t *testing.T) {
 	r := newRig(t, settings())
-	r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
+	r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: r.now}}})
 	n := 0
 	for call := CallID(1); call <= 80; call++ {
 		r.free(2, 30, 40)
@@ -1016,11 +1016,11 @@
 // A call that was cut and comes again is worth as much as it was.
 func TestCutCallComesAgainAtFullWorth(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateWorth = 0.25
+	s.Classes[0].LateValue = 0.25
 	r := newRig(t, s)
 	r.free(2, 1, 40)
 	r.c.tries[5] = 0
-	cut := func(o *Offer) { o.Number, o.WasCut = 5, true }
+	cut := func(o *Offer) { o.CalledNumber, o.WasCut = 5, true }
 	if got := sent(r.offer(1, 2, cut)); got != 2 {
 		t.Fatalf("went to %d, want the last circuit", got)
 	}
@@ -1030,8 +1030,8 @@
 func TestGoneProcessorsAreForgotten(t *testing.T) {
 	r := newRig(t, settings())
 	for i := ExchangeID(0); i < 50; i++ {
-		r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: 5000 + i, Number: 2, Phase: Ready, Started: r.now}}})
-		r.feed(List{Kind: ListChanges, Entries: []Entry{{Exchange: 5000 + i, Number: 2, Phase: Gone}}})
+		r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 5000 + i, Number: 2, Phase: Ready, Started: r.now}}})
+		r.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 5000 + i, Number: 2, Phase: Removed}}})
 	}
 	if len(r.c.listed) > 4 {
 		t.Fatalf("%d processors kept, want 4", len(r.c.listed))
@@ -1046,7 +1046,7 @@
 		pressed bool
 	}{{0, false}, {2, false}, {4, false}, {6, true}, {9, true}} {
 		r := newRig(t, settings())
-		var l List
+		var l ListUpdate
 		for i := 4; i < 12; i++ {
 			l.Entries = append(l.Entries, Entry{Exchange: id(i), Number: i, Phase: Ready})
 		}
@@ -1118,7 +1118,7 @@
 		{name: "group of no circuits", size: 0, offer: Offer{Dest: 1, Width: 1}},
 		{name: "NaN report", size: 40, report: Report{Free: nan, Size: nan}, offer: Offer{Dest: 1, Width: 1}},
 		{name: "negative report", size: 40, report: Report{Free: -7, Size: -7}, offer: Offer{Dest: 1, Width: 1}},
-		{name: "worth 0", change: func(s *Settings) { s.Classes[0].Worth = 0 }, size: 40, offer: Offer{Dest: 1, Width: 1}},
+		{name: "worth 0", change: func(s *Settings) { s.Classes[0].Value = 0 }, size: 40, offer: Offer{Dest: 1, Width: 1}},
 	} {
 		s := settings()
 		if tc.change != nil {
@@ -1128,7 +1128,7 @@
 		for n := 1; n < 4; n++ {
 			r.free(n, tc.size, tc.size)
 			if tc.report != (Report{}) {
-				r.feed(Reported{Exchange: id(n), Outcome: Completed, Report: tc.report})
+				r.feed(ReportReceived{Exchange: id(n), Outcome: Completed, Report: tc.report})
 			}
 		}
 		tc.offer.Call, tc.offer.Patience = 1, 3*time.Second
@@ -1142,7 +1142,7 @@
 		}
 		for n := 1; n < 4; n++ {
 			far := r.c.far[n]
-			if p := r.c.pressed(far, time.Second, s.Classes[0].Worth); math.IsNaN(p) || math.IsNaN(far.free) {
+			if p := r.c.pressed(far, time.Second, s.Classes[0].Value); math.IsNaN(p) || math.IsNaN(far.free) {
 				t.Errorf("%s: pressure %v, free %v", tc.name, p, far.free)
 			}
 		}
@@ -1152,7 +1152,7 @@
 // A pair whose group was never told is found to have none at the first attempt, and not tried direct again.
 func TestUntoldGroupIsTriedOnce(t *testing.T) {
 	r := newRig(t, settings())
-	r.feed(List{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
+	r.feed(ListUpdate{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
 	if got := sent(r.offer(1, 4)); got != 4 {
 		t.Fatalf("an untold group is tried first, went to %d", got)
 	}
@@ -1170,7 +1170,7 @@
 		b.Run(fmt.Sprint(exchanges), func(b *testing.B) {
 			c := New(settings(), 7)
 			now := 100 * time.Second
-			var l List
+			var l ListUpdate
 			for i := 0; i < exchanges; i++ {
 				l.Entries = append(l.Entries, Entry{Exchange: id(i), Number: i, Phase: Ready})
 			}
@@ -1178,13 +1178,13 @@
 			for i := 1; i < exchanges; i++ {
 				rep := NoReport
 				rep.Free, rep.Size = 0, 10
-				c.Feed(now, Reported{Exchange: id(i), Outcome: Completed, Report: rep})
+				c.Feed(now, ReportReceived{Exchange: id(i), Outcome: Completed, Report: rep})
 			}
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				now += 100 * ms
-				c.Feed(now, Offer{Call: CallID(i), Patience: 100 * ms, Dest: 1 + i%(exchanges-1), Width: 1, Advised: Unknown})
-				c.Feed(now, TimerDue{tokenTick})
+				c.Feed(now, Offer{Call: CallID(i), Patience: 100 * ms, Dest: 1 + i%(exchanges-1), Width: 1, AdvisedTandem: Unknown})
+				c.Feed(now, TimerExpired{tokenTick})
 			}
 		})
 	}
@@ -1209,8 +1209,8 @@
 
 // A call that ends here goes to the own processor, once, while it is ready; with none it is refused.
 func TestDeliver(t *testing.T) {
-	s := Settings{Own: 0, Deliver: true, Proxies: 2, MaxAttempts: 3, ReleaseGuard: 300 * time.Millisecond,
-		Classes: []Class{{Hold: 10 * time.Second, Width: 1, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}}}
+	s := Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 2, MaxAttempts: 3, ReleaseGuard: 300 * time.Millisecond,
+		Classes: []Class{{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}}}
 	c := New(s, 1)
 	offer := func(id CallID, transit bool) []Action {
 		return c.Feed(time.Second, Offer{Call: id, Dest: 0, Width: 1, Patience: 3 * time.Second, Transit: transit})
@@ -1219,14 +1219,14 @@
 		t.Errorf("without a list: %v", got)
 	}
 	list := func(p Phase) {
-		c.Feed(time.Second, List{Kind: ListFull, Entries: []Entry{{Exchange: 70, Number: 0, Phase: p}}})
+		c.Feed(time.Second, ListUpdate{Kind: ListFull, Entries: []Entry{{Exchange: 70, Number: 0, Phase: p}}})
 	}
 	list(Ready)
 	for id, transit := range map[CallID]bool{2: true, 3: false} {
 		if got := offer(id, transit); len(got) != 1 || got[0].(SetUp).Exchange != 70 {
 			t.Errorf("ready, transit %v: %v", transit, got)
 		}
-		got := c.Feed(time.Second, Ended{Call: id, Exchange: 70, Outcome: Full, Cause: ProcessorFull, Report: NoReport})
+		got := c.Feed(time.Second, AttemptEnded{Call: id, Exchange: 70, Outcome: Rejected, Cause: ProcessorFull, Report: NoReport})
 		if len(got) != 1 || got[0] != (Refuse{Call: id}) {
 			t.Errorf("turned away there: %v", got)
 		}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,8 +10,8 @@
 // A proxy at exchange 0 learns of exchange 1 and of the circuits toward it, and is offered a call.
 func Example() {
 	settings := decide.Settings{
-		Own: 0, Proxies: 2, MaxAttempts: 3,
-		Classes: []decide.Class{{Hold: 12 * time.Second, Width: 1, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}},
+		OwnExchange: 0, Proxies: 2, MaxAttempts: 3,
+		Classes: []decide.Class{{HoldTime: 12 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}},
 	}
 	if err := settings.Validate(); err != nil {
 		fmt.Println(err)
@@ -20,12 +20,12 @@
 	c := decide.New(settings, 42)
 
 	now := 10 * time.Second // the event clock
-	c.Feed(now, decide.List{Kind: decide.ListFull, Entries: []decide.Entry{
+	c.Feed(now, decide.ListUpdate{Kind: decide.ListFull, Entries: []decide.Entry{
 		{Exchange: 7001, Number: 1, Phase: decide.Ready},
 	}})
 	free := decide.NoReport
 	free.Free, free.Size = 12, 40
-	c.Feed(now, decide.Reported{Exchange: 7001, Outcome: decide.Completed, Report: free})
+	c.Feed(now, decide.ReportReceived{Exchange: 7001, Outcome: decide.Completed, Report: free})
 
 	for _, a := range c.Feed(now, decide.Offer{Call: 1, Dest: 1, Width: 1, Patience: 3 * time.Second}) {
 		switch a := a.(type) {
--- a/internal/call/cause.go
+++ b/internal/call/cause.go
@@ -47,17 +47,17 @@
 		return decide.Busy, decide.LinesBusy // it is the number that cannot be reached, whatever the route
 	case NoCircuit, CircuitGone:
 		if tandem {
-			return decide.Full, decide.TurnedBack
+			return decide.Rejected, decide.TandemRejected
 		}
-		return decide.Full, decide.NoCircuit
+		return decide.Rejected, decide.NoCircuit
 	case Congestion, ResourceUnavail:
 		if tandem {
-			return decide.Full, decide.TurnedBackFull
+			return decide.Rejected, decide.TandemRejectedFull
 		}
-		return decide.Full, decide.ProcessorFull
+		return decide.Rejected, decide.ProcessorFull
 	case NoRoute, RoutingError:
 		if tandem {
-			return decide.Full, decide.TurnedBack
+			return decide.Rejected, decide.TandemRejected
 		}
 		return decide.Busy, decide.LinesBusy // the same way once more would end the same
 	}
@@ -76,7 +76,7 @@
 		return TemporaryFail
 	case decide.NotSent:
 		return NoCircuit
-	case decide.Busy, decide.Full:
+	case decide.Busy, decide.Rejected:
 		if cause != 0 && cause != NormalClearing {
 			return cause
 		}
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -106,7 +106,7 @@
 
 // Clock is now on the module's clock, on which 0 is long ago. It runs ahead of the router's by the time that a processor
 // takes to be warm, so that a start shortly before the router's own has a time above 0 on it.
-func (c *Core) Clock(now time.Duration) time.Duration { return now + c.set.Decide.ColdFor + 1 }
+func (c *Core) Clock(now time.Duration) time.Duration { return now + c.set.Decide.ColdDuration + 1 }
 
 // New returns a core without calls. Its settings must be valid.
 func New(s Settings) *Core {
@@ -159,7 +159,7 @@
 
 // SetList takes news of the exchanges. Set-ups that were sent to an exchange now draining or gone and that it
 // has not shown to have are called off when the grace ends: repeats of them would be new to it.
-func (c *Core) SetList(now time.Duration, l decide.List) {
+func (c *Core) SetList(now time.Duration, l decide.ListUpdate) {
 	if l.Kind != decide.ListChanges && l.Kind != decide.ListFailed {
 		named := map[decide.ExchangeID]bool{}
 		for _, e := range l.Entries {
@@ -167,7 +167,7 @@
 		}
 		for _, id := range slices.Sorted(maps.Keys(c.list)) { // in order: two runs agree
 			if x := c.list[id]; !named[id] {
-				x.Phase, x.told = decide.Gone, now
+				x.Phase, x.told = decide.Removed, now
 				c.endGrace(now, id)
 			}
 		}
@@ -204,7 +204,7 @@
 			c.Stats.Withdrawn++
 			c.attemptOver(now, l, decide.TimedOut, decide.CauseUnknown, 0, TimerExpired)
 		}
-		if x := c.list[id]; x != nil && x.Phase == decide.Gone {
+		if x := c.list[id]; x != nil && x.Phase == decide.Removed {
 			delete(c.list, id) // or the list of the dead grows for ever
 		}
 	})
@@ -244,14 +244,14 @@
 func (c *Core) tellCircuits() {
 	c.groups.Changed(func(g *trunk.Group) {
 		if x := c.processorAt(g.Far()); x != nil {
-			c.feed(decide.Reported{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
+			c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
 		}
 	})
-	if x := c.processorAt(c.set.Decide.Own); c.set.Own > 0 && x != nil && (x.Exchange != c.ownTold || c.ownFree != c.ownRoom()) {
+	if x := c.processorAt(c.set.Decide.OwnExchange); c.set.Own > 0 && x != nil && (x.Exchange != c.ownTold || c.ownFree != c.ownRoom()) {
 		c.ownTold, c.ownFree = x.Exchange, c.ownRoom()
 		r := decide.NoReport
 		r.Free, r.Size = float64(c.ownFree), float64(c.set.Own)
-		c.feed(decide.Reported{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
+		c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
 	}
 }
 
@@ -261,7 +261,7 @@
 func (c *Core) processorAt(number int) *listed {
 	var best *listed
 	for _, x := range c.list {
-		if x.Number == number && x.Phase != decide.Gone && (best == nil || x.Exchange < best.Exchange) {
+		if x.Number == number && x.Phase != decide.Removed && (best == nil || x.Exchange < best.Exchange) {
 			best = x
 		}
 	}
@@ -281,12 +281,12 @@
 	case decide.SetUp:
 		c.setUp(now, a)
 	case decide.Refuse:
-		c.finish(now, a.Call, a.StayAway)
+		c.finish(now, a.Call, a.RetryAfter)
 	case decide.Fail:
 		c.finish(now, a.Call, 0)
 	case decide.Timer:
-		c.after(now, a.After, func(time.Duration) { c.feed(decide.TimerDue{Token: a.Token}) })
-	case decide.Subscribe, decide.Note:
+		c.after(now, a.After, func(time.Duration) { c.feed(decide.TimerExpired{Token: a.Token}) })
+	case decide.Subscribe, decide.LogLine:
 		// The registry pushes by itself; notes are the module's log.
 	}
 }
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -31,15 +31,15 @@
 	}
 	s := Settings{Seed: 7, Groups: groups, Plan: plan, Margin: 50 * ms, DrainGrace: time.Second,
 		Patience: []time.Duration{3 * time.Second, 2 * time.Second},
-		Decide: decide.Settings{Own: 0, Deliver: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms, ColdFrom: 0.3,
-			ColdFor: 10 * time.Second, FallMultiple: 3, Classes: []decide.Class{
-				{Hold: 10 * time.Second, Width: 1, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1},
-				{Hold: 7 * time.Second, Width: 1, Aim: time.Second, Deadline: 6 * time.Second, Worth: 5}}}}
+		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms, ColdCapacity: 0.3,
+			ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
+				{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1},
+				{HoldTime: 7 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 6 * time.Second, Value: 5}}}}
 	if err := s.Decide.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	b := &bed{Core: New(s), now: time.Second}
-	l := decide.List{Kind: decide.ListFull}
+	l := decide.ListUpdate{Kind: decide.ListFull}
 	for n := range 4 {
 		l.Entries = append(l.Entries, decide.Entry{Exchange: decide.ExchangeID(100 + n), Number: n, Phase: decide.Ready})
 	}
@@ -233,7 +233,7 @@
 	_, silent := b.offer("15")
 	_, heard := b.offer("16")
 	b.Heard(b.now, heard.Leg)
-	b.SetList(b.now, decide.List{Kind: decide.ListChanges, Entries: []decide.Entry{
+	b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 		{Exchange: 101, Number: 1, Phase: decide.Draining}}})
 	b.pass(900 * ms)
 	var off []Leg
@@ -254,7 +254,7 @@
 	for c := range Cause(128) {
 		direct, why := outcome(c, false)
 		tandem, twhy := outcome(c, true)
-		if direct == decide.Full && why == decide.CauseUnknown || direct == decide.Completed || tandem == decide.Completed {
+		if direct == decide.Rejected && why == decide.CauseUnknown || direct == decide.Completed || tandem == decide.Completed {
 			t.Errorf("cause %d: %v %v, %v %v", c, direct, why, tandem, twhy)
 		}
 		// What reads as a refusal at one router must not reach the caller as a failure.
@@ -390,9 +390,9 @@
 				b.Closed(b.now, open[0])
 				open = open[1:]
 			case what == 6:
-				phase := rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining, decide.Gone}).Draw(t, "phase")
+				phase := rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "phase")
 				number := rapid.IntRange(0, 3).Draw(t, "exchange")
-				b.SetList(b.now, decide.List{Kind: decide.ListChanges, Entries: []decide.Entry{
+				b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 					{Exchange: decide.ExchangeID(100 + number), Number: number, Phase: phase}}})
 			default:
 				until := b.now + time.Duration(rapid.IntRange(1, 900).Draw(t, "ms"))*ms
--- a/internal/call/flow.go
+++ b/internal/call/flow.go
@@ -32,7 +32,7 @@
 		return turn(Congestion, "no records can be kept now")
 	case c.set.MaxCalls > 0 && len(c.calls) >= c.set.MaxCalls:
 		return turn(Congestion, "too many calls")
-	case over && dest != c.set.Decide.Own && r.Passed:
+	case over && dest != c.set.Decide.OwnExchange && r.Passed:
 		return turn(RoutingError, "passed on twice")
 	}
 	if over {
@@ -53,8 +53,8 @@
 	c.calls[k.id] = k
 	c.Stats.Offered++
 	c.queue.Set(&k.watch, k.deadline+c.set.Margin/2)
-	c.feed(decide.Offer{Call: k.id, Class: class, Tenant: tenant, Number: numberKey(r.Called),
-		Patience: patience, Dest: dest, Advised: decide.Unknown, Width: width, Transit: over})
+	c.feed(decide.Offer{Call: k.id, Class: class, Tenant: tenant, CalledNumber: numberKey(r.Called),
+		Patience: patience, Dest: dest, AdvisedTandem: decide.Unknown, Width: width, Transit: over})
 	c.run(now)
 	return in.id
 }
@@ -72,7 +72,7 @@
 // standingOver.
 func (c *Core) setUp(now time.Duration, a decide.SetUp) {
 	k := c.calls[a.Call]
-	ended := decide.Ended{Call: a.Call, Exchange: a.Exchange, Outcome: decide.NotSent, Report: decide.NoReport}
+	ended := decide.AttemptEnded{Call: a.Call, Exchange: a.Exchange, Outcome: decide.NotSent, Report: decide.NoReport}
 	if k == nil || k.stood || k.out != nil {
 		c.Stats.Faults++
 		ended.Concluded = k == nil || k.stood
@@ -93,7 +93,7 @@
 		return
 	}
 	var g *trunk.Group
-	if x.Number != c.set.Decide.Own {
+	if x.Number != c.set.Decide.OwnExchange {
 		g = c.groups.Group(x.Number)
 		if g == nil || !g.Seize(k.width) {
 			ended.Cause, ended.Report = decide.NoCircuit, c.report(g)
@@ -116,7 +116,7 @@
 	}
 	c.queue.Set(&k.limit, limit)
 	r := k.request
-	r.Passed = k.transit && x.Number != c.set.Decide.Own
+	r.Passed = k.transit && x.Number != c.set.Decide.OwnExchange
 	c.out(Output{Kind: Connect, Leg: l.id, Exchange: a.Exchange, Request: r})
 }
 
@@ -262,7 +262,7 @@
 	c.detach(l, release)
 	c.queue.Stop(&k.limit)
 	k.last, k.cause = o, cause
-	c.feed(decide.Ended{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: o, Cause: why,
+	c.feed(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: o, Cause: why,
 		Took: now - l.sent, Report: c.report(l.group)})
 }
 
@@ -280,7 +280,7 @@
 
 // callerLeft ends a call whose caller hung up before any answer.
 func (c *Core) callerLeft(now time.Duration, k *call, cause Cause) {
-	c.feed(decide.CallerLeft{Call: k.id})
+	c.feed(decide.CallerAbandoned{Call: k.id})
 	c.cancel(now, k)
 	c.detach(k.in, 0)
 	known := ByCaller
@@ -298,7 +298,7 @@
 	}
 	l.tell(now, decide.Cancelled, 0)
 	c.detach(l, NormalClearing)
-	c.feed(decide.Ended{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: decide.Cancelled,
+	c.feed(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: decide.Cancelled,
 		Took: now - l.sent, Concluded: true, Report: c.report(l.group)})
 }
 
@@ -319,7 +319,7 @@
 	k.tried[out.tried].Took = k.answered - out.sent
 	c.detach(by, 0)
 	c.detach(other, max(cause, NormalClearing))
-	c.feed(decide.Ended{Call: k.id, Attempt: out.attempt, Exchange: out.exchange, Outcome: o,
+	c.feed(decide.AttemptEnded{Call: k.id, Attempt: out.attempt, Exchange: out.exchange, Outcome: o,
 		Took: now - out.sent, Concluded: true, Report: c.report(out.group)})
 	c.over(now, k, end, cause, known)
 }
@@ -365,7 +365,7 @@
 		return
 	}
 	c.Stats.Overdue++
-	c.feed(decide.CallerLeft{Call: k.id})
+	c.feed(decide.CallerAbandoned{Call: k.id})
 	c.cancel(now, k)
 	c.detach(k.in, 0)
 	c.out(Output{Kind: Release, Leg: k.in.id, Cause: TimerExpired})
--- a/internal/cdr/cdr_test.go
+++ b/internal/cdr/cdr_test.go
@@ -39,14 +39,14 @@
 	return rapid.Custom(func(t *rapid.T) Record {
 		r := Record{ID: ID{rapid.Uint32().Draw(t, "router"), rapid.Uint32().Draw(t, "life"), rapid.Uint64().Draw(t, "call")},
 			Version: rapid.Uint16().Draw(t, "version"), End: End(rapid.Byte().Draw(t, "end")), Cause: rapid.Byte().Draw(t, "cause"),
-			Known: Known(rapid.Byte().Draw(t, "known")), Class: text.Draw(t, "class"), Tenant: text.Draw(t, "tenant"),
+			EndSource: EndSource(rapid.Byte().Draw(t, "known")), Class: text.Draw(t, "class"), Tenant: text.Draw(t, "tenant"),
 			Called: text.Draw(t, "called"), Calling: text.Draw(t, "calling"), User: text.Draw(t, "user"), Context: text.Draw(t, "context"),
 			Front: text.Draw(t, "front"), Circuit: rapid.Int().Draw(t, "circuit"), Origin: rapid.Int().Draw(t, "origin"),
 			Dest: rapid.Int().Draw(t, "dest"), Transit: rapid.Bool().Draw(t, "transit"), Width: rapid.Int().Draw(t, "width"),
-			Offered: when.Draw(t, "offered"), Answered: when.Draw(t, "answered"), Ended: when.Draw(t, "ended"), Seen: when.Draw(t, "seen"),
-			SetUp: time.Duration(rapid.Int64().Draw(t, "setup")), Length: time.Duration(rapid.Int64().Draw(t, "length")),
-			Stepped: time.Duration(rapid.Int64().Draw(t, "stepped")),
-			Charge:  Charge{text.Draw(t, "tariff"), text.Draw(t, "amount"), text.Draw(t, "currency"), time.Duration(rapid.Int64().Draw(t, "billed")), text.Draw(t, "note")}}
+			Offered: when.Draw(t, "offered"), Answered: when.Draw(t, "answered"), Ended: when.Draw(t, "ended"), LastSeen: when.Draw(t, "seen"),
+			SetUp: time.Duration(rapid.Int64().Draw(t, "setup")), Duration: time.Duration(rapid.Int64().Draw(t, "length")),
+			ClockStep: time.Duration(rapid.Int64().Draw(t, "stepped")),
+			Charge:    Charge{text.Draw(t, "tariff"), text.Draw(t, "amount"), text.Draw(t, "currency"), time.Duration(rapid.Int64().Draw(t, "billed")), text.Draw(t, "note")}}
 		for range rapid.IntRange(0, 3).Draw(t, "attempts") {
 			r.Attempts = append(r.Attempts, Attempt{rapid.Int().Draw(t, "to"), rapid.Bool().Draw(t, "tandem"), text.Draw(t, "by"),
 				rapid.Int().Draw(t, "cic"), time.Duration(rapid.Int64().Draw(t, "after")), time.Duration(rapid.Int64().Draw(t, "took")),
@@ -110,9 +110,9 @@
 	base := time.Date(2026, 12, 1, 23, 59, 0, 0, time.UTC)
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -49 * time.Millisecond, 0} {
 		var c Clock
-		c.Look(0, base)
-		c.Look(10*time.Second, base.Add(10*time.Second))
-		c.Look(20*time.Second, base.Add(20*time.Second+step))
+		c.Observe(0, base)
+		c.Observe(10*time.Second, base.Add(10*time.Second))
+		c.Observe(20*time.Second, base.Add(20*time.Second+step))
 		if got := c.At(5 * time.Second); !got.Equal(base.Add(5 * time.Second)) {
 			t.Errorf("step %v: before it %v", step, got)
 		}
@@ -120,13 +120,13 @@
 		if step > -stepAt && step < stepAt {
 			want = 0
 		}
-		if got := c.Stepped(5*time.Second, 25*time.Second); got != want {
+		if got := c.Step(5*time.Second, 25*time.Second); got != want {
 			t.Errorf("step %v: %v seen", step, got)
 		}
 	}
 	var c Clock
 	for i := range 10 * keptSteps {
-		c.Look(time.Duration(i)*time.Second, base.Add(time.Duration(i%2)*time.Hour))
+		c.Observe(time.Duration(i)*time.Second, base.Add(time.Duration(i%2)*time.Hour))
 	}
 	if len(c.steps) > keptSteps {
 		t.Errorf("%d steps kept", len(c.steps))
@@ -191,7 +191,7 @@
 		{"through the hour that is missing", "status", "2026-10-04 01:30:00", 2 * time.Hour, 1, "7.2000", ""},
 		{"friday's night through no change", "night", "2026-10-02 22:00:00", 8 * time.Hour, 1, "480.0000", ""},
 	} {
-		r := &Record{Class: c.class, Width: c.width, Offered: at(c.from), Answered: at(c.from), Length: c.length}
+		r := &Record{Class: c.class, Width: c.width, Offered: at(c.from), Answered: at(c.from), Duration: c.length}
 		got := tar.Rate(r)
 		if got.Amount != c.want || got.Note != c.note || got.Rated() != (c.want != "") {
 			t.Errorf("%s: %+v, want %q %q", c.name, got, c.want, c.note)
@@ -212,7 +212,7 @@
 		length := time.Duration(rapid.Int64Range(2, 3*86400).Draw(t, "s")) * time.Second
 		cut := time.Duration(rapid.Int64Range(1, int64(length/time.Second)-1).Draw(t, "cut")) * time.Second
 		cost := func(at time.Time, d time.Duration) *big.Rat {
-			c := tar.Rate(&Record{Class: "status", Width: 1, Answered: at, Length: d})
+			c := tar.Rate(&Record{Class: "status", Width: 1, Answered: at, Duration: d})
 			r, ok := new(big.Rat).SetString(c.Amount)
 			if !ok {
 				t.Fatalf("%+v", c)
@@ -234,11 +234,11 @@
 		}
 	}
 	for _, bad := range []string{"", "8-18", "08:00", "08:00-25:00", "08:60-09:00", "09:00-09:00", "08:00-18:00-20:00"} {
-		if _, _, err := ParseBetween(bad); err == nil {
+		if _, _, err := ParseHours(bad); err == nil {
 			t.Errorf("hours %q are read", bad)
 		}
 	}
-	if from, to, err := ParseBetween("22:00-24:00"); err != nil || from != 22*60 || to != 0 {
+	if from, to, err := ParseHours("22:00-24:00"); err != nil || from != 22*60 || to != 0 {
 		t.Errorf("%d %d %v", from, to, err)
 	}
 }
@@ -256,7 +256,7 @@
 
 func BenchmarkRate(b *testing.B) {
 	tar := testTariffs(b)
-	r := &Record{Class: "status", Width: 1, Answered: time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC), Length: 12 * time.Second}
+	r := &Record{Class: "status", Width: 1, Answered: time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC), Duration: 12 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
 		tar.Rate(r)
--- a/internal/cdr/clock.go
+++ b/internal/cdr/clock.go
@@ -20,8 +20,8 @@
 	zero time.Time     // what the wall clock would have shown at 0
 }
 
-// Look notes what the wall clock shows now; to be called often, at least before each record is made.
-func (c *Clock) Look(now time.Duration, wall time.Time) {
+// Observe notes what the wall clock shows now; to be called often, at least before each record is made.
+func (c *Clock) Observe(now time.Duration, wall time.Time) {
 	zero := wall.Round(0).Add(-now)
 	if n := len(c.steps); n > 0 {
 		if d := zero.Sub(c.steps[n-1].zero); d < stepAt && d > -stepAt {
@@ -47,7 +47,7 @@
 	return c.steps[0].zero.Add(t).UTC()
 }
 
-// Stepped is by how much the wall clock was set between two moments.
-func (c *Clock) Stepped(from, to time.Duration) time.Duration {
+// Step is by how much the wall clock was set between two moments.
+func (c *Clock) Step(from, to time.Duration) time.Duration {
 	return c.At(to).Sub(c.At(from)) - (to - from)
 }
--- a/internal/cdr/codec.go
+++ b/internal/cdr/codec.go
@@ -14,9 +14,9 @@
 
 // Errors of Decode.
 var (
-	ErrChecksum = errors.New("checksum does not fit")
-	ErrLayout   = errors.New("written in a later layout")
-	ErrShort    = errors.New("cut short")
+	ErrChecksum      = errors.New("checksum does not fit")
+	ErrUnknownLayout = errors.New("written in a later layout")
+	ErrTruncated     = errors.New("cut short")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -27,17 +27,17 @@
 	b = append(b, layout)
 	b = r.ID.encode(b)
 	b = binary.AppendUvarint(b, uint64(r.Version))
-	b = append(b, byte(r.End), r.Cause, byte(r.Known), flag(r.Transit))
+	b = append(b, byte(r.End), r.Cause, byte(r.EndSource), flag(r.Transit))
 	for _, s := range [...]string{r.Class, r.Tenant, r.Called, r.Calling, r.User, r.Context, r.Front} {
 		b = putString(b, s)
 	}
 	for _, n := range [...]int{r.Circuit, r.Origin, r.Dest, r.Width} {
 		b = binary.AppendVarint(b, int64(n))
 	}
-	for _, t := range [...]time.Time{r.Offered, r.Answered, r.Ended, r.Seen} {
+	for _, t := range [...]time.Time{r.Offered, r.Answered, r.Ended, r.LastSeen} {
 		b = putTime(b, t)
 	}
-	for _, d := range [...]time.Duration{r.SetUp, r.Length, r.Stepped} {
+	for _, d := range [...]time.Duration{r.SetUp, r.Duration, r.ClockStep} {
 		b = binary.AppendVarint(b, int64(d))
 	}
 	b = binary.AppendUvarint(b, uint64(len(r.Attempts)))
@@ -60,7 +60,7 @@
 
 func (id ID) encode(b []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, id.Router)
-	b = binary.BigEndian.AppendUint32(b, id.Life)
+	b = binary.BigEndian.AppendUint32(b, id.Incarnation)
 	return binary.BigEndian.AppendUint64(b, id.Call)
 }
 
@@ -154,14 +154,14 @@
 // Decode reads an encoded record; it takes all of b.
 func Decode(b []byte) (*Record, error) {
 	if len(b) < 5 {
-		return nil, ErrShort
+		return nil, ErrTruncated
 	}
 	body := b[:len(b)-4]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(b)-4:]) {
 		return nil, ErrChecksum
 	}
 	if body[0] != layout {
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrLayout, body[0], layout)
+		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrUnknownLayout, body[0], layout)
 	}
 	d := &reader{b: body[1:]}
 	r := &Record{}
@@ -169,17 +169,17 @@
 		r.ID = decodeID(id)
 	}
 	r.Version = uint16(d.unsigned())
-	r.End, r.Cause, r.Known, r.Transit = End(d.byte()), d.byte(), Known(d.byte()), d.byte() != 0
+	r.End, r.Cause, r.EndSource, r.Transit = End(d.byte()), d.byte(), EndSource(d.byte()), d.byte() != 0
 	for _, s := range [...]*string{&r.Class, &r.Tenant, &r.Called, &r.Calling, &r.User, &r.Context, &r.Front} {
 		*s = d.string()
 	}
 	for _, n := range [...]*int{&r.Circuit, &r.Origin, &r.Dest, &r.Width} {
 		*n = int(d.signed())
 	}
-	for _, t := range [...]*time.Time{&r.Offered, &r.Answered, &r.Ended, &r.Seen} {
+	for _, t := range [...]*time.Time{&r.Offered, &r.Answered, &r.Ended, &r.LastSeen} {
 		*t = d.time()
 	}
-	for _, n := range [...]*time.Duration{&r.SetUp, &r.Length, &r.Stepped} {
+	for _, n := range [...]*time.Duration{&r.SetUp, &r.Duration, &r.ClockStep} {
 		*n = time.Duration(d.signed())
 	}
 	for n := d.unsigned(); n > 0 && !d.bad; n-- {
@@ -194,7 +194,7 @@
 	}
 	c.Billed = time.Duration(d.signed())
 	if d.bad || len(d.b) != 0 {
-		return nil, ErrShort
+		return nil, ErrTruncated
 	}
 	return r, nil
 }
--- a/internal/cdr/export.go
+++ b/internal/cdr/export.go
@@ -22,15 +22,15 @@
 	Confirmed              // the target has said that it holds all of it
 )
 
-// Sending is one batch on its way to one target. It is kept before the first byte leaves: what is sent again after a
+// Delivery is one batch on its way to one target. It is kept before the first byte leaves: what is sent again after a
 // crash is the same batch under the same number.
-type Sending struct {
+type Delivery struct {
 	Manifest
 	Stage       Stage     `json:"stage"`
 	PlannedAt   time.Time `json:"planned_at"`
 	ConfirmedAt time.Time `json:"confirmed_at,omitzero"`
-	Where       string    `json:"where,omitempty"` // what the target calls it: an upload's address
-	Tries       int       `json:"tries"`
+	Location    string    `json:"where,omitempty"` // what the target calls it: an upload's address
+	Attempts    int       `json:"tries"`
 }
 
 // targetState is what is kept of a target beside its batches.
@@ -43,27 +43,27 @@
 
 // ExportSettings set an Export.
 type ExportSettings struct {
-	Target   string // its name in the store
-	Router   uint32
-	Format   Format
-	Most     int           // records of one batch
-	Least    int           // fewer wait for more,
-	Wait     time.Duration // for so long at the most
-	FirstTry time.Duration // pause after a failed try, doubling
-	LastTry  time.Duration // up to this
-	Keep     int           // states of confirmed batches that are kept for Verify
+	Target        string // its name in the store
+	Router        uint32
+	Format        Format
+	MaxRecords    int           // records of one batch
+	MinRecords    int           // fewer wait for more,
+	MaxWait       time.Duration // for so long at the most
+	MinRetryDelay time.Duration // pause after a failed try, doubling
+	MaxRetryDelay time.Duration // up to this
+	KeepBatches   int           // states of confirmed batches that are kept for Verify
 }
 
 // Export decides which records go to a target in which batch and when it is tried again. It does no I/O.
 type Export struct {
-	set   ExportSettings
-	keep  Keeper
-	state targetState
-	now   *Sending // being sent, nil if none
-	next  time.Time
-	pause time.Duration
-	since time.Time // records wait for a batch since
-	Fails uint64
+	set      ExportSettings
+	keep     Store
+	state    targetState
+	now      *Delivery // being sent, nil if none
+	next     time.Time
+	pause    time.Duration
+	since    time.Time // records wait for a batch since
+	Failures uint64
 }
 
 func (s *ExportSettings) key(batch uint64) []byte {
@@ -72,7 +72,7 @@
 }
 
 // OpenExport reads how far an export came.
-func OpenExport(k Keeper, s ExportSettings) (*Export, error) {
+func OpenExport(k Store, s ExportSettings) (*Export, error) {
 	e := &Export{set: s, keep: k}
 	v, found, err := k.Get(s.key(0))
 	if err == nil && found {
@@ -93,12 +93,12 @@
 }
 
 // Batch reads the state of a batch.
-func (e *Export) Batch(n uint64) (*Sending, error) {
+func (e *Export) Batch(n uint64) (*Delivery, error) {
 	v, found, err := e.keep.Get(e.set.key(n))
 	if err == nil && !found {
 		err = errors.New("its state is gone")
 	}
-	var s Sending
+	var s Delivery
 	if err == nil {
 		err = json.Unmarshal(v, &s)
 	}
@@ -108,7 +108,7 @@
 	return &s, nil
 }
 
-func (e *Export) save(b Batch) {
+func (e *Export) save(b WriteBatch) {
 	put := func(n uint64, v any) {
 		text, err := json.Marshal(v)
 		if err != nil {
@@ -122,19 +122,19 @@
 	put(0, e.state)
 }
 
-// Done is the last number that the target has confirmed.
-func (e *Export) Done() uint64 { return e.state.Done }
+// LastConfirmed is the last number that the target has confirmed.
+func (e *Export) LastConfirmed() uint64 { return e.state.Done }
 
-// Batches is how many batches were made.
-func (e *Export) Batches() uint64 { return e.state.Batches }
+// BatchCount is how many batches were made.
+func (e *Export) BatchCount() uint64 { return e.state.Batches }
 
-// Oldest is the first batch whose state is still kept.
-func (e *Export) Oldest() uint64 { return max(1, e.state.Oldest) }
+// OldestBatch is the first batch whose state is still kept.
+func (e *Export) OldestBatch() uint64 { return max(1, e.state.Oldest) }
 
 // Next returns the batch to be sent now, or nil and when to ask again. A batch that was begun comes first, always the
 // same; a new one is put into b, which must be durable before anything of it is sent. last is the last number of the
 // ledger, flush makes a batch of however few there are.
-func (e *Export) Next(now time.Time, last uint64, flush bool, b Batch) (*Sending, []byte, time.Time, error) {
+func (e *Export) Next(now time.Time, last uint64, flush bool, b WriteBatch) (*Delivery, []byte, time.Time, error) {
 	if now.Before(e.next) && !flush {
 		return nil, nil, e.next, nil
 	}
@@ -142,12 +142,12 @@
 		waiting := last - min(last, e.state.To)
 		if waiting == 0 {
 			e.since = time.Time{}
-			return nil, nil, now.Add(e.set.Wait), nil
+			return nil, nil, now.Add(e.set.MaxWait), nil
 		}
 		if e.since.IsZero() {
 			e.since = now
 		}
-		if ripe := e.since.Add(e.set.Wait); waiting < uint64(e.set.Least) && now.Before(ripe) && !flush {
+		if ripe := e.since.Add(e.set.MaxWait); waiting < uint64(e.set.MinRecords) && now.Before(ripe) && !flush {
 			return nil, nil, ripe, nil
 		}
 		e.plan(now, last)
@@ -166,8 +166,8 @@
 
 func (e *Export) plan(now time.Time, last uint64) {
 	n := e.state.Batches + 1
-	e.now = &Sending{PlannedAt: now, Manifest: Manifest{Batch: n, Format: e.set.Format, Router: e.set.Router,
-		File: BatchName(e.set.Router, n, e.set.Format), From: e.state.To + 1, To: min(last, e.state.To+uint64(e.set.Most))}}
+	e.now = &Delivery{PlannedAt: now, Manifest: Manifest{Batch: n, Format: e.set.Format, Router: e.set.Router,
+		File: BatchName(e.set.Router, n, e.set.Format), From: e.state.To + 1, To: min(last, e.state.To+uint64(e.set.MaxRecords))}}
 }
 
 // fill reads a new batch's records and completes its manifest.
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	m := &e.now.Manifest
-	m.Count, m.Missing, m.Bytes, m.SHA256 = len(records), missing, buf.Len(), Sum(buf.Bytes())
+	m.Count, m.Missing, m.Bytes, m.SHA256 = len(records), missing, buf.Len(), Checksum(buf.Bytes())
 	if len(records) > 0 {
 		m.FirstID, m.LastID = records[0].ID.String(), records[len(records)-1].ID.String()
 	}
@@ -202,28 +202,28 @@
 	return content, nil
 }
 
-// Placed notes what the target calls the batch, before its bytes go.
-func (e *Export) Placed(where string, b Batch) {
-	e.now.Where = where
+// MarkPlaced notes what the target calls the batch, before its bytes go.
+func (e *Export) MarkPlaced(where string, b WriteBatch) {
+	e.now.Location = where
 	e.save(b)
 }
 
-// Failed notes that a try came to nothing; the batch is tried again later.
-func (e *Export) Failed(now time.Time, b Batch) {
-	e.Fails++
-	e.pause = min(max(2*e.pause, e.set.FirstTry), e.set.LastTry)
+// MarkFailed notes that a try came to nothing; the batch is tried again later.
+func (e *Export) MarkFailed(now time.Time, b WriteBatch) {
+	e.Failures++
+	e.pause = min(max(2*e.pause, e.set.MinRetryDelay), e.set.MaxRetryDelay)
 	e.next = now.Add(e.pause)
 	if e.now != nil {
-		e.now.Tries++
+		e.now.Attempts++
 		e.save(b)
 	}
 }
 
-// Confirm notes that the target holds the whole batch.
-func (e *Export) Confirm(now time.Time, b Batch) {
+// MarkConfirmed notes that the target holds the whole batch.
+func (e *Export) MarkConfirmed(now time.Time, b WriteBatch) {
 	e.now.Stage, e.now.ConfirmedAt = Confirmed, now
 	e.state.Done, e.pause, e.next = e.now.To, 0, time.Time{}
-	if old := e.Oldest(); e.set.Keep > 0 && e.state.Batches >= old+uint64(e.set.Keep) {
+	if old := e.OldestBatch(); e.set.KeepBatches > 0 && e.state.Batches >= old+uint64(e.set.KeepBatches) {
 		b.Delete(e.set.key(old))
 		e.state.Oldest = old + 1
 	}
@@ -232,9 +232,9 @@
 }
 
 // ReadRange reads the records of a range of numbers; missing are those that are gone or cannot be read.
-func ReadRange(k Keeper, from, to uint64) (records []*Record, missing []uint64, err error) {
+func ReadRange(k Store, from, to uint64) (records []*Record, missing []uint64, err error) {
 	for n := from; n <= to; n++ {
-		r, found, err := Read(k, n)
+		r, found, err := ReadRecord(k, n)
 		if err != nil || !found {
 			missing = append(missing, n)
 			continue
--- a/internal/cdr/files.go
+++ b/internal/cdr/files.go
@@ -82,10 +82,10 @@
 		route = append(route, fmt.Sprintf("%d:%s", a.Exchange, a.Outcome))
 	}
 	c := &r.Charge
-	return row{r.ID.String(), int32(r.Version), r.End.String(), int32(r.Cause), r.Known.String(), r.Class, r.Tenant, r.Called,
+	return row{r.ID.String(), int32(r.Version), r.End.String(), int32(r.Cause), r.EndSource.String(), r.Class, r.Tenant, r.Called,
 		r.Calling, r.User, r.Context, r.Front, int32(r.Circuit), int32(r.Origin), int32(r.Dest), r.Transit, int32(r.Width),
-		stampOf(r.Offered), stampOf(r.Answered), stampOf(r.Ended), stampOf(r.Seen), r.SetUp.Seconds(), r.Length.Seconds(),
-		r.Stepped.Seconds(), strings.Join(route, " "), c.Tariff, c.Amount, c.Currency, c.Billed.Seconds(), c.Note}
+		stampOf(r.Offered), stampOf(r.Answered), stampOf(r.Ended), stampOf(r.LastSeen), r.SetUp.Seconds(), r.Duration.Seconds(),
+		r.ClockStep.Seconds(), strings.Join(route, " "), c.Tariff, c.Amount, c.Currency, c.Billed.Seconds(), c.Note}
 }
 
 func (r row) fields() []string {
@@ -168,8 +168,8 @@
 	return &m, nil
 }
 
-// Sum is a file's checksum as manifests tell it.
-func Sum(b []byte) string {
+// Checksum is a file's checksum as manifests tell it.
+func Checksum(b []byte) string {
 	s := sha256.Sum256(b)
 	return hex.EncodeToString(s[:])
 }
--- a/internal/cdr/ledger.go
+++ b/internal/cdr/ledger.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Keeper reads what is kept. A value is the callback's only during the call.
-type Keeper interface {
+// Store reads what is kept. A value is the callback's only during the call.
+type Store interface {
 	Get(key []byte) (value []byte, found bool, err error)
 	Scan(prefix, from []byte, f func(key, value []byte) error) error
 	Last(prefix []byte) (key, value []byte, found bool, err error)
 }
 
-// Batch takes changes that come to be together or not at all.
-type Batch interface {
+// WriteBatch takes changes that come to be together or not at all.
+type WriteBatch interface {
 	Set(key, value []byte)
 	Delete(key []byte)
 }
@@ -35,8 +35,8 @@
 	keyTrimmed   = "t" // the last number that was deleted after its export
 )
 
-// NumberKey is where the record with a number lies.
-func NumberKey(n uint64) []byte { return binary.BigEndian.AppendUint64([]byte{prefixNumber}, n) }
+// RecordKey is where the record with a number lies.
+func RecordKey(n uint64) []byte { return binary.BigEndian.AppendUint64([]byte{prefixNumber}, n) }
 
 // IDKey is where the number of a version of a call's record lies.
 func IDKey(id ID, version uint16) []byte {
@@ -49,7 +49,7 @@
 
 // Item is one thing to be written: an answered call's mark, or a call's record.
 type Item struct {
-	Began  bool
+	Open   bool
 	Record Record
 }
 
@@ -57,7 +57,7 @@
 // that is durable it counts, and a batch that came to nothing must be followed by a new Ledger. It is not safe for
 // concurrent use.
 type Ledger struct {
-	keep   Keeper
+	keep   Store
 	router uint32
 	life   uint32
 	last   uint64 // the last number given
@@ -66,11 +66,11 @@
 	resume []byte // where Recover goes on: what lies before is closed, and would be walked through again
 }
 
-// ErrNumbers says that the store's numbers contradict each other.
-var ErrNumbers = errors.New("numbers of records contradict each other")
+// ErrNumberConflict says that the store's numbers contradict each other.
+var ErrNumberConflict = errors.New("numbers of records contradict each other")
 
 // OpenLedger reads how far earlier lives came. Begin has to be committed before anything else is.
-func OpenLedger(k Keeper, router uint32, rater Rater) (*Ledger, error) {
+func OpenLedger(k Store, router uint32, rater Rater) (*Ledger, error) {
 	l := &Ledger{keep: k, router: router, rater: rater}
 	var err error
 	if _, l.last, err = numbers(k); err != nil {
@@ -92,8 +92,8 @@
 
 // numbers are the first and the last number that the store should hold a record under; the first is above the last
 // where it holds none.
-func numbers(k Keeper) (first, last uint64, err error) {
-	trimmed, err := Trimmed(k)
+func numbers(k Store) (first, last uint64, err error) {
+	trimmed, err := LastTrimmed(k)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -105,44 +105,44 @@
 	return trimmed + 1, last, err
 }
 
-// Begin starts a new life.
-func (l *Ledger) Begin(b Batch, wall time.Time) {
+// StartIncarnation starts a new life.
+func (l *Ledger) StartIncarnation(b WriteBatch, wall time.Time) {
 	l.life++
 	b.Set(lifeKey(l.life), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, uint64(wall.UnixNano())), l.last))
 }
 
-// Life is the present one.
-func (l *Ledger) Life() uint32 { return l.life }
+// Incarnation is the present one.
+func (l *Ledger) Incarnation() uint32 { return l.life }
 
-// Last is the last number given.
-func (l *Ledger) Last() uint64 { return l.last }
+// LastNumber is the last number given.
+func (l *Ledger) LastNumber() uint64 { return l.last }
 
 // ID names the how-manieth call of the present life.
 func (l *Ledger) ID(call uint64) ID { return ID{l.router, l.life, call} }
 
-// Alive notes that this life runs: what of it stands when it is killed stood until then at least.
-func (l *Ledger) Alive(b Batch, wall time.Time) {
+// Heartbeat notes that this life runs: what of it stands when it is killed stood until then at least.
+func (l *Ledger) Heartbeat(b WriteBatch, wall time.Time) {
 	b.Set([]byte(keyAlive), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, l.life), uint64(wall.UnixNano())))
 }
 
 // Put writes items in order.
-func (l *Ledger) Put(b Batch, items []Item) {
+func (l *Ledger) Put(b WriteBatch, items []Item) {
 	for i := range items {
 		r := &items[i].Record
-		if items[i].Began {
+		if items[i].Open {
 			l.buf = r.Encode(l.buf[:0])
 			b.Set(markKey(r.ID), l.buf)
 			continue
 		}
 		l.put(b, r)
-		if !r.Answered.IsZero() || r.End == Left {
+		if !r.Answered.IsZero() || r.End == Abandoned {
 			b.Delete(markKey(r.ID)) // a caller may have left between the answer's mark and the answer
 		}
 	}
 }
 
 // put writes a first version under the next number.
-func (l *Ledger) put(b Batch, r *Record) {
+func (l *Ledger) put(b WriteBatch, r *Record) {
 	r.Version = 1
 	if l.rater != nil {
 		r.Charge = l.rater.Rate(r)
@@ -150,10 +150,10 @@
 	l.number(b, r)
 }
 
-func (l *Ledger) number(b Batch, r *Record) {
+func (l *Ledger) number(b WriteBatch, r *Record) {
 	l.last++
 	l.buf = r.Encode(l.buf[:0])
-	b.Set(NumberKey(l.last), l.buf)
+	b.Set(RecordKey(l.last), l.buf)
 	b.Set(IDKey(r.ID, r.Version), binary.BigEndian.AppendUint64(nil, l.last))
 }
 
@@ -171,7 +171,7 @@
 // returns 0; new calls may be taken meanwhile, under numbers of their own.
 //
 // Marks that cannot be read are told to damaged and taken out; what is left of them is the id.
-func (l *Ledger) Recover(b Batch, limit int, damaged func(id ID, err error)) (closed int, err error) {
+func (l *Ledger) Recover(b WriteBatch, limit int, damaged func(id ID, err error)) (closed int, err error) {
 	seen := map[uint32]time.Time{}
 	err = l.keep.Scan([]byte{prefixMark}, l.resume, func(key, value []byte) error {
 		if len(key) != 1+idSize {
@@ -179,7 +179,7 @@
 		}
 		l.resume = append(l.resume[:0], key...)
 		id := decodeID(key[1:])
-		if id.Life == l.life {
+		if id.Incarnation == l.life {
 			return nil
 		}
 		if closed == limit {
@@ -195,12 +195,12 @@
 			damaged(id, err)
 			r = &Record{ID: id, Origin: -1, Dest: -1}
 		}
-		at, ok := seen[id.Life]
+		at, ok := seen[id.Incarnation]
 		if !ok {
-			if at, err = l.alive(id.Life); err != nil {
+			if at, err = l.alive(id.Incarnation); err != nil {
 				return err
 			}
-			seen[id.Life] = at
+			seen[id.Incarnation] = at
 		}
 		l.closeKilled(r, at)
 		l.put(b, r)
@@ -216,17 +216,17 @@
 
 // closeKilled makes a mark the record of a call whose router was killed: it stood until it was last seen, at least.
 func (l *Ledger) closeKilled(r *Record, alive time.Time) {
-	r.End, r.Known, r.Seen = Stood, ByRecovery, r.Answered
-	if alive.After(r.Seen) {
-		r.Seen = alive // the clock may have been set back since the answer: then that is all that is known
+	r.End, r.EndSource, r.LastSeen = Answered, EndedByRecovery, r.Answered
+	if alive.After(r.LastSeen) {
+		r.LastSeen = alive // the clock may have been set back since the answer: then that is all that is known
 	}
-	r.Ended = r.Seen
-	r.Length = r.Seen.Sub(r.Answered)
+	r.Ended = r.LastSeen
+	r.Duration = r.LastSeen.Sub(r.Answered)
 }
 
-// Read finds the record with a number.
-func Read(k Keeper, n uint64) (*Record, bool, error) {
-	v, found, err := k.Get(NumberKey(n))
+// ReadRecord finds the record with a number.
+func ReadRecord(k Store, n uint64) (*Record, bool, error) {
+	v, found, err := k.Get(RecordKey(n))
 	if err != nil || !found {
 		return nil, found, err
 	}
@@ -235,13 +235,13 @@
 }
 
 // Versions finds all versions of a call's record, oldest first.
-func Versions(k Keeper, id ID) (out []*Record, err error) {
+func Versions(k Store, id ID) (out []*Record, err error) {
 	prefix := id.encode([]byte{prefixID})
 	err = k.Scan(prefix, nil, func(_, value []byte) error {
 		if len(value) != 8 {
-			return fmt.Errorf("%w: call %v", ErrNumbers, id)
+			return fmt.Errorf("%w: call %v", ErrNumberConflict, id)
 		}
-		r, found, err := Read(k, binary.BigEndian.Uint64(value))
+		r, found, err := ReadRecord(k, binary.BigEndian.Uint64(value))
 		if err == nil && found {
 			out = append(out, r)
 		}
@@ -251,7 +251,7 @@
 }
 
 // Rerate writes a new version of a call's record with another charge; the versions before stay as they are.
-func (l *Ledger) Rerate(b Batch, id ID, rater Rater) (*Record, error) {
+func (l *Ledger) Rerate(b WriteBatch, id ID, rater Rater) (*Record, error) {
 	all, err := Versions(l.keep, id)
 	if err != nil {
 		return nil, err
@@ -261,7 +261,7 @@
 	}
 	r := *all[len(all)-1]
 	charge := rater.Rate(&r)
-	if charge.Same(r.Charge) {
+	if charge.Equal(r.Charge) {
 		return &r, nil // it says so already: a second asking changes nothing
 	}
 	r.Version++
@@ -270,35 +270,35 @@
 	return &r, nil
 }
 
-// Trimmed is the last number that was deleted after its export; 0 is none.
-func Trimmed(k Keeper) (uint64, error) {
+// LastTrimmed is the last number that was deleted after its export; 0 is none.
+func LastTrimmed(k Store) (uint64, error) {
 	v, found, err := k.Get([]byte(keyTrimmed))
 	if err != nil || !found {
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, fmt.Errorf("%w: trimmed", ErrNumbers)
+		return 0, fmt.Errorf("%w: trimmed", ErrNumberConflict)
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
 // Trim deletes records up to a number, as far as they ended before a time; at most limit of them. What lies at
 // numbers that cannot be read goes too: it is reported by Verify while it is there.
-func Trim(k Keeper, b Batch, upTo uint64, before time.Time, limit int) (n int, err error) {
-	from, err := Trimmed(k)
+func Trim(k Store, b WriteBatch, upTo uint64, before time.Time, limit int) (n int, err error) {
+	from, err := LastTrimmed(k)
 	if err != nil {
 		return 0, err
 	}
 	last := from
 	for at := from + 1; at <= upTo && n < limit; at++ {
-		r, found, err := Read(k, at)
+		r, found, err := ReadRecord(k, at)
 		if err == nil && found {
 			if !r.Ended.Before(before) {
 				break
 			}
 			b.Delete(IDKey(r.ID, r.Version))
 		}
-		b.Delete(NumberKey(at))
+		b.Delete(RecordKey(at))
 		last = at
 		n++
 	}
--- a/internal/cdr/rate.go
+++ b/internal/cdr/rate.go
@@ -35,7 +35,7 @@
 	case first == nil:
 		return Charge{Note: NoteNoRate}
 	}
-	c := Charge{Tariff: v.ID(), Currency: t.Currency, Billed: billed(first, r.Length)}
+	c := Charge{Tariff: v.ID(), Currency: t.Currency, Billed: billed(first, r.Duration)}
 	switch {
 	case first.Emergency:
 		c.Note, c.Billed = NoteEmergency, 0
@@ -69,7 +69,7 @@
 // charge adds the price of each part of a call.
 func (t *Tariffs) charge(sum *big.Rat, r *Record, bill time.Duration) (note string, ok bool) {
 	at, left := r.Answered, bill
-	length := r.Length
+	length := r.Duration
 	for range maxSegments {
 		v, rate := t.at(r, at)
 		switch {
--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -12,12 +12,12 @@
 
 // ID names one call, for ever: the router that took it, which of its lives it was, and the how-manieth call of that.
 type ID struct {
-	Router uint32 `json:"router"`
-	Life   uint32 `json:"life"`
-	Call   uint64 `json:"call"`
+	Router      uint32 `json:"router"`
+	Incarnation uint32 `json:"life"`
+	Call        uint64 `json:"call"`
 }
 
-func (id ID) String() string { return fmt.Sprintf("%d-%d-%d", id.Router, id.Life, id.Call) }
+func (id ID) String() string { return fmt.Sprintf("%d-%d-%d", id.Router, id.Incarnation, id.Call) }
 
 // ParseID reads what String writes.
 func ParseID(s string) (id ID, err error) {
@@ -49,11 +49,11 @@
 
 // Ends of a call.
 const (
-	Stood   End = iota + 1 // it was answered, and released by either end
-	Cut                    // it was answered, and cut
-	Refused                // turned away
-	Failed                 // given up
-	Left                   // the caller hung up before any answer
+	Answered  End = iota + 1 // it was answered, and released by either end
+	Cut                      // it was answered, and cut
+	Refused                  // turned away
+	Failed                   // given up
+	Abandoned                // the caller hung up before any answer
 )
 
 var endNames = []string{"", "stood", "cut", "refused", "failed", "left"}
@@ -66,28 +66,30 @@
 // UnmarshalText reads it.
 func (e *End) UnmarshalText(b []byte) error { return valueOf(endNames, "end", b, (*uint8)(e)) }
 
-// Known tells how the end of a call is known.
-type Known uint8
+// EndSource tells how the end of a call is known.
+type EndSource uint8
 
 // Ways to know a call's end.
 const (
-	ByRouter   Known = iota + 1 // the router gave the final answer
-	ByCaller                    // the caller's end released it
-	ByFarEnd                    // the far end released it
-	ByLoss                      // an end was lost
-	ByTimer                     // the watchdog ended it
-	ByRecovery                  // the router was killed while it stood: its end lies after Seen, and is not known
+	EndedByRouter   EndSource = iota + 1 // the router gave the final answer
+	EndedByCaller                        // the caller's end released it
+	EndedByFarEnd                        // the far end released it
+	EndedByLoss                          // an end was lost
+	EndedByTimer                         // the watchdog ended it
+	EndedByRecovery                      // the router was killed while it stood: its end lies after Seen, and is not known
 )
 
 var knownNames = []string{"", "router", "caller", "far end", "loss", "timer", "recovery"}
 
-func (k Known) String() string { return nameOf(knownNames, int(k)) }
+func (k EndSource) String() string { return nameOf(knownNames, int(k)) }
 
 // MarshalText writes its name.
-func (k Known) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+func (k EndSource) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
 // UnmarshalText reads it.
-func (k *Known) UnmarshalText(b []byte) error { return valueOf(knownNames, "known", b, (*uint8)(k)) }
+func (k *EndSource) UnmarshalText(b []byte) error {
+	return valueOf(knownNames, "known", b, (*uint8)(k))
+}
 
 func nameOf(names []string, i int) string {
 	if i < len(names) {
@@ -121,32 +123,32 @@
 // Record is what is kept of one call. Times of day are by the router's clock at that moment, lengths by its monotonic
 // one: where the clock was set in mid-call they disagree, and Stepped says by how much.
 type Record struct {
-	ID       ID            `json:"id"`
-	Version  uint16        `json:"version"` // 1, and one more for each time it was rated again
-	End      End           `json:"end"`
-	Cause    uint8         `json:"cause"` // Q.850
-	Known    Known         `json:"known"`
-	Class    string        `json:"class"`
-	Tenant   string        `json:"tenant,omitempty"`
-	Called   string        `json:"called"`
-	Calling  string        `json:"calling"`
-	User     string        `json:"user,omitempty"`
-	Context  string        `json:"context,omitempty"`
-	Front    string        `json:"front"`
-	Circuit  int           `json:"circuit,omitempty"`
-	Origin   int           `json:"origin"` // exchange whose group it came over; -1 a subscriber
-	Dest     int           `json:"dest"`
-	Transit  bool          `json:"transit,omitempty"`
-	Width    int           `json:"width"`
-	Offered  time.Time     `json:"offered"`
-	Answered time.Time     `json:"answered,omitzero"`
-	Ended    time.Time     `json:"ended"`
-	Seen     time.Time     `json:"seen,omitzero"` // of ByRecovery: when it was last known to stand
-	SetUp    time.Duration `json:"setup_ns"`
-	Length   time.Duration `json:"length_ns"`
-	Stepped  time.Duration `json:"stepped_ns,omitempty"`
-	Attempts []Attempt     `json:"attempts,omitempty"`
-	Charge   Charge        `json:"charge"`
+	ID        ID            `json:"id"`
+	Version   uint16        `json:"version"` // 1, and one more for each time it was rated again
+	End       End           `json:"end"`
+	Cause     uint8         `json:"cause"` // Q.850
+	EndSource EndSource     `json:"known"`
+	Class     string        `json:"class"`
+	Tenant    string        `json:"tenant,omitempty"`
+	Called    string        `json:"called"`
+	Calling   string        `json:"calling"`
+	User      string        `json:"user,omitempty"`
+	Context   string        `json:"context,omitempty"`
+	Front     string        `json:"front"`
+	Circuit   int           `json:"circuit,omitempty"`
+	Origin    int           `json:"origin"` // exchange whose group it came over; -1 a subscriber
+	Dest      int           `json:"dest"`
+	Transit   bool          `json:"transit,omitempty"`
+	Width     int           `json:"width"`
+	Offered   time.Time     `json:"offered"`
+	Answered  time.Time     `json:"answered,omitzero"`
+	Ended     time.Time     `json:"ended"`
+	LastSeen  time.Time     `json:"seen,omitzero"` // of ByRecovery: when it was last known to stand
+	SetUp     time.Duration `json:"setup_ns"`
+	Duration  time.Duration `json:"length_ns"`
+	ClockStep time.Duration `json:"stepped_ns,omitempty"`
+	Attempts  []Attempt     `json:"attempts,omitempty"`
+	Charge    Charge        `json:"charge"`
 }
 
 // Charge is what a call costs.
@@ -161,5 +163,5 @@
 // Rated tells whether a tariff said what the call costs.
 func (c Charge) Rated() bool { return c.Tariff != "" }
 
-// Same tells whether two charges say the same; two that are unrated do, whatever the reason.
-func (c Charge) Same(o Charge) bool { return c == o || !c.Rated() && !o.Rated() }
+// Equal tells whether two charges say the same; two that are unrated do, whatever the reason.
+func (c Charge) Equal(o Charge) bool { return c == o || !c.Rated() && !o.Rated() }
--- a/internal/cdr/report.go
+++ b/internal/cdr/report.go
@@ -20,8 +20,8 @@
 	NewestVersions bool // of each call only the last
 }
 
-// Fits tells whether a record is picked; NewestVersions is the reader's to see to.
-func (f *Filter) Fits(r *Record) bool {
+// Matches tells whether a record is picked; NewestVersions is the reader's to see to.
+func (f *Filter) Matches(r *Record) bool {
 	begins := func(s, prefix string) bool { return len(s) >= len(prefix) && s[:len(prefix)] == prefix }
 	return (f.From.IsZero() || !r.Offered.Before(f.From)) && (f.To.IsZero() || r.Offered.Before(f.To)) &&
 		(f.Class == "" || r.Class == f.Class) && (f.Tenant == "" || r.Tenant == f.Tenant) &&
@@ -31,13 +31,13 @@
 
 // Each calls f for all records that fit, in the order of their numbers; records that cannot be read are told to
 // damaged.
-func (f *Filter) Each(k Keeper, damaged func(n uint64, err error), do func(n uint64, r *Record) error) error {
+func (f *Filter) Each(k Store, damaged func(n uint64, err error), do func(n uint64, r *Record) error) error {
 	first, last, err := numbers(k)
 	if err != nil {
 		return err
 	}
 	for n := first; n <= last; n++ {
-		r, found, err := Read(k, n)
+		r, found, err := ReadRecord(k, n)
 		if err != nil || !found {
 			if err == nil {
 				err = fmt.Errorf("no record")
@@ -45,7 +45,7 @@
 			damaged(n, err)
 			continue
 		}
-		if !f.Fits(r) {
+		if !f.Matches(r) {
 			continue
 		}
 		if f.NewestVersions {
@@ -95,7 +95,7 @@
 	}
 	l.Calls++
 	l.Ends[r.End.String()]++
-	l.Minutes += r.Length.Minutes()
+	l.Minutes += r.Duration.Minutes()
 	if !r.Charge.Rated() {
 		l.Unrated++
 		return nil
--- a/internal/cdr/tariff.go
+++ b/internal/cdr/tariff.go
@@ -65,8 +65,8 @@
 	return 0, fmt.Errorf("%q is none of mon, tue, wed, thu, fri, sat, sun", s)
 }
 
-// ParseBetween reads hours of the day such as "08:00-18:30"; 24:00 is the day's end.
-func ParseBetween(s string) (from, to int, err error) {
+// ParseHours reads hours of the day such as "08:00-18:30"; 24:00 is the day's end.
+func ParseHours(s string) (from, to int, err error) {
 	a, b, ok := strings.Cut(s, "-")
 	if ok {
 		from, err = minute(a)
--- a/internal/cdr/verify.go
+++ b/internal/cdr/verify.go
@@ -38,7 +38,7 @@
 
 // Verify looks through all that is kept: numbers without gaps, each call's versions once and in order, marks only for
 // calls without a record.
-func Verify(k Keeper) (*Audit, error) {
+func Verify(k Store) (*Audit, error) {
 	a := &Audit{}
 	var err error
 	if a.First, a.Last, err = numbers(k); err != nil {
@@ -47,7 +47,7 @@
 	seen := map[string]uint64{}
 	// One by one, not by a scan: a block that cannot be read must not hide what lies behind it.
 	for n := a.First; n <= a.Last; n++ {
-		r, found, err := Read(k, n)
+		r, found, err := ReadRecord(k, n)
 		switch {
 		case err != nil:
 			if len(a.Damaged) < mostFindings {
@@ -82,7 +82,7 @@
 }
 
 // index checks one record against the index of calls.
-func (a *Audit) index(k Keeper, seen map[string]uint64, r *Record, n uint64) {
+func (a *Audit) index(k Store, seen map[string]uint64, r *Record, n uint64) {
 	name := fmt.Sprintf("%v/%d", r.ID, r.Version)
 	if before, twice := seen[name]; twice {
 		a.Doubled = append(a.Doubled, fmt.Sprintf("%s under numbers %d and %d", name, before, n))
@@ -110,7 +110,7 @@
 
 // VerifyFiles looks through the exported files of a router: batches without gaps, whole files, no call's version twice,
 // and every record that the store still holds and has confirmed. k may be nil: then the files are judged alone.
-func (a *Audit) VerifyFiles(k Keeper, f Files, router uint32) error {
+func (a *Audit) VerifyFiles(k Store, f Files, router uint32) error {
 	names, err := f.List()
 	if err != nil {
 		return err
@@ -145,13 +145,13 @@
 }
 
 // file checks one exported file against its manifest and the store.
-func (a *Audit) file(f Files, k Keeper, m *Manifest, seen map[string]string) {
+func (a *Audit) file(f Files, k Store, m *Manifest, seen map[string]string) {
 	content, err := f.Read(m.File)
 	if err != nil {
 		a.mismatch("%s: %v", m.File, err)
 		return
 	}
-	if Sum(content) != m.SHA256 || len(content) != m.Bytes {
+	if Checksum(content) != m.SHA256 || len(content) != m.Bytes {
 		a.mismatch("%s: is not the file that its manifest tells of", m.File)
 		return
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	for n := max(m.From, a.First); n <= m.To; n++ {
-		if r, found, err := Read(k, n); err == nil && found && seen[fmt.Sprintf("%v/%d", r.ID, r.Version)] != m.File {
+		if r, found, err := ReadRecord(k, n); err == nil && found && seen[fmt.Sprintf("%v/%d", r.ID, r.Version)] != m.File {
 			a.mismatch("%s: call %v, version %d, number %d is not in it", m.File, r.ID, r.Version, n)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -237,13 +237,13 @@
 
 // Decide puts the settings in the module's terms.
 func (s *Settings) Decide() decide.Settings {
-	d := decide.Settings{Own: s.Router.Exchange, Deliver: true, Proxies: s.Router.Routers, OverShareWorth: s.OverShare,
-		MaxAttempts: s.Rules.MaxAttempts, RetryAfter: true, MaxStayAway: s.Rules.MaxStayAway,
-		ReleaseGuard: s.atLeast(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetryFirst, ColdFrom: s.Rules.ColdFrom,
-		ColdFor: s.Rules.ColdFor, FallMultiple: s.Rules.FallMultiple}
+	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers, OverShareValue: s.OverShare,
+		MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.Rules.MaxStayAway,
+		ReleaseGuard: s.atLeast(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetryFirst, ColdCapacity: s.Rules.ColdFrom,
+		ColdDuration: s.Rules.ColdFor, OverloadMultiple: s.Rules.FallMultiple}
 	for _, c := range s.Class {
-		d.Classes = append(d.Classes, decide.Class{Hold: c.Hold, Width: c.Width, Aim: c.Aim, Deadline: c.Deadline,
-			Worth: c.Worth, LateWorth: c.LateWorth})
+		d.Classes = append(d.Classes, decide.Class{HoldTime: c.Hold, Width: c.Width, SetupTarget: c.Aim, Deadline: c.Deadline,
+			Value: c.Worth, LateValue: c.LateWorth})
 	}
 	for _, t := range s.Tenant {
 		d.Tenants = append(d.Tenants, decide.Tenant{Quota: t.Quota})
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -39,14 +39,14 @@
 }
 
 var (
-	ends   = [...]cdr.End{call.Stood: cdr.Stood, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Left: cdr.Left}
-	knowns = [...]cdr.Known{call.ByRouter: cdr.ByRouter, call.ByCaller: cdr.ByCaller, call.ByFarEnd: cdr.ByFarEnd, call.ByLoss: cdr.ByLoss,
-		call.ByTimer: cdr.ByTimer}
+	ends   = [...]cdr.End{call.Stood: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Left: cdr.Abandoned}
+	knowns = [...]cdr.EndSource{call.ByRouter: cdr.EndedByRouter, call.ByCaller: cdr.EndedByCaller, call.ByFarEnd: cdr.EndedByFarEnd, call.ByLoss: cdr.EndedByLoss,
+		call.ByTimer: cdr.EndedByTimer}
 )
 
 // Record puts a core's record in the form that is kept; clock tells what its moments were on the wall.
 func (s *Settings) Record(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
-	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), Known: knowns[r.Known], Class: s.Class[r.Class].Name,
+	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), EndSource: knowns[r.Known], Class: s.Class[r.Class].Name,
 		Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context, Front: r.Bearer.Front, Circuit: r.Bearer.Circuit,
 		Origin: r.Origin, Dest: r.Dest, Transit: r.Transit, Width: r.Width, Offered: clock.At(r.Offered)}
 	if r.Tenant < len(s.Tenant) {
@@ -62,8 +62,8 @@
 	if r.SetUp > 0 {
 		answered := r.Offered + r.SetUp
 		end = answered + r.Length
-		out.Answered, out.SetUp, out.Length = clock.At(answered), r.SetUp, r.Length
+		out.Answered, out.SetUp, out.Duration = clock.At(answered), r.SetUp, r.Length
 	}
-	out.Ended, out.Stepped = clock.At(end), clock.Stepped(r.Offered, end)
+	out.Ended, out.ClockStep = clock.At(end), clock.Step(r.Offered, end)
 	return out
 }
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -287,7 +287,7 @@
 		out.Days = append(out.Days, day)
 	}
 	if r.Between != "" {
-		if out.From, out.To, err = cdr.ParseBetween(r.Between); err != nil {
+		if out.From, out.To, err = cdr.ParseHours(r.Between); err != nil {
 			d.Report(key+".between", "%v", err)
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -81,7 +81,7 @@
 	} `json:"updates"`
 }
 
-var lifecycles = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
+var lifecycles = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Removed}
 
 // ParseKnown reads the events that a configuration holds; zones are the names in the settings.
 func ParseKnown(text []byte, zones []string) (events []Event, last uint64, err error) {
@@ -169,7 +169,7 @@
 	return ev, true, nil
 }
 
-var states = [...]decide.Phase{decide.Ready, decide.Draining, decide.Gone}
+var states = [...]decide.Phase{decide.Ready, decide.Draining, decide.Removed}
 
 // record reads id, address, port, state, zone, kind, cell, weight and start.
 func record(b []byte) (Entry, error) {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -17,14 +17,14 @@
 }
 
 func TestFramesReadWhatWasWritten(t *testing.T) {
-	stream := append(AppendFrame(nil, Event{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Gone)}}), AppendNothing(nil, 4)...)
+	stream := append(AppendFrame(nil, Event{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}}), AppendNothing(nil, 4)...)
 	stream = append(stream, AppendFrame(nil, Event{Number: 5, Whole: true, Entries: []Entry{entry(9, decide.Ready)}})...)
 	for at := range stream {
 		f := Frames{Last: 3}
 		first, err1 := f.Push(stream[:at])
 		rest, err2 := f.Push(stream[at:])
 		got := append(first, rest...)
-		want := []Event{{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Gone)}},
+		want := []Event{{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}},
 			{Number: 5, Whole: true, Entries: []Entry{entry(9, decide.Ready)}}}
 		if d := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })); d != "" || err1 != nil || err2 != nil {
 			t.Fatalf("split at %d: %v %v\n%s", at, err1, err2, d)
--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -17,18 +17,18 @@
 
 // Target takes batches. A batch may come again, whole or in part: taking it twice must leave it there once.
 type Target interface {
-	// Place makes room for a batch and returns what the target calls it; a batch that was placed before names that.
-	Place(ctx context.Context, s *cdr.Sending) (where string, err error)
+	// Prepare makes room for a batch and returns what the target calls it; a batch that was placed before names that.
+	Prepare(ctx context.Context, s *cdr.Delivery) (where string, err error)
 	// Send brings a placed batch's bytes over and returns when the target has confirmed that it holds all of them.
-	Send(ctx context.Context, s *cdr.Sending, content []byte) error
+	Send(ctx context.Context, s *cdr.Delivery, content []byte) error
 	Close() error
 }
 
-// ErrForgotten says that the target no longer knows a batch that was placed: it has to be placed anew.
-var ErrForgotten = errors.New("the target does not know this batch any more")
+// ErrUnknownUpload says that the target no longer knows a batch that was placed: it has to be placed anew.
+var ErrUnknownUpload = errors.New("the target does not know this batch any more")
 
-// ErrTaken says that another exporter writes to the same place.
-var ErrTaken = errors.New("another exporter writes there")
+// ErrLocked says that another exporter writes to the same place.
+var ErrLocked = errors.New("another exporter writes there")
 
 // Directory is a directory that complete files appear in. Each file gets its manifest after it, and both appear by
 // a rename of what was synced.
@@ -47,7 +47,7 @@
 	}
 	lock, err := fs.Lock(fs.PathJoin(dir, lockName))
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %w", dir, ErrTaken, err)
+		return nil, fmt.Errorf("%s: %w: %w", dir, ErrLocked, err)
 	}
 	return &Directory{fs, dir, lock}, nil
 }
@@ -55,13 +55,13 @@
 // Close lets the directory go.
 func (d *Directory) Close() error { return d.lock.Close() }
 
-// Place names the file.
-func (d *Directory) Place(_ context.Context, s *cdr.Sending) (string, error) {
+// Prepare names the file.
+func (d *Directory) Prepare(_ context.Context, s *cdr.Delivery) (string, error) {
 	return d.fs.PathJoin(d.dir, s.File), nil
 }
 
 // Send writes the file and its manifest.
-func (d *Directory) Send(_ context.Context, s *cdr.Sending, content []byte) error {
+func (d *Directory) Send(_ context.Context, s *cdr.Delivery, content []byte) error {
 	if err := store.WriteWhole(d.fs, d.fs.PathJoin(d.dir, s.File), content); err != nil {
 		return err
 	}
@@ -88,15 +88,15 @@
 }
 
 // Commit makes what build puts into a batch durable.
-type Commit func(build func(b cdr.Batch) error) error
+type Commit func(build func(b cdr.WriteBatch) error) error
 
-// Step does the next thing there is to do for an export: it sends one batch, or finds none. again is when there may
+// SendNext does the next thing there is to do for an export: it sends one batch, or finds none. again is when there may
 // be more to do. Everything is kept before the next thing follows, so that a crash anywhere repeats the same batch.
-func Step(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit Commit) (sent bool,
+func SendNext(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit Commit) (sent bool,
 	again time.Time, err error) {
-	var s *cdr.Sending
+	var s *cdr.Delivery
 	var content []byte
-	err = commit(func(b cdr.Batch) (err error) {
+	err = commit(func(b cdr.WriteBatch) (err error) {
 		s, content, again, err = e.Next(now(), last, flush, b)
 		return err
 	})
@@ -104,28 +104,28 @@
 		return false, again, err
 	}
 	if err := deliver(ctx, e, t, s, content, commit); err != nil {
-		failed := commit(func(b cdr.Batch) error { e.Failed(now(), b); return nil })
+		failed := commit(func(b cdr.WriteBatch) error { e.MarkFailed(now(), b); return nil })
 		return false, now(), errors.Join(fmt.Errorf("batch %d: %w", s.Batch, err), failed)
 	}
-	return true, now(), commit(func(b cdr.Batch) error { e.Confirm(now(), b); return nil })
+	return true, now(), commit(func(b cdr.WriteBatch) error { e.MarkConfirmed(now(), b); return nil })
 }
 
-func deliver(ctx context.Context, e *cdr.Export, t Target, s *cdr.Sending, content []byte, commit Commit) error {
+func deliver(ctx context.Context, e *cdr.Export, t Target, s *cdr.Delivery, content []byte, commit Commit) error {
 	for again := 0; ; again++ {
-		if s.Where == "" {
-			where, err := t.Place(ctx, s)
+		if s.Location == "" {
+			where, err := t.Prepare(ctx, s)
 			if err != nil {
 				return err
 			}
-			if err := commit(func(b cdr.Batch) error { e.Placed(where, b); return nil }); err != nil {
+			if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced(where, b); return nil }); err != nil {
 				return err
 			}
 		}
 		err := t.Send(ctx, s, content)
-		if !errors.Is(err, ErrForgotten) || again > 0 {
+		if !errors.Is(err, ErrUnknownUpload) || again > 0 {
 			return err
 		}
-		if err := commit(func(b cdr.Batch) error { e.Placed("", b); return nil }); err != nil {
+		if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced("", b); return nil }); err != nil {
 			return err
 		}
 	}
--- a/internal/export/tus.go
+++ b/internal/export/tus.go
@@ -20,10 +20,10 @@
 // of it is there, PATCH adds from there on. The upload's metadata name the batch, by which a receiver that was sent
 // one twice, since its own answer was lost, knows it again.
 type Tus struct {
-	URL    string // where uploads are made
-	Client *http.Client
-	Part   int // bytes of one PATCH; 0 is all that is left
-	Token  string
+	URL       string // where uploads are made
+	Client    *http.Client
+	ChunkSize int // bytes of one PATCH; 0 is all that is left
+	Token     string
 }
 
 const (
@@ -57,8 +57,8 @@
 	return resp, resp.Body.Close()
 }
 
-// Place makes an upload.
-func (t *Tus) Place(ctx context.Context, s *cdr.Sending) (string, error) {
+// Prepare makes an upload.
+func (t *Tus) Prepare(ctx context.Context, s *cdr.Delivery) (string, error) {
 	q, err := t.request(ctx, http.MethodPost, t.URL, nil)
 	if err != nil {
 		return "", err
@@ -82,7 +82,7 @@
 	return where.String(), nil
 }
 
-func metadata(s *cdr.Sending) string {
+func metadata(s *cdr.Delivery) string {
 	var parts []string
 	for _, kv := range [][2]string{{"filename", s.File}, {"batch", strconv.FormatUint(s.Batch, 10)},
 		{"router", strconv.FormatUint(uint64(s.Router), 10)}, {"count", strconv.Itoa(s.Count)}, {"first", s.FirstID},
@@ -93,8 +93,8 @@
 }
 
 // offset asks how much of an upload is there.
-func (t *Tus) offset(ctx context.Context, s *cdr.Sending) (int, error) {
-	q, err := t.request(ctx, http.MethodHead, s.Where, nil)
+func (t *Tus) offset(ctx context.Context, s *cdr.Delivery) (int, error) {
+	q, err := t.request(ctx, http.MethodHead, s.Location, nil)
 	if err != nil {
 		return 0, err
 	}
@@ -105,7 +105,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusNoContent:
 	case http.StatusNotFound, http.StatusGone, http.StatusForbidden:
-		return 0, ErrForgotten
+		return 0, ErrUnknownUpload
 	default:
 		return 0, fmt.Errorf("asking for the offset: %s", resp.Status)
 	}
@@ -121,15 +121,15 @@
 }
 
 // Send brings over what the receiver does not have yet; how much that is, it says itself.
-func (t *Tus) Send(ctx context.Context, s *cdr.Sending, content []byte) error {
-	if _, err := url.Parse(s.Where); err != nil {
-		return ErrForgotten
+func (t *Tus) Send(ctx context.Context, s *cdr.Delivery, content []byte) error {
+	if _, err := url.Parse(s.Location); err != nil {
+		return ErrUnknownUpload
 	}
 	var last error
 	for range tusTries {
 		at, err := t.offset(ctx, s)
 		if err != nil {
-			if errors.Is(err, ErrForgotten) || ctx.Err() != nil {
+			if errors.Is(err, ErrUnknownUpload) || ctx.Err() != nil {
 				return err
 			}
 			last = err
@@ -141,7 +141,7 @@
 		switch {
 		case err == nil && at == len(content):
 			return nil
-		case errors.Is(err, ErrForgotten), ctx.Err() != nil:
+		case errors.Is(err, ErrUnknownUpload), ctx.Err() != nil:
 			return err
 		}
 		last = err
@@ -149,12 +149,12 @@
 	return fmt.Errorf("after %d resumptions: %w", tusTries, last)
 }
 
-func (t *Tus) patch(ctx context.Context, s *cdr.Sending, content []byte, at int) (int, error) {
+func (t *Tus) patch(ctx context.Context, s *cdr.Delivery, content []byte, at int) (int, error) {
 	end := len(content)
-	if t.Part > 0 {
-		end = min(end, at+t.Part)
+	if t.ChunkSize > 0 {
+		end = min(end, at+t.ChunkSize)
 	}
-	q, err := t.request(ctx, http.MethodPatch, s.Where, bytes.NewReader(content[at:end]))
+	q, err := t.request(ctx, http.MethodPatch, s.Location, bytes.NewReader(content[at:end]))
 	if err != nil {
 		return at, err
 	}
@@ -172,14 +172,14 @@
 		}
 		return got, err
 	case http.StatusNotFound, http.StatusGone:
-		return at, ErrForgotten
+		return at, ErrUnknownUpload
 	}
 	return at, fmt.Errorf("sending from %d on: %s", at, resp.Status)
 }
 
 // NewTus returns a sender to a receiver; each request may take so long.
 func NewTus(to, token string, part int, limit time.Duration) *Tus {
-	return &Tus{URL: to, Token: token, Part: part, Client: &http.Client{Timeout: limit,
+	return &Tus{URL: to, Token: token, ChunkSize: part, Client: &http.Client{Timeout: limit,
 		// An upload that is sent elsewhere would leave the receiver that was named.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -110,7 +110,7 @@
 
 func crashExport() records.ExportOptions {
 	return records.ExportOptions{Dir: crashOut, ExportSettings: cdr.ExportSettings{Target: "out", Router: 7, Format: cdr.CSV,
-		Most: crashBatch, Least: crashBatch, Wait: time.Hour}}
+		MaxRecords: crashBatch, MinRecords: crashBatch, MaxWait: time.Hour}}
 }
 
 // Crash plays a run of calls and crashes its disk before every write, sync, rename and removal. Each disk is recovered
@@ -201,7 +201,7 @@
 		c.mu.Lock()
 		c.told[call] = true // a release is not held back: the mark is durable
 		c.mu.Unlock()
-		return c.submit(cdr.Item{Record: c.record(call, cdr.Stood)}, 0, false)
+		return c.submit(cdr.Item{Record: c.record(call, cdr.Answered)}, 0, false)
 	}
 	for call := uint64(1); call <= uint64(calls) && ctx.Err() == nil; call++ {
 		c.mu.Lock()
@@ -209,14 +209,14 @@
 		c.mu.Unlock()
 		switch x := c.rng.IntN(10); {
 		case x < 7:
-			if err = c.submit(cdr.Item{Began: true, Record: c.record(call, 0)}, call, false); err == nil {
+			if err = c.submit(cdr.Item{Open: true, Record: c.record(call, 0)}, call, false); err == nil {
 				err = c.await(call)
 			}
 			standing = append(standing, call)
 		case x < 9:
 			err = c.submit(cdr.Item{Record: c.record(call, cdr.Refused)}, call, true)
 		default:
-			err = c.submit(cdr.Item{Record: c.record(call, cdr.Left)}, call, true)
+			err = c.submit(cdr.Item{Record: c.record(call, cdr.Abandoned)}, call, true)
 		}
 		for err == nil && (len(standing) > crashKeep || len(standing) > 0 && c.rng.IntN(3) == 0) {
 			err = end()
@@ -235,8 +235,8 @@
 	r := cdr.Record{ID: c.rec.ID(call), End: end, Class: "status", Called: fmt.Sprintf("1%06d", call), Calling: "9", Front: "iax2",
 		Origin: -1, Dest: 1, Width: 1, Offered: at, Ended: at.Add(time.Second),
 		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
-	if end == 0 || end == cdr.Stood {
-		r.Answered, r.SetUp, r.Length = at.Add(20*time.Millisecond), 20*time.Millisecond, time.Second
+	if end == 0 || end == cdr.Answered {
+		r.Answered, r.SetUp, r.Duration = at.Add(20*time.Millisecond), 20*time.Millisecond, time.Second
 	}
 	return r
 }
@@ -335,10 +335,10 @@
 	var f cdr.Filter
 	err = f.Each(st, func(n uint64, err error) { broken("number %d: %v", n, err) }, func(_ uint64, r *cdr.Record) error {
 		found[r.ID.Call]++
-		if r.Known == cdr.ByRecovery {
+		if r.EndSource == cdr.EndedByRecovery {
 			res.Recovered++
 		}
-		if r.ID.Call == 0 || r.ID.Call > d.taken || r.ID.Life != 1 {
+		if r.ID.Call == 0 || r.ID.Call > d.taken || r.ID.Incarnation != 1 {
 			res.RecordsFalse++
 			broken("call %v was never taken", r.ID)
 		}
@@ -388,7 +388,7 @@
 	defer func() { _ = t.Close() }()
 	last := rec.Status().Last
 	for sent := true; sent; {
-		sent, _, err = export.Step(context.Background(), e, t, last, true, func() time.Time { return crashEpoch }, records.Commit(rec.Store()))
+		sent, _, err = export.SendNext(context.Background(), e, t, last, true, func() time.Time { return crashEpoch }, records.Commit(rec.Store()))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -86,9 +86,9 @@
 // costRecord is an ordinary call's record.
 func costRecord(id cdr.ID) cdr.Record {
 	at := crashEpoch.Add(time.Duration(id.Call) * time.Millisecond)
-	return cdr.Record{ID: id, End: cdr.Stood, Cause: 16, Known: cdr.ByCaller, Class: "status-check", Called: fmt.Sprintf("21%07d", id.Call%1e7),
+	return cdr.Record{ID: id, End: cdr.Answered, Cause: 16, EndSource: cdr.EndedByCaller, Class: "status-check", Called: fmt.Sprintf("21%07d", id.Call%1e7),
 		Calling: fmt.Sprintf("10%07d", id.Call%1e7), Context: "status-check", Front: "iax2", Origin: -1, Dest: 1, Width: 1, Offered: at,
-		Answered: at.Add(20 * time.Millisecond), Ended: at.Add(12 * time.Second), SetUp: 20 * time.Millisecond, Length: 12 * time.Second,
+		Answered: at.Add(20 * time.Millisecond), Ended: at.Add(12 * time.Second), SetUp: 20 * time.Millisecond, Duration: 12 * time.Second,
 		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
 }
 
@@ -135,7 +135,7 @@
 	if err := r.export(rec, dir); err != nil {
 		return errors.Join(err, rec.Close())
 	}
-	if err := rec.Store().Compact(cdr.NumberKey(0), []byte{255}); err != nil {
+	if err := rec.Store().Compact(cdr.RecordKey(0), []byte{255}); err != nil {
 		return errors.Join(err, rec.Close())
 	}
 	if err := rec.Close(); err != nil {
@@ -155,7 +155,7 @@
 	last := rec.Status().Last
 	for _, f := range []cdr.Format{cdr.CSV, cdr.Parquet} {
 		o := records.ExportOptions{Dir: dir + "-" + string(f), ExportSettings: cdr.ExportSettings{Target: string(f), Router: 1, Format: f,
-			Most: 10_000, Least: 1, Keep: 10}}
+			MaxRecords: 10_000, MinRecords: 1, KeepBatches: 10}}
 		e, err := cdr.OpenExport(rec.Store(), o.ExportSettings)
 		if err != nil {
 			return err
@@ -166,7 +166,7 @@
 		}
 		began := time.Now()
 		for sent := true; sent && err == nil; {
-			sent, _, err = export.Step(context.Background(), e, t, last, true, time.Now, records.Commit(rec.Store()))
+			sent, _, err = export.SendNext(context.Background(), e, t, last, true, time.Now, records.Commit(rec.Store()))
 		}
 		if err = errors.Join(err, t.Close()); err != nil {
 			return err
@@ -188,7 +188,7 @@
 		return err
 	}
 	for call := uint64(1); call <= uint64(open); {
-		if _, ok := rec.Submit(cdr.Item{Began: true, Record: costRecord(rec.ID(call))}); ok {
+		if _, ok := rec.Submit(cdr.Item{Open: true, Record: costRecord(rec.ID(call))}); ok {
 			call++
 		} else {
 			time.Sleep(time.Millisecond)
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -105,7 +105,7 @@
 }
 
 // readKept audits one store; it returns the records of subscribers' calls by calling number.
-func readKept(s cdr.Keeper, x int, res *DayRecords) (map[string][]kept, error) {
+func readKept(s cdr.Store, x int, res *DayRecords) (map[string][]kept, error) {
 	a, err := cdr.Verify(s)
 	if err != nil {
 		return nil, err
@@ -120,11 +120,11 @@
 		if !r.Charge.Rated() {
 			res.Unrated++
 		}
-		if r.Known == cdr.ByRecovery {
+		if r.EndSource == cdr.EndedByRecovery {
 			res.Recovered++
 		}
 		if r.Origin < 0 {
-			out[r.Calling] = append(out[r.Calling], kept{r.End, r.ID.Life})
+			out[r.Calling] = append(out[r.Calling], kept{r.End, r.ID.Incarnation})
 		}
 		return nil
 	})
@@ -175,7 +175,7 @@
 func agrees(o rules.Outcome, e cdr.End) bool {
 	switch o {
 	case rules.Stood:
-		return e == cdr.Stood || e == cdr.Cut
+		return e == cdr.Answered || e == cdr.Cut
 	case rules.Refused:
 		return e == cdr.Refused
 	case rules.Failed:
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -215,7 +215,7 @@
 // list is a view as a list.
 func (r *vregister) list(v *view) registry.List {
 	l := registry.List{Index: v.index}
-	phases := map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+	phases := map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 	for _, line := range v.lines {
 		l.Entries = append(l.Entries, registry.Entry{ID: line.ID, Number: line.Exchange, Zone: line.Zone, Phase: phases[line.Phase],
 			Started: line.Started, Address: vnet.RouterAddr(line.Exchange), Switch: line.Switch})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 // New returns a router without calls or list.
 func New(s Settings) *Node {
 	core := call.New(s.Core)
-	n := &Node{Core: core, front: iaxfront.New(core, s.Core.Decide.Own, s.IAX), set: s, peers: map[int]iax2.Addr{},
+	n := &Node{Core: core, front: iaxfront.New(core, s.Core.Decide.OwnExchange, s.IAX), set: s, peers: map[int]iax2.Addr{},
 		isup: isupfront.New(core, s.ISUP)}
 	n.learnPeers()
 	return n
@@ -108,23 +108,23 @@
 		news, kind = n.list.Changes(&l), decide.ListChanges
 	}
 	n.list, n.known = l, true
-	n.start.Learn(now, wall, n.set.Core.Decide.ColdFor, &l)
+	n.start.Learn(now, wall, n.set.Core.Decide.ColdDuration, &l)
 	n.learnPeers()
-	event := decide.List{Kind: kind}
+	event := decide.ListUpdate{Kind: kind}
 	for _, e := range news {
 		started := time.Duration(0) // long ago
-		if age := n.start.Age(now, e.ID); age < n.set.Core.Decide.ColdFor {
+		if age := n.start.Age(now, e.ID); age < n.set.Core.Decide.ColdDuration {
 			started = n.Core.Clock(now) - age
 		}
 		event.Entries = append(event.Entries, decide.Entry{Exchange: e.Exchange(), Number: e.Number,
 			Zone: n.zone(e.Zone), Phase: e.Phase, Started: started})
 		to := e.Address
-		if e.Number == n.set.Core.Decide.Own {
+		if e.Number == n.set.Core.Decide.OwnExchange {
 			to = e.Switch
 		}
 		addr, ok := iax2.AddrFrom(to)
 		switch {
-		case e.Phase == decide.Gone:
+		case e.Phase == decide.Removed:
 			n.front.Unroute(e.Exchange())
 			n.isup.Unroute(e.Exchange())
 		case n.isup.Serves(e.Number):
@@ -144,7 +144,7 @@
 // processor behind it is gone, and is known by its last address until the list names another.
 func (n *Node) learnPeers() {
 	for _, e := range n.list.Entries {
-		if a, ok := iax2.AddrFrom(e.Address); ok && e.Number != n.set.Core.Decide.Own {
+		if a, ok := iax2.AddrFrom(e.Address); ok && e.Number != n.set.Core.Decide.OwnExchange {
 			n.peers[e.Number] = a
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -68,9 +68,9 @@
 		}
 		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, Own: 60, Plan: plans(x), Margin: 80 * ms,
 			DrainGrace: time.Second, Patience: []time.Duration{3 * time.Second},
-			Decide: decide.Settings{Own: x, Deliver: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms, ResendAfter: 500 * ms,
-				ColdFrom: 0.3, ColdFor: 10 * time.Second, FallMultiple: 3, Classes: []decide.Class{
-					{Hold: 10 * time.Second, Width: 1, Aim: time.Second, Deadline: 9 * time.Second, Worth: 1}}}},
+			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms, ResendAfter: 500 * ms,
+				ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
+					{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}}}},
 			IAX: iax2.Config{AcceptDelay: 100 * ms, AckDelay: 20 * ms}})
 		node.SetList(w.now, listedAt, list)
 		w.nodes = append(w.nodes, node)
@@ -443,7 +443,7 @@
 		w.run(told)
 		drained := w.nodes[0].List()
 		drained.Entries = slices.Clone(drained.Entries)
-		drained.Entries[1].Phase = decide.Gone
+		drained.Entries[1].Phase = decide.Removed
 		w.nodes[0].SetList(w.now, time.Unix(1e9, 0), drained)
 		w.run(told + 5*time.Second)
 		if got := w.finals(); len(got) != 1 {
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -252,18 +252,18 @@
 	o.Class, o.Patience = class, time.Duration(left)*time.Millisecond
 	// A call without a tenant is nobody's; one of a tenant that the settings do not have is a mistake.
 	o.Tenant = decide.Unknown
-	if tenants := p.core.cfg.Setup.Tenants; len(tenants) > 0 && m.Fields["tenant"] != "" {
+	if tenants := p.core.cfg.Setup.TenantNames; len(tenants) > 0 && m.Fields["tenant"] != "" {
 		if o.Tenant = slices.Index(tenants, m.Fields["tenant"]); o.Tenant < 0 {
 			return o, false
 		}
 	}
-	o.Dest, o.Width, o.Advised = decide.Unknown, p.core.cfg.Setup.Settings.Classes[class].Width, decide.Unknown
+	o.Dest, o.Width, o.AdvisedTandem = decide.Unknown, p.core.cfg.Setup.Settings.Classes[class].Width, decide.Unknown
 	if key, has := m.Fields["key"]; has {
 		n, err := strconv.ParseUint(key, 16, 64)
 		if err != nil || !jsonl.IsHex(key) {
 			return o, false
 		}
-		o.Number, o.key = n, jsonl.Quote(key)
+		o.CalledNumber, o.key = n, jsonl.Quote(key)
 	}
 	if r, has := m.Fields["retry"]; has && r != "0" {
 		if r != "1" {
@@ -310,7 +310,7 @@
 		}
 	}
 	if !o.Transit {
-		o.Advised = via // in transit it is where the call comes from
+		o.AdvisedTandem = via // in transit it is where the call comes from
 	}
 	return o.Dest >= 0 || o.isAt
 }
@@ -351,7 +351,7 @@
 		return
 	}
 	c.sendHomeless(p)
-	if most := c.cfg.Setup.MaxOpen; most > 0 && c.open >= most || c.isClosing() {
+	if most := c.cfg.Setup.MaxOpenCalls; most > 0 && c.open >= most || c.isClosing() {
 		c.Stats.Refused++
 		p.down(m.Ref, jsonl.Congestion, c.stayAway())
 		return
@@ -361,8 +361,8 @@
 
 // stayAway is the time that a caller is told to stay away where the settings allow it.
 func (c *Core) stayAway() time.Duration {
-	if s := c.cfg.Setup.Settings; s.RetryAfter {
-		return c.jitter(s.MaxStayAway)
+	if s := c.cfg.Setup.Settings; s.SendRetryAfter {
+		return c.jitter(s.MaxRetryAfter)
 	}
 	return 0
 }
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -71,7 +71,7 @@
 
 func (c *Core) refuse(a decide.Refuse) {
 	c.Stats.Refused++
-	c.answerDown(a.Call, jsonl.Congestion, a.StayAway)
+	c.answerDown(a.Call, jsonl.Congestion, a.RetryAfter)
 }
 
 func (c *Core) fail(id decide.CallID) {
@@ -113,7 +113,7 @@
 	for _, k := range list {
 		c.unowe(k)
 		c.forget(k)
-		c.feed(decide.CallerLeft{Call: k.id})
+		c.feed(decide.CallerAbandoned{Call: k.id})
 	}
 }
 
@@ -160,7 +160,7 @@
 		if k != nil {
 			no, k.attempts = k.attempts, k.attempts+1
 		}
-		c.feed(decide.Ended{Call: s.Call, Attempt: no, Exchange: s.Exchange, Outcome: decide.NotSent,
+		c.feed(decide.AttemptEnded{Call: s.Call, Attempt: no, Exchange: s.Exchange, Outcome: decide.NotSent,
 			Concluded: k == nil || k.standing, Report: decide.NoReport})
 		return
 	}
@@ -212,11 +212,11 @@
 
 // endedAs tells the module how an attempt ended that nothing was reported with.
 func (c *Core) endedAs(a *attempt, o decide.Outcome) {
-	c.ended(a, decide.Ended{Outcome: o, Report: decide.NoReport})
+	c.ended(a, decide.AttemptEnded{Outcome: o, Report: decide.NoReport})
 }
 
 // ended tells the module how an attempt ended, once. An answer is owed still, unless the call is forgotten.
-func (c *Core) ended(a *attempt, e decide.Ended) {
+func (c *Core) ended(a *attempt, e decide.AttemptEnded) {
 	k := a.call
 	if k.out != a {
 		return
@@ -254,7 +254,7 @@
 	k.from.used = c.now
 	c.forget(k)
 	if k.id != 0 {
-		c.feed(decide.Ended{Call: k.id, Attempt: k.attempts - 1, Exchange: k.at.id, Outcome: o, Concluded: true, Report: r})
+		c.feed(decide.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.at.id, Outcome: o, Concluded: true, Report: r})
 	}
 }
 
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -24,7 +24,7 @@
 	Cores       float64
 	Memory      int64 // bytes; 0 is no limit
 	Sockets     int   // descriptors
-	Setup       wire.Setup
+	Setup       wire.InstanceSettings
 	Known       []coordinator.Event
 	Last        uint64 // number of the last event known
 }
@@ -63,7 +63,7 @@
 		c.Setup, errs[3] = wire.ParseSettings(t.Settings)
 	}
 	if len(t.Known) > 0 {
-		c.Known, c.Last, errs[4] = coordinator.ParseKnown(t.Known, c.Setup.Zones)
+		c.Known, c.Last, errs[4] = coordinator.ParseKnown(t.Known, c.Setup.ZoneNames)
 	}
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -102,13 +102,13 @@
 }
 
 // Beliefs is what the module holds true of each far end.
-func (c *Core) Beliefs(now time.Duration) []decide.Belief {
+func (c *Core) Beliefs(now time.Duration) []decide.Estimate {
 	c.tell(now)
-	return c.ctl.Beliefs(c.moduleTime())
+	return c.ctl.Estimates(c.moduleTime())
 }
 
 // Held is the number of calls that wait for a circuit or their turn.
-func (c *Core) Held() int { return c.ctl.Held() }
+func (c *Core) Held() int { return c.ctl.QueuedCalls() }
 
 // Callers is the number of callers' connections.
 func (c *Core) Callers() int { return len(c.callers) }
@@ -163,7 +163,7 @@
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), wall: wall, ctl: decide.New(cfg.Setup.Settings, cfg.Seed),
 		calls: map[string]*call{}, byID: map[decide.CallID]*call{}, callers: map[Conn]*caller{}, classes: map[string]int{},
 		switches: map[decide.ExchangeID]*far{}, links: map[Conn]*link{}, early: map[string]early{}}
-	for i, name := range cfg.Setup.Classes {
+	for i, name := range cfg.Setup.ClassNames {
 		c.classes[name] = i
 		c.quoted = append(c.quoted, jsonl.Quote(name))
 	}
@@ -251,11 +251,11 @@
 	case decide.Fail:
 		c.fail(a.Call)
 	case decide.Timer:
-		c.after(a.After, func() { c.feed(decide.TimerDue{Token: a.Token}) })
+		c.after(a.After, func() { c.feed(decide.TimerExpired{Token: a.Token}) })
 	case decide.Subscribe:
 		// Changes come unasked; an empty one says that the list is current.
-		c.feed(decide.List{Kind: decide.ListChanges})
-	case decide.Note:
+		c.feed(decide.ListUpdate{Kind: decide.ListChanges})
+	case decide.LogLine:
 		c.note(a.Text)
 	}
 }
@@ -272,7 +272,7 @@
 // takeList takes events of the coordinator in; kind is that of a whole list.
 func (c *Core) takeList(kind decide.ListKind, events []coordinator.Event) {
 	for _, ev := range events {
-		list := decide.List{Kind: decide.ListChanges}
+		list := decide.ListUpdate{Kind: decide.ListChanges}
 		if ev.Whole {
 			list.Kind = kind
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -65,8 +65,8 @@
 		outcome decide.Outcome
 		want    decide.Cause
 	}{
-		{34, "blocked", decide.Full, decide.NoCircuit}, {34, "bounced", decide.Full, decide.TurnedBack},
-		{34, "far_swamped", decide.Full, decide.TurnedBackFull}, {34, "swamped", decide.Full, decide.ProcessorFull},
+		{34, "blocked", decide.Rejected, decide.NoCircuit}, {34, "bounced", decide.Rejected, decide.TandemRejected},
+		{34, "far_swamped", decide.Rejected, decide.TandemRejectedFull}, {34, "swamped", decide.Rejected, decide.ProcessorFull},
 		{17, "occupied", decide.Busy, decide.LinesBusy}, {47, "", decide.Busy, decide.CauseUnknown},
 		{102, "blocked", decide.NotSent, decide.NoCircuit}, {41, "", decide.Cut, decide.CauseUnknown}, {16, "", decide.Cut, decide.CauseUnknown},
 	} {
@@ -575,7 +575,7 @@
 	b := upBed(t)
 	p := standAt1(b)
 	old := b.switches[1]
-	b.list(2, entry(1, 1, 2, decide.Gone), entry(5, 1, 2, decide.Ready))
+	b.list(2, entry(1, 1, 2, decide.Removed), entry(5, 1, 2, decide.Ready))
 	d := b.dialled()
 	if len(d) != 1 || b.closed[old] {
 		t.Fatalf("%d connections asked for, the old one closed: %v", len(d), b.closed[old])
@@ -885,7 +885,7 @@
 			case 9:
 				b.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms)
 			case 10:
-				phase := rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining, decide.Gone}).Draw(t, "phase")
+				phase := rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "phase")
 				n := rapid.IntRange(1, 2).Draw(t, "number")
 				if rapid.Bool().Draw(t, "new id") {
 					index++
--- a/internal/platform/switches.go
+++ b/internal/platform/switches.go
@@ -140,7 +140,7 @@
 
 // wanted tells whether a connection is kept up: for reports while set-ups may go there, for releases while calls stand.
 func (f *far) wanted() bool {
-	return f.phase == decide.Ready && f.number != f.core.cfg.Setup.Settings.Own || f.standing > 0 || len(f.waiting) > 0 ||
+	return f.phase == decide.Ready && f.number != f.core.cfg.Setup.Settings.OwnExchange || f.standing > 0 || len(f.waiting) > 0 ||
 		len(f.unsent) > 0
 }
 
@@ -178,7 +178,7 @@
 // others may be up.
 func (f *far) keepUp() {
 	want := len(f.links) == 0 && f.wanted() || f.again != 0 && f.core.now >= f.again && f.standing > 0
-	if want && !f.retry && f.phase != decide.Gone && !f.replaced {
+	if want && !f.retry && f.phase != decide.Removed && !f.replaced {
 		f.connect()
 	}
 }
@@ -323,7 +323,7 @@
 		outs = append(outs, a)
 	}
 	slices.SortFunc(outs, func(a, b *attempt) int { return cmp.Compare(a.call.id, b.call.id) })
-	if len(f.links) == 0 && (f.phase == decide.Gone || f.replaced) {
+	if len(f.links) == 0 && (f.phase == decide.Removed || f.replaced) {
 		f.cutAll("is gone and has closed its connections")
 	}
 	for _, a := range outs {
@@ -357,7 +357,7 @@
 	on := k.on
 	if on == nil || on.ended {
 		if len(f.links) == 0 {
-			if len(f.unsent) < mostUnsent && f.phase != decide.Gone && !f.replaced {
+			if len(f.unsent) < mostUnsent && f.phase != decide.Removed && !f.replaced {
 				f.unsent = jsonl.AppendDown(f.unsent, k.ref, cause, 0)
 				f.keepUp()
 			}
@@ -425,7 +425,7 @@
 		report := c.report(m)
 		if a := l.out[m.Ref]; a != nil {
 			o, cause := outcome(m)
-			c.ended(a, decide.Ended{Outcome: o, Cause: cause, Report: report})
+			c.ended(a, decide.AttemptEnded{Outcome: o, Cause: cause, Report: report})
 			return
 		}
 		k := c.calls[m.Ref]
@@ -437,7 +437,7 @@
 		}
 	case jsonl.Gauge:
 		f.heardFrom = true
-		c.feed(decide.Reported{Exchange: f.id, Outcome: decide.Completed, Report: c.report(m)})
+		c.feed(decide.ReportReceived{Exchange: f.id, Outcome: decide.Completed, Report: c.report(m)})
 	}
 }
 
@@ -446,7 +446,7 @@
 	cause := notes[m.Fields["note"]]
 	switch m.Cause {
 	case jsonl.NoCircuit:
-		return decide.Full, cause
+		return decide.Rejected, cause
 	case jsonl.UserBusy, jsonl.OutOfOrder:
 		return decide.Busy, cause
 	case jsonl.Moot:
@@ -455,15 +455,15 @@
 	return decide.Cut, cause
 }
 
-var notes = map[string]decide.Cause{"blocked": decide.NoCircuit, "bounced": decide.TurnedBack,
-	"far_swamped": decide.TurnedBackFull, "swamped": decide.ProcessorFull, "occupied": decide.LinesBusy}
+var notes = map[string]decide.Cause{"blocked": decide.NoCircuit, "bounced": decide.TandemRejected,
+	"far_swamped": decide.TandemRejectedFull, "swamped": decide.ProcessorFull, "occupied": decide.LinesBusy}
 
 // report reads a load report.
 func (c *Core) report(m *jsonl.Message) decide.Report {
 	r := decide.NoReport
 	for name, value := range pairs(m.Fields["load"]) {
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			wire.SetField(&r, name, v)
+			wire.SetReportField(&r, name, v)
 		}
 	}
 	return r
@@ -489,7 +489,7 @@
 		}
 		for _, f := range c.farInOrder() {
 			if !named[f.id] {
-				f.phase = decide.Gone
+				f.phase = decide.Removed
 				changed = append(changed, f)
 			}
 		}
@@ -497,7 +497,7 @@
 	for _, e := range ev.Entries {
 		f := c.switches[decide.ExchangeID(e.ID)]
 		if f == nil {
-			if e.Phase == decide.Gone {
+			if e.Phase == decide.Removed {
 				continue
 			}
 			f = &far{core: c, id: decide.ExchangeID(e.ID), started: e.Started, heard: c.now}
@@ -525,7 +525,7 @@
 	if f.phase != decide.Ready || f.replaced {
 		f.endWaiting(decide.NotSent) // told while they waited for a connection: they do not leave
 	}
-	if len(f.links) == 0 && (f.phase == decide.Gone || f.replaced || f.restarted) {
+	if len(f.links) == 0 && (f.phase == decide.Removed || f.replaced || f.restarted) {
 		f.cutAll("is told to be gone or new") // what stood before its end or its start is over
 	}
 	f.restarted = false
@@ -535,7 +535,7 @@
 
 // tidy drops what is left of a switch that is gone once nothing is out or stands there.
 func (c *Core) tidy(f *far) {
-	if f.phase != decide.Gone || f.standing > 0 || c.switches[f.id] != f {
+	if f.phase != decide.Removed || f.standing > 0 || c.switches[f.id] != f {
 		return
 	}
 	for _, l := range f.links {
@@ -570,7 +570,7 @@
 		return
 	}
 	if l := c.links[id]; l != nil && l.to.dialling == id {
-		if l.to.phase == decide.Gone && l.to.standing == 0 {
+		if l.to.phase == decide.Removed && l.to.standing == 0 {
 			l.to.dialling = 0
 			delete(c.links, id)
 			c.close(id, false)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -126,8 +126,8 @@
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
 	r.took = o.Now()
-	r.last.Store(r.ledger.Last())
-	r.built = r.ledger.Last()
+	r.last.Store(r.ledger.LastNumber())
+	r.built = r.ledger.LastNumber()
 	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch), Gather: o.Gather,
 		Build: r.build, Done: r.durable, Idle: r.idle, IdleEvery: o.Alive, Now: o.Now})
 	r.mu.Lock()
@@ -152,7 +152,7 @@
 		return err
 	}
 	b := r.store.Batch()
-	r.ledger.Begin(b, r.opt.Wall())
+	r.ledger.StartIncarnation(b, r.opt.Wall())
 	if err := r.store.Commit(b); err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 	}
 	// Only now: until the last is closed, its life was alive no longer than told before.
 	b = r.store.Batch()
-	r.ledger.Alive(b, r.opt.Wall())
+	r.ledger.Heartbeat(b, r.opt.Wall())
 	return r.store.Commit(b)
 }
 
@@ -204,11 +204,11 @@
 
 func (r *Recorder) build(b *store.Batch, items []cdr.Item) error {
 	r.ledger.Put(b, items)
-	r.built = r.ledger.Last()
+	r.built = r.ledger.LastNumber()
 	return nil
 }
 
-func (r *Recorder) idle(b *store.Batch) { r.ledger.Alive(b, r.opt.Wall()) }
+func (r *Recorder) idle(b *store.Batch) { r.ledger.Heartbeat(b, r.opt.Wall()) }
 
 func (r *Recorder) durable(upTo uint64) {
 	r.last.Store(r.built)
@@ -241,7 +241,7 @@
 
 // Status looks at the records.
 func (r *Recorder) Status() Status {
-	s := Status{Status: r.Disk(), Last: r.last.Load(), Life: r.ledger.Life(), Closed: r.closed, Recovery: r.took}
+	s := Status{Status: r.Disk(), Last: r.last.Load(), Life: r.ledger.Incarnation(), Closed: r.closed, Recovery: r.took}
 	if s.State != store.Failed {
 		s.Bytes = r.store.Size()
 	}
@@ -289,11 +289,11 @@
 		if err != nil {
 			// The records go on without this export: they are kept until it can be had again.
 			r.opt.Log(Error, "export "+o.Target+" gives way", err)
-			r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.Done(), Batches: e.Batches(), Err: err.Error()})
+			r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.LastConfirmed(), Batches: e.BatchCount(), Err: err.Error()})
 			r.nudge = append(r.nudge, nil)
 			continue
 		}
-		r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.Done(), Batches: e.Batches()})
+		r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.LastConfirmed(), Batches: e.BatchCount()})
 		wake := make(chan struct{}, 1)
 		r.nudge = append(r.nudge, wake)
 		r.side.Go(func() { r.export(ctx, i, e, t, wake) })
@@ -314,7 +314,7 @@
 
 // Commit makes a batch of changes durable, beside the writer's: they are of other keys.
 func Commit(s *store.Store) export.Commit {
-	return func(build func(cdr.Batch) error) error {
+	return func(build func(cdr.WriteBatch) error) error {
 		b := s.Batch()
 		if err := build(b); err != nil {
 			return err
@@ -336,13 +336,13 @@
 			flush = true
 		case <-timer.C:
 		}
-		sent, again, err := export.Step(ctx, e, t, r.last.Load(), flush, r.opt.Wall, Commit(r.store))
+		sent, again, err := export.SendNext(ctx, e, t, r.last.Load(), flush, r.opt.Wall, Commit(r.store))
 		if ctx.Err() != nil {
 			return
 		}
 		r.mu.Lock()
 		st := &r.exports[i]
-		st.Done, st.Batches, st.Fails, st.Err = e.Done(), e.Batches(), e.Fails, ""
+		st.Done, st.Batches, st.Fails, st.Err = e.LastConfirmed(), e.BatchCount(), e.Failures, ""
 		if err != nil {
 			st.Err = err.Error()
 		}
@@ -406,7 +406,7 @@
 			return
 		}
 		if n > 0 {
-			err = r.store.Compact(cdr.NumberKey(0), cdr.NumberKey(r.Confirmed()+1))
+			err = r.store.Compact(cdr.RecordKey(0), cdr.RecordKey(r.Confirmed()+1))
 		}
 		if err != nil {
 			r.opt.Log(Warn, "records: making room", err)
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -118,8 +118,8 @@
 		b := newBed(t, crashfs.New())
 		b.open()
 		stood, ended := b.rec.ID(1), b.rec.ID(2)
-		b.put(cdr.Item{Began: true, Record: b.record(1, 0, day)}, cdr.Item{Began: true, Record: b.record(2, 0, day)},
-			cdr.Item{Record: b.record(2, cdr.Stood, day)})
+		b.put(cdr.Item{Open: true, Record: b.record(1, 0, day)}, cdr.Item{Open: true, Record: b.record(2, 0, day)},
+			cdr.Item{Record: b.record(2, cdr.Answered, day)})
 		b.rec.Abandon()
 		b.set(day.Add(time.Hour + back))
 		b.open()
@@ -127,10 +127,10 @@
 			t.Errorf("%+v", b.rec.Status())
 		}
 		got := b.versions(stood)
-		if len(got) != 1 || got[0].Known != cdr.ByRecovery || got[0].End != cdr.Stood || got[0].Length != 0 || got[0].Seen != day {
+		if len(got) != 1 || got[0].EndSource != cdr.EndedByRecovery || got[0].End != cdr.Answered || got[0].Duration != 0 || got[0].LastSeen != day {
 			t.Errorf("closed as %+v", got)
 		}
-		if got := b.versions(ended); len(got) != 1 || got[0].Known == cdr.ByRecovery {
+		if got := b.versions(ended); len(got) != 1 || got[0].EndSource == cdr.EndedByRecovery {
 			t.Errorf("ended as %+v", got)
 		}
 		b.rec.Abandon()
@@ -155,7 +155,7 @@
 	b := newBed(t, crashfs.New())
 	b.opt.Rater = price("1")
 	b.open()
-	b.put(cdr.Item{Record: b.record(1, cdr.Stood, day)})
+	b.put(cdr.Item{Record: b.record(1, cdr.Answered, day)})
 	l, err := cdr.OpenLedger(b.rec.Store(), 3, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -183,12 +183,12 @@
 
 // step runs one step of an export of a recorder that runs no exports of its own.
 func (b *bed) step(e *cdr.Export, target export.Target) (bool, error) {
-	sent, _, err := export.Step(b.t.Context(), e, target, b.rec.Status().Last, true, func() time.Time { return day }, Commit(b.rec.Store()))
+	sent, _, err := export.SendNext(b.t.Context(), e, target, b.rec.Status().Last, true, func() time.Time { return day }, Commit(b.rec.Store()))
 	return sent, err
 }
 
 func (b *bed) exportSettings(f cdr.Format) cdr.ExportSettings {
-	return cdr.ExportSettings{Target: "out", Router: 3, Format: f, Most: 10, Least: 1, Keep: 100}
+	return cdr.ExportSettings{Target: "out", Router: 3, Format: f, MaxRecords: 10, MinRecords: 1, KeepBatches: 100}
 }
 
 // A receiver that cuts off, loses answers, repeats, refuses, forgets and restarts gets each batch once, under one number.
@@ -212,7 +212,7 @@
 			b := newBed(t, crashfs.New())
 			b.open()
 			for call := range uint64(25) {
-				b.put(cdr.Item{Record: b.record(call+1, cdr.Stood, day)})
+				b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
 			}
 			r, err := standin.NewReceiver()
 			if err != nil {
@@ -224,9 +224,9 @@
 				t.Fatal(err)
 			}
 			r.Set(c.faults)
-			for tries := 0; e.Batches() < 3 || e.Done() < 25; tries++ {
+			for tries := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; tries++ {
 				if tries > 60 {
-					t.Fatalf("%s: not through after 60 tries: %d batches, done %d", c.name, e.Batches(), e.Done())
+					t.Fatalf("%s: not through after 60 tries: %d batches, done %d", c.name, e.BatchCount(), e.LastConfirmed())
 				}
 				if _, err := b.step(e, tus); err != nil && c.forget {
 					r.Forget()
@@ -276,7 +276,7 @@
 	b := newBed(t, fs)
 	b.opt.Exports = []ExportOptions{{ExportSettings: b.exportSettings(cdr.CSV), Dir: "out"}}
 	b.open()
-	if st := b.rec.Status(); len(st.Exports) != 1 || !strings.Contains(st.Exports[0].Err, export.ErrTaken.Error()) {
+	if st := b.rec.Status(); len(st.Exports) != 1 || !strings.Contains(st.Exports[0].Err, export.ErrLocked.Error()) {
 		t.Errorf("%+v", st.Exports)
 	}
 	b.put(cdr.Item{Record: b.record(1, cdr.Refused, time.Time{})})
@@ -304,7 +304,7 @@
 	b := newBed(t, crashfs.New())
 	b.open()
 	for call := range uint64(30) {
-		b.put(cdr.Item{Record: b.record(call+1, cdr.Stood, day)})
+		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
 	}
 	for _, c := range []struct {
 		upTo   uint64
@@ -342,7 +342,7 @@
 	b.open()
 	const calls = 200
 	for call := range uint64(calls) {
-		b.put(cdr.Item{Record: b.record(call+1, cdr.Stood, day)})
+		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
 	}
 	b.rec.Abandon()
 	names, err := fs.List("records")
@@ -405,7 +405,7 @@
 	for call := uint64(1); call <= 3000; call += 5 { // of all sizes, so that blocks end at every place
 		var items []cdr.Item
 		for k := range uint64(5) {
-			r := b.record(call+k, cdr.Stood, day)
+			r := b.record(call+k, cdr.Answered, day)
 			r.User = strings.Repeat("u", int((call*7+k*13)%90))
 			items = append(items, cdr.Item{Record: r})
 		}
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -78,14 +78,14 @@
 	case "draining":
 		return decide.Draining, nil
 	case "gone":
-		return decide.Gone, nil
+		return decide.Removed, nil
 	}
 	return 0, fmt.Errorf("phase %q is none of ready, draining, gone", s)
 }
 
 // PhaseName is the name of a phase.
 func PhaseName(p decide.Phase) string {
-	return map[decide.Phase]string{decide.Ready: "ready", decide.Draining: "draining", decide.Gone: "gone"}[p]
+	return map[decide.Phase]string{decide.Ready: "ready", decide.Draining: "draining", decide.Removed: "gone"}[p]
 }
 
 // Changes are the entries of next that differ from l, and those of l that next lacks, as gone.
@@ -102,8 +102,8 @@
 		delete(before, e.ID)
 	}
 	for _, e := range l.Entries {
-		if b, ok := before[e.ID]; ok && b.Phase != decide.Gone {
-			e.Phase = decide.Gone
+		if b, ok := before[e.ID]; ok && b.Phase != decide.Removed {
+			e.Phase = decide.Removed
 			out = append(out, e)
 		}
 	}
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -187,7 +187,7 @@
 				e.Phase = decide.Draining
 			}
 		case c.Status == "critical":
-			e.Phase = decide.Gone
+			e.Phase = decide.Removed
 		}
 	}
 	return e, nil
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestChanges(t *testing.T) {
-	before := &List{Entries: []Entry{entry("a", 0, decide.Ready), entry("b", 1, decide.Ready), entry("c", 2, decide.Gone)}}
+	before := &List{Entries: []Entry{entry("a", 0, decide.Ready), entry("b", 1, decide.Ready), entry("c", 2, decide.Removed)}}
 	after := &List{Entries: []Entry{entry("a", 0, decide.Draining), entry("d", 3, decide.Ready)}}
 	var got []string
 	for _, e := range before.Changes(after) {
@@ -148,7 +148,7 @@
 		check, status string
 		want          decide.Phase
 	}{
-		{"own", "passing", decide.Ready}, {"own", "warning", decide.Draining}, {"own", "critical", decide.Gone},
+		{"own", "passing", decide.Ready}, {"own", "warning", decide.Draining}, {"own", "critical", decide.Removed},
 		{"_service_maintenance:sw-1", "critical", decide.Draining},
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -57,10 +57,10 @@
 			x = &start{}
 			s.known[e.ID] = x
 			s.judge(x, now, wall, coldFor, e.Started, s.told)
-		case e.Started.After(x.stamp), e.Started.Before(x.stamp) && x.phase == decide.Gone && !e.Started.IsZero():
+		case e.Started.After(x.stamp), e.Started.Before(x.stamp) && x.phase == decide.Removed && !e.Started.IsZero():
 			s.judge(x, now, wall, coldFor, e.Started, !x.stamp.IsZero())
 		}
-		if x.stamp.IsZero() || e.Started.After(x.stamp) || x.phase == decide.Gone {
+		if x.stamp.IsZero() || e.Started.After(x.stamp) || x.phase == decide.Removed {
 			x.stamp = e.Started
 		}
 		x.phase, x.left = e.Phase, 0
@@ -69,7 +69,7 @@
 		switch {
 		case named[id]:
 		case x.left == 0:
-			x.left, x.phase = max(1, now), decide.Gone
+			x.left, x.phase = max(1, now), decide.Removed
 		case now-x.left > forgetAfter:
 			delete(s.known, id)
 		}
--- a/internal/registry/starts_test.go
+++ b/internal/registry/starts_test.go
@@ -80,7 +80,7 @@
 	if got := at(time.Minute+time.Second, decide.Ready, first); got != 3*time.Second {
 		t.Errorf("an older list made it %v old", got)
 	}
-	if got := at(10*time.Minute, decide.Gone, first); got < coldFor {
+	if got := at(10*time.Minute, decide.Removed, first); got < coldFor {
 		t.Errorf("gone: %v", got)
 	}
 	if got := at(11*time.Minute, decide.Ready, wall0.Add(-2*time.Hour)); got != 0 {
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -103,7 +103,7 @@
 	s := newScene(t, 256)
 	await(t, "the group is full", func() bool {
 		s.sw.Tell(`{"t":"gauge","f":{"load":"x0:0;x1:100"}}` + "\n")
-		return s.believes(func(b decide.Belief) bool { return b.Free == 0 })
+		return s.believes(func(b decide.Estimate) bool { return b.Free == 0 })
 	})
 	p := s.dial()
 	if err := p.Send(offerLine(1)); err != nil {
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -61,7 +61,7 @@
 }
 
 // believes asks what the module holds true of a far end.
-func (s *scene) believes(f func(decide.Belief) bool) bool {
+func (s *scene) believes(f func(decide.Estimate) bool) bool {
 	return askCore(s, func(core *platform.Core, now time.Duration) bool { return slices.ContainsFunc(core.Beliefs(now), f) })
 }
 
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -73,8 +73,8 @@
 	for i := range set.Records.Export {
 		e := &set.Records.Export[i]
 		x := records.ExportOptions{ExportSettings: cdr.ExportSettings{Target: e.Name, Router: uint32(set.Router.Exchange),
-			Format: cdr.Format(e.Format), Most: e.Most, Least: e.Least, Wait: e.Wait, FirstTry: time.Second, LastTry: time.Minute,
-			Keep: 1000}, Part: e.Part, Timeout: e.Timeout}
+			Format: cdr.Format(e.Format), MaxRecords: e.Most, MinRecords: e.Least, MaxWait: e.Wait, MinRetryDelay: time.Second, MaxRetryDelay: time.Minute,
+			KeepBatches: 1000}, Part: e.Part, Timeout: e.Timeout}
 		if x.Token, err = e.Bearer(); err != nil {
 			return nil, fmt.Errorf("records.export %q: %w", e.Name, err)
 		}
@@ -113,7 +113,7 @@
 
 // take hands the core's records over; on the loop.
 func (k *keeping) take(now time.Duration, made []call.Record) {
-	k.clock.Look(now, time.Now())
+	k.clock.Observe(now, time.Now())
 	if unproven := k.s.node.Core.Stats.Unproven; unproven != k.proven {
 		k.rec.Overdue(int(unproven - k.proven))
 		k.proven = unproven
@@ -123,7 +123,7 @@
 	}
 	k.items = k.items[:0]
 	for i := range made {
-		k.items = append(k.items, cdr.Item{Began: made[i].Kind == call.Began, Record: k.s.set.Record(&k.clock, k.rec.ID(made[i].Seq), &made[i])})
+		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.Began, Record: k.s.set.Record(&k.clock, k.rec.ID(made[i].Seq), &made[i])})
 	}
 	last := made[len(made)-1].Ticket
 	k.mu.Lock()
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -47,7 +47,7 @@
 func (b *batch) Delete(key []byte) { b.ops = append(b.ops, op{string(key), nil}) }
 
 // Commit makes what build puts into a batch durable, in time, and then calls done.
-func (d *Disk) Commit(build func(cdr.Batch), done func()) {
+func (d *Disk) Commit(build func(cdr.WriteBatch), done func()) {
 	b := &batch{}
 	build(b)
 	c := &commit{ops: b.ops, done: done}
@@ -83,7 +83,7 @@
 }
 
 // Now applies a batch at once: for what is done before a router serves.
-func (d *Disk) Now(build func(cdr.Batch) error) error {
+func (d *Disk) Now(build func(cdr.WriteBatch) error) error {
 	b := &batch{}
 	if err := build(b); err != nil {
 		return err
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -87,7 +87,7 @@
 		}},
 		{Name: "what goes is not told", Breaks: "rule 3", Told: func(l *registry.List) {
 			for i := range l.Entries {
-				if l.Entries[i].Phase == decide.Gone {
+				if l.Entries[i].Phase == decide.Removed {
 					l.Entries[i].Phase = decide.Ready
 				}
 			}
@@ -102,7 +102,7 @@
 		}},
 		{Name: "one record in ten is not kept", Breaks: "records", Kept: func(items []cdr.Item, n int) (out []cdr.Item) {
 			for i, it := range items {
-				if it.Began || (n+i)%10 != 9 {
+				if it.Open || (n+i)%10 != 9 {
 					out = append(out, it)
 				}
 			}
@@ -111,7 +111,7 @@
 		{Name: "one record in ten is kept twice", Breaks: "records", Kept: func(items []cdr.Item, n int) (out []cdr.Item) {
 			for i, it := range items {
 				out = append(out, it)
-				if !it.Began && (n+i)%10 == 9 {
+				if !it.Open && (n+i)%10 == 9 {
 					out = append(out, it)
 				}
 			}
@@ -119,7 +119,7 @@
 		}},
 		{Name: "marks of standing calls are not kept", Breaks: "records", Kept: func(items []cdr.Item, _ int) (out []cdr.Item) {
 			for _, it := range items {
-				if !it.Began {
+				if !it.Open {
 					out = append(out, it)
 				}
 			}
@@ -128,7 +128,7 @@
 		{Name: "a call ends as another than it was", Breaks: "records", Kept: func(items []cdr.Item, n int) []cdr.Item {
 			for i := range items {
 				if (n+i)%10 == 9 && items[i].Record.End == cdr.Refused {
-					items[i].Record.End = cdr.Stood
+					items[i].Record.End = cdr.Answered
 				}
 			}
 			return items
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -98,11 +98,11 @@
 	if r.ledger, err = cdr.OpenLedger(r.disk, uint32(r.x), rater); err != nil {
 		return err
 	}
-	if err = r.disk.Now(func(b cdr.Batch) error { r.ledger.Begin(b, r.wall()); return nil }); err != nil {
+	if err = r.disk.Now(func(b cdr.WriteBatch) error { r.ledger.StartIncarnation(b, r.wall()); return nil }); err != nil {
 		return err
 	}
 	for n := 1; n > 0 && err == nil; {
-		err = r.disk.Now(func(b cdr.Batch) (err error) {
+		err = r.disk.Now(func(b cdr.WriteBatch) (err error) {
 			n, err = r.ledger.Recover(b, 100, func(cdr.ID, error) {})
 			return err
 		})
@@ -119,7 +119,7 @@
 	if r.dead {
 		return
 	}
-	r.disk.Commit(func(b cdr.Batch) { r.ledger.Alive(b, r.wall()) }, func() {})
+	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Heartbeat(b, r.wall()) }, func() {})
 	r.w.After(time.Second, r.alive)
 }
 
@@ -156,7 +156,7 @@
 		return
 	}
 	now := r.now()
-	r.clock.Look(now, r.wall())
+	r.clock.Observe(now, r.wall())
 	r.node.Receive(now, from, b)
 	r.settle(now)
 }
@@ -169,7 +169,7 @@
 		return
 	}
 	now := r.now()
-	r.clock.Look(now, r.wall())
+	r.clock.Observe(now, r.wall())
 	r.settle(now)
 }
 
@@ -223,11 +223,11 @@
 	}
 	items := make([]cdr.Item, 0, len(made))
 	for i := range made {
-		items = append(items, cdr.Item{Began: made[i].Kind == call.Began, Record: r.set.Record(&r.clock, r.ledger.ID(made[i].Seq), &made[i])})
+		items = append(items, cdr.Item{Open: made[i].Kind == call.Began, Record: r.set.Record(&r.clock, r.ledger.ID(made[i].Seq), &made[i])})
 	}
 	items = r.Mutate.items(items)
 	ticket := made[len(made)-1].Ticket
-	r.disk.Commit(func(b cdr.Batch) { r.ledger.Put(b, items) }, func() {
+	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Put(b, items) }, func() {
 		if r.dead {
 			return
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,16 +9,16 @@
 	"pipitring/decide"
 )
 
-// Setup is what a Hello's settings text says, in the module's terms.
-type Setup struct {
-	Settings decide.Settings
-	Fields   []string // names of a load report's values
-	Classes  []string // names, as callers on sockets give them
-	Zones    []string
-	Tenants  []string // names, as callers on sockets give them
+// InstanceSettings is what a Hello's settings text says, in the module's terms.
+type InstanceSettings struct {
+	Settings     decide.Settings
+	ReportFields []string // names of a load report's values
+	ClassNames   []string // names, as callers on sockets give them
+	ZoneNames    []string
+	TenantNames  []string // names, as callers on sockets give them
 
 	ConnectTimeout time.Duration // a connection that is not up after this is given up
-	MaxOpen        int           // calls that an instance may hold open; 0 is no limit
+	MaxOpenCalls   int           // calls that an instance may hold open; 0 is no limit
 }
 
 type settingsText struct {
@@ -72,38 +72,38 @@
 
 // ParseSettings reads a settings text. Unknown keys are ignored; absent ones are zero, one circuit wide
 // (widths), safe (repeat), and one attempt (maxAttempts).
-func ParseSettings(text []byte) (Setup, error) {
+func ParseSettings(text []byte) (InstanceSettings, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
-		return Setup{}, fmt.Errorf("settings: %w", err)
+		return InstanceSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := decide.Settings{
-		Own: decide.Unknown, Pools: t.FamilyInfo.Shape == "skills", Proxies: t.PeersTotal, ClassPools: t.FamilyInfo.ClassCells,
-		OverShareWorth: t.OverShareWorth, MaxAttempts: max(t.Limits.MaxAttempts, 1),
-		RetryAfter: t.Limits.RetryAfter, Subscribe: t.Discovery == "subscribe",
-		MarksRedial: t.Clients.MarksRetry, MaxStayAway: Seconds(t.Limits.MaxRetryAfterS),
+		OwnExchange: decide.Unknown, Pools: t.FamilyInfo.Shape == "skills", Proxies: t.PeersTotal, ClassPools: t.FamilyInfo.ClassCells,
+		OverShareValue: t.OverShareWorth, MaxAttempts: max(t.Limits.MaxAttempts, 1),
+		SendRetryAfter: t.Limits.RetryAfter, Subscribe: t.Discovery == "subscribe",
+		RedialsMarked: t.Clients.MarksRetry, MaxRetryAfter: Seconds(t.Limits.MaxRetryAfterS),
 		ReleaseGuard: Seconds(t.FamilyInfo.ReleaseGuardS), ResendAfter: Seconds(t.FamilyInfo.ResendS),
-		MustAskIn: Seconds(t.Contract.MustAskInS), ColdFrom: t.Contract.ColdFrom,
-		ColdFor: Seconds(t.Contract.ColdS), FallMultiple: t.Contract.FallMultiple,
+		MaxSubscribeInterval: Seconds(t.Contract.MustAskInS), ColdCapacity: t.Contract.ColdFrom,
+		ColdDuration: Seconds(t.Contract.ColdS), OverloadMultiple: t.Contract.FallMultiple,
 	}
 	if t.FamilyInfo.SelfNo != nil {
-		s.Own = *t.FamilyInfo.SelfNo
+		s.OwnExchange = *t.FamilyInfo.SelfNo
 	}
 	if len(t.FamilyInfo.HoldingS) != len(t.Profiles) {
-		return Setup{}, fmt.Errorf("settings: familyInfo.holdingS has %d values for %d classes",
+		return InstanceSettings{}, fmt.Errorf("settings: familyInfo.holdingS has %d values for %d classes",
 			len(t.FamilyInfo.HoldingS), len(t.Profiles))
 	}
 	var names, tenants []string
 	for i, p := range t.Profiles {
 		c := decide.Class{
-			Hold: Seconds(t.FamilyInfo.HoldingS[i]), Width: 1, Aim: Seconds(p.AimS),
-			Deadline: Seconds(p.DeadlineS), Worth: p.Value, LateWorth: p.LateValue, Window: Seconds(p.WindowS),
+			HoldTime: Seconds(t.FamilyInfo.HoldingS[i]), Width: 1, SetupTarget: Seconds(p.AimS),
+			Deadline: Seconds(p.DeadlineS), Value: p.Value, LateValue: p.LateValue, KeyWindow: Seconds(p.WindowS),
 		}
 		if i < len(t.FamilyInfo.Widths) {
-			c.Width = Whole(t.FamilyInfo.Widths[i])
+			c.Width = RoundToInt(t.FamilyInfo.Widths[i])
 		}
 		c.Repeat = map[string]decide.Repeat{"keyed": decide.RepeatKeyed, "unsafe": decide.RepeatUnsafe}[p.Repeat]
-		c.Scope = map[string]decide.KeyScope{"zone": decide.ScopeZone, "cell": decide.ScopeExchange}[p.KeyScope]
+		c.KeyScope = map[string]decide.KeyScope{"zone": decide.ScopeZone, "cell": decide.ScopeExchange}[p.KeyScope]
 		s.Classes = append(s.Classes, c)
 		names = append(names, p.Name)
 	}
@@ -112,10 +112,10 @@
 		tenants = append(tenants, r.Name)
 	}
 	if err := s.Validate(); err != nil {
-		return Setup{}, fmt.Errorf("settings: %w", err)
+		return InstanceSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	return Setup{Settings: s, Fields: t.Telemetry.Fields, Classes: names, Zones: t.FailureDomains, Tenants: tenants,
-		ConnectTimeout: Seconds(t.Limits.ConnectTimeoutS), MaxOpen: t.Limits.MaxOpen}, nil
+	return InstanceSettings{Settings: s, ReportFields: t.Telemetry.Fields, ClassNames: names, ZoneNames: t.FailureDomains, TenantNames: tenants,
+		ConnectTimeout: Seconds(t.Limits.ConnectTimeoutS), MaxOpenCalls: t.Limits.MaxOpen}, nil
 }
 
 // Seconds turns the wire's seconds into a duration of whole microseconds; out of range is cut off.
@@ -128,28 +128,28 @@
 	return time.Duration(math.Round(s*1e6)) * time.Microsecond
 }
 
-// Whole turns a number that should be whole into an int; what is not a number is decide.Unknown.
-func Whole(v float64) int {
+// RoundToInt turns a number that should be whole into an int; what is not a number is decide.Unknown.
+func RoundToInt(v float64) int {
 	if math.IsNaN(v) || math.Abs(v) > 1e9 {
 		return decide.Unknown
 	}
 	return int(math.Round(v))
 }
 
-// Report puts the values of a load report under their names; what is absent, negative or NaN is unknown.
-func Report(st Stats, names []string) decide.Report {
+// ParseReport puts the values of a load report under their names; what is absent, negative or NaN is unknown.
+func ParseReport(st Stats, names []string) decide.Report {
 	r := decide.NoReport
 	for i, name := range names {
 		if i >= int(st.N) {
 			break
 		}
-		SetField(&r, name, float64(st.V[i]))
+		SetReportField(&r, name, float64(st.V[i]))
 	}
 	return r
 }
 
-// SetField puts one value of a load report under its name. The group's two figures go by either of their names.
-func SetField(r *decide.Report, name string, v float64) {
+// SetReportField puts one value of a load report under its name. The group's two figures go by either of their names.
+func SetReportField(r *decide.Report, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
 	}
@@ -167,6 +167,6 @@
 	case "max_rate":
 		r.MaxRate = v
 	case "reduce":
-		r.HoldBack = v
+		r.ThrottleShare = v
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -159,8 +159,8 @@
 		t.Fatal(err)
 	}
 	s := got.Settings
-	if s.Own != 2 || s.Pools || s.Classes[1].Width != 4 || s.Classes[1].Scope != decide.ScopeExchange ||
-		s.Classes[0].Hold != 12100*time.Millisecond || s.ReleaseGuard != 300*time.Millisecond ||
+	if s.OwnExchange != 2 || s.Pools || s.Classes[1].Width != 4 || s.Classes[1].KeyScope != decide.ScopeExchange ||
+		s.Classes[0].HoldTime != 12100*time.Millisecond || s.ReleaseGuard != 300*time.Millisecond ||
 		s.Classes[0].Repeat != decide.RepeatSafe {
 		t.Fatalf("got %+v", s)
 	}
@@ -185,10 +185,10 @@
 
 func TestReportLeavesOutWhatIsNotTold(t *testing.T) {
 	names := []string{"idle", "circuits", "util", "latency_ms"}
-	if got := Report(Stats{}, names); got != decide.NoReport {
+	if got := ParseReport(Stats{}, names); got != decide.NoReport {
 		t.Errorf("no values: %+v", got)
 	}
-	got := Report(Stats{N: 4, V: [4]float32{3, 40, -1, 250}}, names)
+	got := ParseReport(Stats{N: 4, V: [4]float32{3, 40, -1, 250}}, names)
 	want := decide.NoReport
 	want.Free, want.Size, want.Wait = 3, 40, 0.25
 	if got != want {
