--- a/cmd/pipitring/platform.go
+++ b/cmd/pipitring/platform.go
@@ -30,13 +30,13 @@
 const traced = 1000 // bytes of one piece that a trace shows
 
 // writeTrace writes what happened on a socket: seconds since the start, connection, what, bytes.
-func writeTrace(at time.Duration, id platform.Conn, what string, b []byte) {
+func writeTrace(at time.Duration, id platform.ConnID, what string, b []byte) {
 	fmt.Fprintf(os.Stderr, "%.6f %d %s %q\n", at.Seconds(), id, what, b[:min(len(b), traced)])
 }
 
 // servePlatform runs one proxy: SIGTERM lets it end once nothing is open, SIGHUP rereads the configuration.
 func servePlatform(ctx context.Context, trace bool) error {
-	var each runtime.Trace
+	var each runtime.TraceFunc
 	if trace {
 		each = writeTrace
 	}
@@ -47,7 +47,7 @@
 	if file == "" {
 		return errors.New("NODE_CONFIG names no file")
 	}
-	cfg, err := runtime.LoadPlatform(file)
+	cfg, err := runtime.LoadPlatformConfig(file)
 	if err != nil {
 		return err
 	}
@@ -68,15 +68,15 @@
 			return err
 		case <-ctx.Done():
 			log.Info("told to end: tests fail from now, what comes is still served")
-			p.Tell(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+			p.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
 			ctx = context.Background()
 		case <-hup:
-			next, err := runtime.LoadPlatform(file)
+			next, err := runtime.LoadPlatformConfig(file)
 			if err != nil {
 				log.Error("configuration not reread: the old one stays", zap.Error(err))
 				continue
 			}
-			p.Tell(func(core *platform.Core, now time.Duration) { core.Move(now, next.Coordinator) })
+			p.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Coordinator) })
 		}
 	}
 }
--- a/cmd/pipitring/platform_test.go
+++ b/cmd/pipitring/platform_test.go
@@ -107,7 +107,7 @@
 }
 
 func (p *process) setUp(peer *standin.JSONPeer, m jsonl.Message) {
-	if m.Type != jsonl.New {
+	if m.Type != jsonl.TypeNew {
 		return
 	}
 	p.mu.Lock()
@@ -173,7 +173,7 @@
 
 func (p *process) expectUp(peer *standin.JSONPeer, ref string) {
 	p.t.Helper()
-	if m, err := peer.Receive(); err != nil || m.Type != jsonl.Up || m.Ref != ref {
+	if m, err := peer.Receive(); err != nil || m.Type != jsonl.TypeUp || m.Ref != ref {
 		p.t.Fatalf("got %+v, %v; want the answer of %s", m, err, ref)
 	}
 }
@@ -205,7 +205,7 @@
 	p.signal(syscall.SIGHUP)
 	p.await("the second coordinator is asked", func() bool { return len(second.Asked()) > 0 })
 	third := startCoordinator(t)
-	third.Tell(coordinator.Event{Number: 2})
+	third.Tell(coordinator.Event{Index: 2})
 	p.signal(syscall.SIGTERM)
 	p.configure(third)
 	p.signal(syscall.SIGHUP)
@@ -217,7 +217,7 @@
 	p.answer("0000000000000001")
 	p.expectUp(caller, "0000000000000001")
 	for n := 1; n <= 2; n++ {
-		if err := caller.Send(string(jsonl.AppendDown(nil, fmt.Sprintf("%016x", n), jsonl.Normal, 0))); err != nil {
+		if err := caller.Send(string(jsonl.AppendDown(nil, fmt.Sprintf("%016x", n), jsonl.CauseNormal, 0))); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -32,8 +32,8 @@
 
 // Errors of frames: the connection is of no further use.
 var (
-	ErrFrame = errors.New("coordinator: a frame of impossible length, kind or state")
-	ErrGap   = errors.New("coordinator: events are missing before this one")
+	ErrInvalidFrame  = errors.New("coordinator: a frame of impossible length, kind or state")
+	ErrMissingEvents = errors.New("coordinator: events are missing before this one")
 )
 
 // Entry is one switch on the list.
@@ -48,8 +48,8 @@
 
 // Event is one numbered change of the list.
 type Event struct {
-	Number  uint64
-	Whole   bool // the entries are the whole list
+	Index   uint64
+	Full    bool // the entries are the whole list
 	Entries []Entry
 }
 
@@ -83,14 +83,14 @@
 
 var lifecycles = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Removed}
 
-// ParseKnown reads the events that a configuration holds; zones are the names in the settings.
-func ParseKnown(text []byte, zones []string) (events []Event, last uint64, err error) {
+// ParseSnapshot reads the events that a configuration holds; zones are the names in the settings.
+func ParseSnapshot(text []byte, zones []string) (events []Event, last uint64, err error) {
 	var k knownText
 	if err := json.Unmarshal(text, &k); err != nil {
 		return nil, 0, fmt.Errorf("known: %w", err)
 	}
 	for i, u := range k.Updates {
-		ev := Event{Number: u.Index, Whole: u.Endpoints.Reset || i == 0}
+		ev := Event{Index: u.Index, Full: u.Endpoints.Reset || i == 0}
 		for j, in := range u.Endpoints.Instances {
 			id, err := ParseID(in.InstanceID)
 			addr, err2 := netip.ParseAddrPort(in.HostPort)
@@ -107,24 +107,24 @@
 	return events, max(last, k.Index), nil
 }
 
-// Frames reads what one connection to the coordinator brings.
-type Frames struct {
-	Last uint64 // number of the last event taken; the next connection begins with it
-	// Jump lets one gap pass: the coordinator was asked again and still has nothing in between.
-	Jump bool
-	buf  []byte
+// Decoder reads what one connection to the coordinator brings.
+type Decoder struct {
+	LastIndex uint64 // number of the last event taken; the next connection begins with it
+	// AllowGap lets one gap pass: the coordinator was asked again and still has nothing in between.
+	AllowGap bool
+	buf      []byte
 }
 
 // Hello is what a connection begins with.
-func (f *Frames) Hello() []byte { return binary.BigEndian.AppendUint64(nil, f.Last) }
+func (f *Decoder) Hello() []byte { return binary.BigEndian.AppendUint64(nil, f.LastIndex) }
 
 // Push takes the next bytes and returns the events that are complete and new. Events before an error are good.
-func (f *Frames) Push(b []byte) (events []Event, err error) {
+func (f *Decoder) Push(b []byte) (events []Event, err error) {
 	f.buf = append(f.buf, b...)
 	for len(f.buf) >= lengthSize {
 		n := int(binary.BigEndian.Uint32(f.buf))
 		if n < headSize || n > maxFrame {
-			return events, ErrFrame
+			return events, ErrInvalidFrame
 		}
 		if len(f.buf) < lengthSize+n {
 			break
@@ -145,19 +145,19 @@
 }
 
 // Reset forgets half a frame: the connection is over.
-func (f *Frames) Reset() { f.buf = nil }
+func (f *Decoder) Reset() { f.buf = nil }
 
-func (f *Frames) frame(b []byte) (ev Event, fresh bool, err error) {
+func (f *Decoder) frame(b []byte) (ev Event, fresh bool, err error) {
 	number, kind, records := binary.BigEndian.Uint64(b), b[8], b[headSize:]
 	switch {
 	case kind > kindChanges || kind != kindNothing && len(records)%recordSize != 0:
-		return ev, false, ErrFrame
-	case kind == kindNothing || number <= f.Last:
+		return ev, false, ErrInvalidFrame
+	case kind == kindNothing || number <= f.LastIndex:
 		return ev, false, nil
-	case kind == kindChanges && number > f.Last+1 && !f.Jump:
-		return ev, false, ErrGap
+	case kind == kindChanges && number > f.LastIndex+1 && !f.AllowGap:
+		return ev, false, ErrMissingEvents
 	}
-	ev = Event{Number: number, Whole: kind == kindWhole}
+	ev = Event{Index: number, Full: kind == kindWhole}
 	for ; len(records) > 0; records = records[recordSize:] {
 		e, err := record(records)
 		if err != nil {
@@ -165,7 +165,7 @@
 		}
 		ev.Entries = append(ev.Entries, e)
 	}
-	f.Last, f.Jump = number, false
+	f.LastIndex, f.AllowGap = number, false
 	return ev, true, nil
 }
 
@@ -174,7 +174,7 @@
 // record reads id, address, port, state, zone, kind, cell, weight and start.
 func record(b []byte) (Entry, error) {
 	if int(b[10]) >= len(states) {
-		return Entry{}, ErrFrame
+		return Entry{}, ErrInvalidFrame
 	}
 	return Entry{ID: binary.BigEndian.Uint32(b),
 		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])),
@@ -189,10 +189,10 @@
 // AppendFrame writes an event as the coordinator does.
 func AppendFrame(b []byte, ev Event) []byte {
 	kind := byte(kindChanges)
-	if ev.Whole {
+	if ev.Full {
 		kind = kindWhole
 	}
-	b = appendHead(b, len(ev.Entries)*recordSize, ev.Number, kind)
+	b = appendHead(b, len(ev.Entries)*recordSize, ev.Index, kind)
 	for _, e := range ev.Entries {
 		b = binary.BigEndian.AppendUint32(b, e.ID)
 		addr := e.Addr.Addr().As4()
@@ -206,8 +206,8 @@
 	return b
 }
 
-// AppendNothing writes the frame that comes each second.
-func AppendNothing(b []byte, last uint64) []byte { return appendHead(b, 0, last, kindNothing) }
+// AppendHeartbeat writes the frame that comes each second.
+func AppendHeartbeat(b []byte, last uint64) []byte { return appendHead(b, 0, last, kindNothing) }
 
 func appendHead(b []byte, payload int, number uint64, kind byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(headSize+payload))
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -17,15 +17,15 @@
 }
 
 func TestFramesReadWhatWasWritten(t *testing.T) {
-	stream := append(AppendFrame(nil, Event{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}}), AppendNothing(nil, 4)...)
-	stream = append(stream, AppendFrame(nil, Event{Number: 5, Whole: true, Entries: []Entry{entry(9, decide.Ready)}})...)
+	stream := append(AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}}), AppendHeartbeat(nil, 4)...)
+	stream = append(stream, AppendFrame(nil, Event{Index: 5, Full: true, Entries: []Entry{entry(9, decide.Ready)}})...)
 	for at := range stream {
-		f := Frames{Last: 3}
+		f := Decoder{LastIndex: 3}
 		first, err1 := f.Push(stream[:at])
 		rest, err2 := f.Push(stream[at:])
 		got := append(first, rest...)
-		want := []Event{{Number: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}},
-			{Number: 5, Whole: true, Entries: []Entry{entry(9, decide.Ready)}}}
+		want := []Event{{Index: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}},
+			{Index: 5, Full: true, Entries: []Entry{entry(9, decide.Ready)}}}
 		if d := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })); d != "" || err1 != nil || err2 != nil {
 			t.Fatalf("split at %d: %v %v\n%s", at, err1, err2, d)
 		}
@@ -33,39 +33,39 @@
 }
 
 func TestWhatIsToldTwiceCountsOnceAndGapsAreSeen(t *testing.T) {
-	f := Frames{Last: 3}
+	f := Decoder{LastIndex: 3}
 	frame := func(n uint64) []byte {
-		return AppendFrame(nil, Event{Number: n, Entries: []Entry{entry(7, decide.Ready)}})
+		return AppendFrame(nil, Event{Index: n, Entries: []Entry{entry(7, decide.Ready)}})
 	}
 	got, err := f.Push(append(frame(4), frame(4)...))
 	if len(got) != 1 || err != nil {
 		t.Fatalf("%d events, %v", len(got), err)
 	}
-	if got, err := f.Push(frame(6)); len(got) != 0 || !errors.Is(err, ErrGap) || f.Last != 4 {
-		t.Fatalf("%d events, %v, last %d", len(got), err, f.Last)
+	if got, err := f.Push(frame(6)); len(got) != 0 || !errors.Is(err, ErrMissingEvents) || f.LastIndex != 4 {
+		t.Fatalf("%d events, %v, last %d", len(got), err, f.LastIndex)
 	}
 	f.Reset()
-	f.Jump = true // the coordinator, asked again, has nothing between
-	if got, err := f.Push(frame(6)); len(got) != 1 || err != nil || f.Last != 6 || f.Jump {
-		t.Fatalf("%d events, %v, last %d", len(got), err, f.Last)
+	f.AllowGap = true // the coordinator, asked again, has nothing between
+	if got, err := f.Push(frame(6)); len(got) != 1 || err != nil || f.LastIndex != 6 || f.AllowGap {
+		t.Fatalf("%d events, %v, last %d", len(got), err, f.LastIndex)
 	}
 }
 
 func TestABreakInAnEventGoesOnFromTheLastWhole(t *testing.T) {
-	f := Frames{Last: 3}
-	stream := append(AppendFrame(nil, Event{Number: 4}), AppendFrame(nil, Event{Number: 5, Entries: []Entry{entry(7, decide.Ready)}})...)
+	f := Decoder{LastIndex: 3}
+	stream := append(AppendFrame(nil, Event{Index: 4}), AppendFrame(nil, Event{Index: 5, Entries: []Entry{entry(7, decide.Ready)}})...)
 	f.Push(stream[:len(stream)-5])
 	f.Reset()
 	if got := binary.BigEndian.Uint64(f.Hello()); got != 4 {
 		t.Fatalf("asks from %d, want 4", got)
 	}
-	if got, err := f.Push(AppendFrame(nil, Event{Number: 5})); len(got) != 1 || err != nil {
+	if got, err := f.Push(AppendFrame(nil, Event{Index: 5})); len(got) != 1 || err != nil {
 		t.Fatalf("%d events, %v", len(got), err)
 	}
 }
 
 func TestImpossibleFramesAreErrors(t *testing.T) {
-	good := AppendFrame(nil, Event{Number: 4, Entries: []Entry{entry(7, decide.Ready)}})
+	good := AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Ready)}})
 	for name, change := range map[string]func(b []byte) []byte{
 		"short":  func(b []byte) []byte { b[3] = 3; return b },
 		"huge":   func(b []byte) []byte { b[0] = 0x80; return b },
@@ -73,8 +73,8 @@
 		"record": func(b []byte) []byte { b[3]--; return b },
 		"state":  func(b []byte) []byte { b[13+10] = 3; return b },
 	} {
-		f := Frames{Last: 3}
-		if got, err := f.Push(change(append([]byte(nil), good...))); len(got) != 0 || !errors.Is(err, ErrFrame) {
+		f := Decoder{LastIndex: 3}
+		if got, err := f.Push(change(append([]byte(nil), good...))); len(got) != 0 || !errors.Is(err, ErrInvalidFrame) {
 			t.Errorf("%s: %d events, %v", name, len(got), err)
 		}
 	}
@@ -83,32 +83,32 @@
 func TestKnown(t *testing.T) {
 	text := `{"index":3,"updates":[{"index":2,"endpoints":{"reset":true,"instances":[{"instanceId":"s-00c41f7a","hostPort":"127.0.0.9:5060",
 	 "zone":"east","cell":2,"lifecycle":"Terminating","startedAtMs":5,"weight":1.0}]}}]}`
-	events, last, err := ParseKnown([]byte(text), []string{"west", "east"})
-	if err != nil || last != 3 || len(events) != 1 || !events[0].Whole || events[0].Entries[0].ID != 0xc41f7a ||
+	events, last, err := ParseSnapshot([]byte(text), []string{"west", "east"})
+	if err != nil || last != 3 || len(events) != 1 || !events[0].Full || events[0].Entries[0].ID != 0xc41f7a ||
 		events[0].Entries[0].Phase != decide.Draining || events[0].Entries[0].Zone != 1 {
 		t.Fatalf("%+v, %d, %v", events, last, err)
 	}
 	for _, bad := range [][2]string{{"s-00c41f7a", "s-xx"}, {"127.0.0.9:5060", "nowhere"}, {"Terminating", "Tired"}} {
-		if _, _, err := ParseKnown([]byte(strings.Replace(text, bad[0], bad[1], 1)), nil); err == nil || !strings.Contains(err.Error(), "instances[0]") {
+		if _, _, err := ParseSnapshot([]byte(strings.Replace(text, bad[0], bad[1], 1)), nil); err == nil || !strings.Contains(err.Error(), "instances[0]") {
 			t.Errorf("%s: error %v", bad[1], err)
 		}
 	}
 }
 
 func FuzzFrames(f *testing.F) {
-	f.Add(AppendFrame(nil, Event{Number: 4, Entries: []Entry{entry(7, decide.Ready)}}), 9)
+	f.Add(AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Ready)}}), 9)
 	f.Fuzz(func(t *testing.T, stream []byte, at int) {
 		if at < 0 || at > len(stream) {
 			return
 		}
-		whole, cut := Frames{}, Frames{}
+		whole, cut := Decoder{}, Decoder{}
 		want, err := whole.Push(stream)
 		a, err1 := cut.Push(stream[:at])
 		var b []Event
 		if err1 == nil {
 			b, err1 = cut.Push(stream[at:])
 		}
-		if len(a)+len(b) != len(want) || !errors.Is(err1, err) || whole.Last != cut.Last {
+		if len(a)+len(b) != len(want) || !errors.Is(err1, err) || whole.LastIndex != cut.LastIndex {
 			t.Fatalf("whole: %d, %v; cut: %d, %v", len(want), err, len(a)+len(b), err1)
 		}
 	})
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -14,10 +14,10 @@
 
 func TestParseReadsEveryPart(t *testing.T) {
 	m, err := Parse([]byte(`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":1500,"x":"a\nb"},"d":"v=0\r\n\u0041","c":34}`))
-	if err != nil || m.Type != New || m.Ref != ref || m.Cause != NoCircuit || string(m.Desc) != `"v=0\r\n\u0041"` {
+	if err != nil || m.Type != TypeNew || m.Ref != ref || m.Cause != CauseNoCircuit || string(m.Desc) != `"v=0\r\n\u0041"` {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	if left, ok := m.Number("left", 0, 2000); !ok || left != 1500 || m.Fields["class"] != "voice" || m.Fields["x"] != "a\nb" {
+	if left, ok := m.IntField("left", 0, 2000); !ok || left != 1500 || m.Fields["class"] != "voice" || m.Fields["x"] != "a\nb" {
 		t.Fatalf("fields %q", m.Fields)
 	}
 }
@@ -29,18 +29,18 @@
 		want error
 		ref  string
 	}{
-		{`{`, ErrLine, ""}, {`[1]`, ErrLine, ""}, {`null`, ErrLine, ""}, {``, ErrLine, ""}, {"{\"t\":\"\xff\"}", ErrLine, ""},
-		{line(`{"t":"new","ref":"%s"} x`), ErrLine, ""},
-		{line(`{"t":7,"ref":"%s"}`), ErrType, ref}, {line(`{"T":"new","ref":"%s"}`), ErrType, ref},
-		{`{"t":"new"}`, ErrRef, ""}, {`{"t":"new","ref":"9b1f"}`, ErrRef, ""}, {`{"t":"down","ref":12}`, ErrRef, ""},
-		{`{"t":"hb","ref":"9b1f"}`, ErrRef, ""}, {`{"t":"new","ref":"9b1f03aa5c7e2dxx"}`, ErrRef, ""},
-		{line(`{"t":"new","ref":"%s","f":[]}`), ErrFields, ref}, {line(`{"t":"new","ref":"%s","f":{"a":{}}}`), ErrFields, ref},
-		{line(`{"t":"new","ref":"%s","f":{"a":null}}`), ErrFields, ref}, {line(`{"t":"new","ref":"%s","f":{"a":true}}`), ErrFields, ref},
-		{line(`{"t":"down","ref":"%s","c":-1}`), ErrCause, ref}, {line(`{"t":"down","ref":"%s","c":1e2}`), ErrCause, ref},
-		{line(`{"t":"down","ref":"%s","c":"16"}`), ErrCause, ref}, {line(`{"t":"down","ref":"%s","c":128}`), ErrCause, ref},
-		{line(`{"t":"new","ref":"%s","d":5}`), ErrDesc, ref}, {line(`{"t":"new","ref":"%s","d":"\ud800"}`), ErrDesc, ref},
-		{line(`{"t":"up","ref":"%s","d":"\ufffd ` + "\ufffd" + `"}`), nil, ref}, {line(`{"t":"up","ref":"%s","d":"\ufffd\udc00"}`), ErrDesc, ref},
-		{strings.Repeat(" ", MaxLine+1), ErrLong, ""},
+		{`{`, ErrInvalidLine, ""}, {`[1]`, ErrInvalidLine, ""}, {`null`, ErrInvalidLine, ""}, {``, ErrInvalidLine, ""}, {"{\"t\":\"\xff\"}", ErrInvalidLine, ""},
+		{line(`{"t":"new","ref":"%s"} x`), ErrInvalidLine, ""},
+		{line(`{"t":7,"ref":"%s"}`), ErrInvalidType, ref}, {line(`{"T":"new","ref":"%s"}`), ErrInvalidType, ref},
+		{`{"t":"new"}`, ErrInvalidRef, ""}, {`{"t":"new","ref":"9b1f"}`, ErrInvalidRef, ""}, {`{"t":"down","ref":12}`, ErrInvalidRef, ""},
+		{`{"t":"hb","ref":"9b1f"}`, ErrInvalidRef, ""}, {`{"t":"new","ref":"9b1f03aa5c7e2dxx"}`, ErrInvalidRef, ""},
+		{line(`{"t":"new","ref":"%s","f":[]}`), ErrInvalidFields, ref}, {line(`{"t":"new","ref":"%s","f":{"a":{}}}`), ErrInvalidFields, ref},
+		{line(`{"t":"new","ref":"%s","f":{"a":null}}`), ErrInvalidFields, ref}, {line(`{"t":"new","ref":"%s","f":{"a":true}}`), ErrInvalidFields, ref},
+		{line(`{"t":"down","ref":"%s","c":-1}`), ErrInvalidCause, ref}, {line(`{"t":"down","ref":"%s","c":1e2}`), ErrInvalidCause, ref},
+		{line(`{"t":"down","ref":"%s","c":"16"}`), ErrInvalidCause, ref}, {line(`{"t":"down","ref":"%s","c":128}`), ErrInvalidCause, ref},
+		{line(`{"t":"new","ref":"%s","d":5}`), ErrInvalidDescription, ref}, {line(`{"t":"new","ref":"%s","d":"\ud800"}`), ErrInvalidDescription, ref},
+		{line(`{"t":"up","ref":"%s","d":"\ufffd ` + "\ufffd" + `"}`), nil, ref}, {line(`{"t":"up","ref":"%s","d":"\ufffd\udc00"}`), ErrInvalidDescription, ref},
+		{strings.Repeat(" ", MaxLine+1), ErrLineTooLong, ""},
 		{`{"t":"hb","f":{},"c":0}`, nil, ""},
 	} {
 		m, err := Parse([]byte(c.line))
@@ -51,9 +51,9 @@
 }
 
 func TestAppendedLinesAreThoseOfTheProtocol(t *testing.T) {
-	s := SetUp{Ref: ref, Class: Quote("voice"), Key: Quote("7f3a9c21e0b4d655"), Left: 1500*time.Millisecond + 400, Desc: []byte(`"d\r\n"`)}
-	got := string(s.Append(nil)) + string(AppendUp(nil, ref, []byte(`"x"`))) + string(AppendDown(nil, ref, Congestion, time.Second)) +
-		string(AppendDown(nil, ref, Normal, 0)) + string(AppendTested(nil, ref, true)) + string(AppendTested(nil, "", false))
+	s := SetUp{Ref: ref, Class: Quote("voice"), Key: Quote("7f3a9c21e0b4d655"), TimeLeft: 1500*time.Millisecond + 400, Desc: []byte(`"d\r\n"`)}
+	got := string(s.Append(nil)) + string(AppendUp(nil, ref, []byte(`"x"`))) + string(AppendDown(nil, ref, CauseCongestion, time.Second)) +
+		string(AppendDown(nil, ref, CauseNormal, 0)) + string(AppendHeartbeatOK(nil, ref, true)) + string(AppendHeartbeatOK(nil, "", false))
 	want := `{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":"1500","key":"7f3a9c21e0b4d655"},"d":"d\r\n"}
 {"t":"up","ref":"9b1f03aa5c7e2d41","f":{},"d":"x"}
 {"t":"down","ref":"9b1f03aa5c7e2d41","f":{"wait":"1000"},"c":42}
@@ -69,7 +69,7 @@
 // cut pushes a stream in two pieces and lists the lines.
 func cut(t *testing.T, stream []byte, at int) (got []string, err error) {
 	t.Helper()
-	var l Lines
+	var l LineSplitter
 	for _, b := range [][]byte{stream[:at], stream[at:]} {
 		if err = l.Push(b, func(line []byte) bool { got = append(got, string(line)); return true }); err != nil {
 			return got, err
@@ -92,14 +92,14 @@
 }
 
 func TestALineWithoutEndIsNotHeld(t *testing.T) {
-	var l Lines
+	var l LineSplitter
 	none := func([]byte) bool { t.Fatal("no line is complete"); return false }
 	for range MaxLine / 1024 {
 		if err := l.Push(bytes.Repeat([]byte("x"), 1024), none); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Push([]byte("x"), none); err != ErrLong || l.Partial() {
+	if err := l.Push([]byte("x"), none); err != ErrLineTooLong || l.Partial() {
 		t.Fatalf("error %v, partial %v", err, l.Partial())
 	}
 }
@@ -114,7 +114,7 @@
 		if err != nil || m.Ref == "" || m.Desc == nil {
 			return
 		}
-		s := SetUp{Ref: m.Ref, Class: Quote(m.Fields["class"]), Left: time.Second, Desc: m.Desc}
+		s := SetUp{Ref: m.Ref, Class: Quote(m.Fields["class"]), TimeLeft: time.Second, Desc: m.Desc}
 		out := s.Append(nil)
 		if bytes.IndexByte(out, '\n') != len(out)-1 {
 			t.Fatalf("more than one line: %q", out)
--- a/internal/jsonl/lines.go
+++ b/internal/jsonl/lines.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// Lines cuts a stream into lines and holds no more of an unfinished one than a message may have.
-type Lines struct {
+// LineSplitter cuts a stream into lines and holds no more of an unfinished one than a message may have.
+type LineSplitter struct {
 	part []byte
 }
 
 // Partial tells whether the beginning of a line is held.
-func (l *Lines) Partial() bool { return len(l.part) > 0 }
+func (l *LineSplitter) Partial() bool { return len(l.part) > 0 }
 
 // Push takes the next bytes and hands on each line that is complete, without its line feed, for as long as
 // each wants more. The lines are good only during the call.
-func (l *Lines) Push(b []byte, each func(line []byte) bool) error {
+func (l *LineSplitter) Push(b []byte, each func(line []byte) bool) error {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		whole := b
@@ -21,7 +21,7 @@
 		}
 		if len(l.part)+len(whole) > MaxLine {
 			l.part = nil
-			return ErrLong
+			return ErrLineTooLong
 		}
 		if end < 0 {
 			l.part = append(l.part, b...)
--- a/internal/jsonl/message.go
+++ b/internal/jsonl/message.go
@@ -22,37 +22,37 @@
 
 // Types of message.
 const (
-	New    = "new"   // set-up
-	Wait   = "wait"  // progress
-	Up     = "up"    // answer
-	Down   = "down"  // refusal, give-up or release
-	Ack    = "ack"   // release heard
-	Test   = "hb"    // test, a report is wanted with cause 1
-	Tested = "hb_ok" // passed with cause 1
-	Gauge  = "gauge" // state of a group
+	TypeNew         = "new"   // set-up
+	TypeWait        = "wait"  // progress
+	TypeUp          = "up"    // answer
+	TypeDown        = "down"  // refusal, give-up or release
+	TypeAck         = "ack"   // release heard
+	TypeHeartbeat   = "hb"    // test, a report is wanted with cause 1
+	TypeHeartbeatOK = "hb_ok" // passed with cause 1
+	TypeGauge       = "gauge" // state of a group
 )
 
 // Causes (Q.850) that the protocol names.
 const (
-	Normal     = 16  // normal call clearing; before an answer the set-up is given up
-	UserBusy   = 17  // error
-	OutOfOrder = 47  // resource unavailable: error
-	NoCircuit  = 34  // full
-	Temporary  = 41  // temporary failure: reset, cut or failed
-	Congestion = 42  // refused
-	Moot       = 102 // recovery on timer expiry: never left
-	maxCause   = 127
+	CauseNormal              = 16  // normal call clearing; before an answer the set-up is given up
+	CauseUserBusy            = 17  // error
+	CauseResourceUnavailable = 47  // resource unavailable: error
+	CauseNoCircuit           = 34  // full
+	CauseTemporaryFailure    = 41  // temporary failure: reset, cut or failed
+	CauseCongestion          = 42  // refused
+	CauseTimerExpiry         = 102 // recovery on timer expiry: never left
+	maxCause                 = 127
 )
 
 // Errors of messages.
 var (
-	ErrLong   = fmt.Errorf("line of more than %d bytes", MaxLine)
-	ErrLine   = errors.New("not a JSON object of the protocol")
-	ErrRef    = errors.New("ref is not 16 hex digits")
-	ErrType   = errors.New("type is not a string")
-	ErrFields = errors.New("fields are not strings or numbers")
-	ErrCause  = errors.New("cause is not a number from 0 to 127")
-	ErrDesc   = errors.New("description cannot be passed on unchanged")
+	ErrLineTooLong        = fmt.Errorf("line of more than %d bytes", MaxLine)
+	ErrInvalidLine        = errors.New("not a JSON object of the protocol")
+	ErrInvalidRef         = errors.New("ref is not 16 hex digits")
+	ErrInvalidType        = errors.New("type is not a string")
+	ErrInvalidFields      = errors.New("fields are not strings or numbers")
+	ErrInvalidCause       = errors.New("cause is not a number from 0 to 127")
+	ErrInvalidDescription = errors.New("description cannot be passed on unchanged")
 )
 
 // Message is one line. Ref is set also on errors, where it could be read.
@@ -68,21 +68,21 @@
 func Parse(line []byte) (Message, error) {
 	var m Message
 	if len(line) > MaxLine {
-		return m, ErrLong
+		return m, ErrLineTooLong
 	}
 	var raw map[string]json.RawMessage // a struct would also take keys of another case
 	if !utf8.Valid(line) || json.Unmarshal(line, &raw) != nil || raw == nil {
-		return m, ErrLine
+		return m, ErrInvalidLine
 	}
 	ref, ok := text(raw["ref"])
 	if ok && validRef(ref) {
 		m.Ref = ref
 	}
 	if m.Type, ok = text(raw["t"]); !ok {
-		return m, ErrType
+		return m, ErrInvalidType
 	}
-	if m.Ref == "" && !(raw["ref"] == nil && (m.Type == Test || m.Type == Tested || m.Type == Gauge)) {
-		return m, ErrRef
+	if m.Ref == "" && !(raw["ref"] == nil && (m.Type == TypeHeartbeat || m.Type == TypeHeartbeatOK || m.Type == TypeGauge)) {
+		return m, ErrInvalidRef
 	}
 	if err := m.fields(raw["f"]); err != nil {
 		return m, err
@@ -90,14 +90,14 @@
 	if c := raw["c"]; c != nil {
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(c)), 10, 8)
 		if err != nil || n > maxCause {
-			return m, ErrCause
+			return m, ErrInvalidCause
 		}
 		m.Cause = int(n)
 	}
 	if d := raw["d"]; d != nil {
 		s, ok := text(d)
 		if n := strings.Count(s, replacement); !ok || n > 0 && n > replacements(d) {
-			return m, ErrDesc // half of a surrogate pair: not everyone can read it
+			return m, ErrInvalidDescription // half of a surrogate pair: not everyone can read it
 		}
 		m.Desc = bytes.Clone(bytes.TrimSpace(d))
 	}
@@ -118,7 +118,7 @@
 	}
 	var all map[string]json.RawMessage
 	if json.Unmarshal(raw, &all) != nil || all == nil {
-		return ErrFields
+		return ErrInvalidFields
 	}
 	if len(all) > 0 {
 		m.Fields = make(map[string]string, len(all))
@@ -128,7 +128,7 @@
 		if !ok {
 			var n json.Number
 			if json.Unmarshal(v, &n) != nil || n == "" {
-				return ErrFields
+				return ErrInvalidFields
 			}
 			s = n.String()
 		}
@@ -163,8 +163,8 @@
 	return s != ""
 }
 
-// Number reads a field that holds a whole number from least to most.
-func (m *Message) Number(name string, least, most int64) (int64, bool) {
+// IntField reads a field that holds a whole number from least to most.
+func (m *Message) IntField(name string, least, most int64) (int64, bool) {
 	n, err := strconv.ParseInt(m.Fields[name], 10, 64)
 	return n, err == nil && n >= least && n <= most
 }
@@ -173,7 +173,7 @@
 type SetUp struct {
 	Ref        string
 	Class, Key []byte
-	Left       time.Duration
+	TimeLeft   time.Duration
 	Desc       []byte
 }
 
@@ -184,7 +184,7 @@
 	b = append(b, `","f":{"class":`...)
 	b = append(b, s.Class...)
 	b = append(b, `,"left":"`...)
-	b = strconv.AppendInt(b, max(1, s.Left.Milliseconds()), 10)
+	b = strconv.AppendInt(b, max(1, s.TimeLeft.Milliseconds()), 10)
 	b = append(b, '"')
 	if s.Key != nil {
 		b = append(b, `,"key":`...)
@@ -225,13 +225,13 @@
 	return append(b, "}\n"...)
 }
 
-// AppendTest adds a test, without a report.
-func AppendTest(b []byte, ref uint64) []byte {
+// AppendHeartbeat adds a test, without a report.
+func AppendHeartbeat(b []byte, ref uint64) []byte {
 	return fmt.Appendf(b, `{"t":"hb","ref":"%016x","f":{},"c":0}`+"\n", ref)
 }
 
-// AppendTested adds the answer to a test, with the reference of the test where it had one.
-func AppendTested(b []byte, ref string, passed bool) []byte {
+// AppendHeartbeatOK adds the answer to a test, with the reference of the test where it had one.
+func AppendHeartbeatOK(b []byte, ref string, passed bool) []byte {
 	b = append(b, `{"t":"hb_ok",`...)
 	if ref != "" {
 		b = append(b, `"ref":"`...)
--- a/internal/platform/bed_test.go
+++ b/internal/platform/bed_test.go
@@ -30,7 +30,7 @@
 )
 
 type wireLine struct {
-	to   Conn
+	to   ConnID
 	line string
 }
 
@@ -42,13 +42,13 @@
 	}
 	*Core
 	at       time.Duration
-	lines    map[Conn][]string
+	lines    map[ConnID][]string
 	wire     []wireLine // the same lines, in the order in which they were written
 	dials    []Dial
-	closed   map[Conn]bool
+	closed   map[ConnID]bool
 	exit     bool
-	switches map[byte]Conn // by last digit of the id
-	coord    Conn
+	switches map[byte]ConnID // by last digit of the id
+	coord    ConnID
 }
 
 func newBed(t interface {
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	b := &bed{t: t, Core: New(cfg, time.UnixMilli(1_700_000_000_000)), lines: map[Conn][]string{}, closed: map[Conn]bool{}, switches: map[byte]Conn{}}
+	b := &bed{t: t, Core: New(cfg, time.UnixMilli(1_700_000_000_000)), lines: map[ConnID][]string{}, closed: map[ConnID]bool{}, switches: map[byte]ConnID{}}
 	b.take()
 	return b
 }
@@ -129,14 +129,14 @@
 }
 
 // send hands lines to the proxy.
-func (b *bed) send(id Conn, lines ...string) {
+func (b *bed) send(id ConnID, lines ...string) {
 	b.Receive(b.at, id, []byte(strings.Join(lines, "\n")+"\n"))
 	b.take()
 }
 
 // round hands over what was found on several connections at once.
 func (b *bed) round(in ...Input) {
-	b.Round(b.at, in)
+	b.ProcessBatch(b.at, in)
 	b.take()
 }
 
@@ -145,7 +145,7 @@
 func (b *bed) pass(d time.Duration) {
 	until := b.at + d
 	for {
-		next, ok := b.Next()
+		next, ok := b.NextWakeUp()
 		if !ok || next > until {
 			break
 		}
@@ -158,14 +158,14 @@
 	b.take()
 }
 
-func (b *bed) accept() Conn {
+func (b *bed) accept() ConnID {
 	id := b.Accept(b.at)
 	b.take()
 	return id
 }
 
 // got takes the lines written to a connection.
-func (b *bed) got(id Conn) []jsonl.Message {
+func (b *bed) got(id ConnID) []jsonl.Message {
 	b.t.Helper()
 	var out []jsonl.Message
 	for _, l := range b.lines[id] {
@@ -180,7 +180,7 @@
 }
 
 // want takes the lines written to a connection and compares them in short: type, last digits of ref, cause.
-func (b *bed) want(id Conn, want ...string) []jsonl.Message {
+func (b *bed) want(id ConnID, want ...string) []jsonl.Message {
 	b.t.Helper()
 	got := b.got(id)
 	var short []string
@@ -189,7 +189,7 @@
 		if m.Ref != "" {
 			s += " " + strings.TrimLeft(m.Ref, "0")
 		}
-		if m.Type == jsonl.Down {
+		if m.Type == jsonl.TypeDown {
 			s += fmt.Sprintf(" %d", m.Cause)
 		}
 		short = append(short, s)
@@ -218,7 +218,7 @@
 
 // list tells a change of the list.
 func (b *bed) list(number uint64, entries ...coordinator.Entry) {
-	b.Receive(b.at, b.coord, coordinator.AppendFrame(nil, coordinator.Event{Number: number, Entries: entries}))
+	b.Receive(b.at, b.coord, coordinator.AppendFrame(nil, coordinator.Event{Index: number, Entries: entries}))
 	b.take()
 }
 
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -22,8 +22,8 @@
 // caller is a connection from callers.
 type caller struct {
 	core   *Core
-	id     Conn
-	lines  jsonl.Lines
+	id     ConnID
+	lines  jsonl.LineSplitter
 	opened time.Duration
 	used   time.Duration // last time a set-up was open on it
 	asked  bool          // has sent something good
@@ -39,20 +39,20 @@
 
 // Accept takes a connection from a caller; the runtime hands on what it brings under the handle. Over the budget of
 // descriptors the one that has been silent longest gives way.
-func (c *Core) Accept(now time.Duration) Conn {
+func (c *Core) Accept(now time.Duration) ConnID {
 	c.tell(now)
 	c.lastConn++
 	p := &caller{core: c, id: c.lastConn, opened: c.now, used: c.now}
 	c.callers[p.id] = p
 	if len(c.callers) > c.cfg.budget(len(c.switches)) {
-		c.Stats.TurnedAway++
+		c.Stats.EvictedCallers++
 		c.leastUsed().end(false)
 	}
 	return p.id
 }
 
-// MakeRoom ends the caller's connection whose loss costs least, if it bears no call: descriptors have run out.
-func (c *Core) MakeRoom(now time.Duration) {
+// EvictCaller ends the caller's connection whose loss costs least, if it bears no call: descriptors have run out.
+func (c *Core) EvictCaller(now time.Duration) {
 	c.tell(now)
 	c.makeRoom()
 }
@@ -62,7 +62,7 @@
 	if p == nil || p.open > 0 || p.stands > 0 {
 		return false
 	}
-	c.Stats.TurnedAway++
+	c.Stats.EvictedCallers++
 	p.end(false)
 	return true
 }
@@ -146,10 +146,10 @@
 	for _, k := range open {
 		if k.attempts == 0 {
 			p.core.Stats.Refused++
-			p.down(k.ref, jsonl.Congestion, p.core.stayAway())
+			p.down(k.ref, jsonl.CauseCongestion, p.core.stayAway())
 		} else {
 			p.core.Stats.Failed++
-			p.down(k.ref, jsonl.Temporary, 0)
+			p.down(k.ref, jsonl.CauseTemporaryFailure, 0)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	p.got, p.gotErr = nil, nil
 	givenUp := map[string]int{} // where the last give-up of a reference stands
 	for i := range got {
-		if got[i].Type == jsonl.Down {
+		if got[i].Type == jsonl.TypeDown {
 			givenUp[got[i].Ref] = i
 		}
 	}
@@ -196,9 +196,9 @@
 
 // bad answers what cannot be used with a failure, where it names a call, and ends the connection.
 func (p *caller) bad(ref string) {
-	p.core.Stats.BadCallers++
+	p.core.Stats.CallerErrors++
 	if ref != "" {
-		p.down(ref, jsonl.Temporary, 0)
+		p.down(ref, jsonl.CauseTemporaryFailure, 0)
 	}
 	p.end(true)
 }
@@ -213,14 +213,14 @@
 		return
 	}
 	switch m.Type {
-	case jsonl.New:
+	case jsonl.TypeNew:
 		p.setUp(&m.Message, givenUp)
-	case jsonl.Down:
+	case jsonl.TypeDown:
 		p.release(&m.Message)
-	case jsonl.Test:
+	case jsonl.TypeHeartbeat:
 		p.asked, p.used = true, p.core.now
-		p.core.line(p.id, func(b []byte) []byte { return jsonl.AppendTested(b, m.Ref, p.core.Ready()) })
-	case jsonl.Ack, jsonl.Wait, jsonl.Tested:
+		p.core.line(p.id, func(b []byte) []byte { return jsonl.AppendHeartbeatOK(b, m.Ref, p.core.Ready()) })
+	case jsonl.TypeAck, jsonl.TypeWait, jsonl.TypeHeartbeatOK:
 	default:
 		p.bad(m.Ref)
 	}
@@ -245,7 +245,7 @@
 // read checks a set-up's fields. Nothing that a switch could not read gets past it.
 func (p *caller) read(m *jsonl.Message) (o offer, ok bool) {
 	class, known := p.core.classes[m.Fields["class"]]
-	left, good := m.Number("left", 0, mostLeft)
+	left, good := m.IntField("left", 0, mostLeft)
 	if !known || !good || len(m.Desc) > mostDesc {
 		return o, false
 	}
@@ -337,8 +337,8 @@
 		return
 	}
 	if !ok {
-		c.Stats.BadCallers++
-		p.down(m.Ref, jsonl.Temporary, 0)
+		c.Stats.CallerErrors++
+		p.down(m.Ref, jsonl.CauseTemporaryFailure, 0)
 		return
 	}
 	if o.isAt {
@@ -347,13 +347,13 @@
 	}
 	p.asked, p.used = true, c.now
 	if givenUp || p.gone { // nobody waits for it any more
-		c.Stats.Left++
+		c.Stats.Abandoned++
 		return
 	}
 	c.sendHomeless(p)
 	if most := c.cfg.Setup.MaxOpenCalls; most > 0 && c.open >= most || c.isClosing() {
 		c.Stats.Refused++
-		p.down(m.Ref, jsonl.Congestion, c.stayAway())
+		p.down(m.Ref, jsonl.CauseCongestion, c.stayAway())
 		return
 	}
 	c.offer(p, m, o)
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -71,12 +71,12 @@
 
 func (c *Core) refuse(a decide.Refuse) {
 	c.Stats.Refused++
-	c.answerDown(a.Call, jsonl.Congestion, a.RetryAfter)
+	c.answerDown(a.Call, jsonl.CauseCongestion, a.RetryAfter)
 }
 
 func (c *Core) fail(id decide.CallID) {
 	c.Stats.Failed++
-	c.answerDown(id, jsonl.Temporary, 0)
+	c.answerDown(id, jsonl.CauseTemporaryFailure, 0)
 }
 
 // answerDown gives a call its final answer.
@@ -97,7 +97,7 @@
 
 // left takes in that callers wait no longer for their calls.
 func (c *Core) left(list []*call) {
-	c.Stats.Left += uint64(len(list))
+	c.Stats.Abandoned += uint64(len(list))
 	c.giveUp(list)
 }
 
@@ -190,7 +190,7 @@
 	k := a.call
 	a.on = l
 	l.out[k.ref] = a
-	s := jsonl.SetUp{Ref: k.ref, Class: c.quoted[k.class], Key: k.key, Left: a.limit - c.now, Desc: k.desc}
+	s := jsonl.SetUp{Ref: k.ref, Class: c.quoted[k.class], Key: k.key, TimeLeft: a.limit - c.now, Desc: k.desc}
 	c.line(l.id, s.Append)
 	l.expect()
 	a.timer.Value = func() { c.cancel(a, decide.TimedOut) }
@@ -206,7 +206,7 @@
 	}
 	if a.on.out[a.call.ref] == a {
 		delete(a.on.out, a.call.ref)
-		a.on.down(a.call.ref, jsonl.Normal)
+		a.on.down(a.call.ref, jsonl.CauseNormal)
 	}
 }
 
@@ -226,7 +226,7 @@
 		delete(a.on.out, k.ref)
 	}
 	k.out = nil
-	c.Stats.Ends[e.Outcome]++
+	c.Stats.AttemptOutcomes[e.Outcome]++
 	e.Call, e.Attempt, e.Exchange, e.Took = k.id, a.no, a.to.id, c.now-a.began
 	e.Concluded = c.byID[k.id] == nil
 	c.feed(e)
@@ -261,7 +261,7 @@
 // released takes the switch's release of a standing call in and passes it on.
 func (c *Core) released(k *call, cause int, r decide.Report) {
 	o := decide.Completed
-	if cause != jsonl.Normal {
+	if cause != jsonl.CauseNormal {
 		o = decide.Cut
 	}
 	c.tellCaller(k, cause)
@@ -281,7 +281,7 @@
 	if e, known := c.early[ref]; known || to == nil {
 		delete(c.early, ref)
 		if !known {
-			e.cause = jsonl.Temporary
+			e.cause = jsonl.CauseTemporaryFailure
 		}
 		p.down(ref, e.cause, 0)
 		return
@@ -290,7 +290,7 @@
 	c.calls[ref] = k
 	to.standing++
 	p.stands++
-	k.timer.Value = func() { c.released(k, jsonl.Temporary, decide.NoReport) }
+	k.timer.Value = func() { c.released(k, jsonl.CauseTemporaryFailure, decide.NoReport) }
 	c.queue.Set(&k.timer, c.now+adoptedFor)
 	to.keepUp()
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -25,8 +25,8 @@
 	Memory      int64 // bytes; 0 is no limit
 	Sockets     int   // descriptors
 	Setup       wire.InstanceSettings
-	Known       []coordinator.Event
-	Last        uint64 // number of the last event known
+	KnownEvents []coordinator.Event
+	LastIndex   uint64 // number of the last event known
 }
 
 const leastSockets = 64 // descriptors; with fewer nothing sensible can be held
@@ -63,7 +63,7 @@
 		c.Setup, errs[3] = wire.ParseSettings(t.Settings)
 	}
 	if len(t.Known) > 0 {
-		c.Known, c.Last, errs[4] = coordinator.ParseKnown(t.Known, c.Setup.ZoneNames)
+		c.KnownEvents, c.LastIndex, errs[4] = coordinator.ParseSnapshot(t.Known, c.Setup.ZoneNames)
 	}
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Listen != listen || c.Coordinator != coordinator || c.Seed != 1 || c.Cores != 1 || c.Memory != 64<<20 ||
-		c.Sockets != 70 || c.Last != 1 || len(c.Known) != 1 || len(c.Setup.Settings.Classes) != 1 {
+		c.Sockets != 70 || c.LastIndex != 1 || len(c.KnownEvents) != 1 || len(c.Setup.Settings.Classes) != 1 {
 		t.Errorf("read %+v", c)
 	}
 }
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -12,17 +12,17 @@
 	"pipitring/internal/timers"
 )
 
-// Conn is the handle of a connection; 0 is none.
-type Conn uint64
+// ConnID is the handle of a connection; 0 is none.
+type ConnID uint64
 
-// DialError tells how dialling a connection failed.
-type DialError uint8
+// DialFailure tells how dialling a connection failed.
+type DialFailure uint8
 
 // Kinds of DialError.
 const (
-	Silent  DialError = iota // not up in time
-	Refused                  // nobody listens there: the process is dead
-	NoRoom                   // our own want of descriptors: it says nothing of the far end
+	DialTimedOut      DialFailure = iota // not up in time
+	DialRefused                          // nobody listens there: the process is dead
+	DialNoDescriptors                    // our own want of descriptors: it says nothing of the far end
 )
 
 // Output is something that the runtime has to do: one of the types below.
@@ -31,32 +31,32 @@
 type (
 	// Write sends bytes on a connection.
 	Write struct {
-		Conn  Conn
+		Conn  ConnID
 		Bytes []byte
 	}
 	// Close ends a connection. Gently, what was written is still delivered: this side ends first and reads on for
 	// a short while.
 	Close struct {
-		Conn   Conn
-		Gently bool
+		Conn     ConnID
+		Graceful bool
 	}
 	// Dial asks for a connection that goes by Conn from now on.
 	Dial struct {
-		Conn Conn
-		To   netip.AddrPort
-		Wait time.Duration
+		Conn    ConnID
+		To      netip.AddrPort
+		Timeout time.Duration
 	}
-	// Note is a line for the log.
-	Note struct{ Text string }
+	// LogLine is a line for the log.
+	LogLine struct{ Text string }
 	// Exit ends the process: it was told to stop, nothing is open and no more can be coming.
 	Exit struct{}
 )
 
-func (Write) output() {}
-func (Close) output() {}
-func (Dial) output()  {}
-func (Note) output()  {}
-func (Exit) output()  {}
+func (Write) output()   {}
+func (Close) output()   {}
+func (Dial) output()    {}
+func (LogLine) output() {}
+func (Exit) output()    {}
 
 // Limits that no setting names.
 const (
@@ -77,11 +77,11 @@
 
 // Stats count what a proxy does.
 type Stats struct {
-	Calls, Answered, Refused, Failed, Left uint64
-	Attempts                               uint64
-	Ends                                   [decide.NotSent + 1]uint64 // of attempts before an answer, by outcome
-	Adopted                                uint64                     // taken over by 'at'
-	BadCallers, BadSwitches, TurnedAway    uint64
+	Calls, Answered, Refused, Failed, Abandoned uint64
+	Attempts                                    uint64
+	AttemptOutcomes                             [decide.NotSent + 1]uint64 // of attempts before an answer, by outcome
+	Adopted                                     uint64                     // taken over by 'at'
+	CallerErrors, SwitchErrors, EvictedCallers  uint64
 }
 
 // reportEvery is how often the log gets a line of counts and one of what is believed of each far end.
@@ -93,25 +93,25 @@
 	s := &c.Stats
 	c.note(fmt.Sprintf("calls %d: answered %d, refused %d, failed %d, left %d; open %d, held %d, known %d, adopted %d; attempts %d, ended %v; "+
 		"callers' connections %d, bad %d, turned away %d; switches' connections %d, bad %d", s.Calls, s.Answered, s.Refused, s.Failed,
-		s.Left, c.open, c.Held(), len(c.calls), s.Adopted, s.Attempts, s.Ends, len(c.callers), s.BadCallers, s.TurnedAway, len(c.links), s.BadSwitches))
+		s.Abandoned, c.open, c.QueuedCalls(), len(c.calls), s.Adopted, s.Attempts, s.AttemptOutcomes, len(c.callers), s.CallerErrors, s.EvictedCallers, len(c.links), s.SwitchErrors))
 	text := "believed:"
-	for _, b := range c.Beliefs(c.now) {
+	for _, b := range c.Estimates(c.now) {
 		text += " [" + b.String() + "]"
 	}
 	c.note(text)
 }
 
-// Beliefs is what the module holds true of each far end.
-func (c *Core) Beliefs(now time.Duration) []decide.Estimate {
+// Estimates is what the module holds true of each far end.
+func (c *Core) Estimates(now time.Duration) []decide.Estimate {
 	c.tell(now)
 	return c.ctl.Estimates(c.moduleTime())
 }
 
-// Held is the number of calls that wait for a circuit or their turn.
-func (c *Core) Held() int { return c.ctl.QueuedCalls() }
+// QueuedCalls is the number of calls that wait for a circuit or their turn.
+func (c *Core) QueuedCalls() int { return c.ctl.QueuedCalls() }
 
-// Callers is the number of callers' connections.
-func (c *Core) Callers() int { return len(c.callers) }
+// CallerConnections is the number of callers' connections.
+func (c *Core) CallerConnections() int { return len(c.callers) }
 
 // Core is the state of one proxy. All times are since its start; it is not safe for concurrent use.
 type Core struct {
@@ -125,7 +125,7 @@
 	queue timers.Queue[func()]
 
 	outs     []Output
-	lastConn Conn
+	lastConn ConnID
 
 	pending []decide.Event
 	feeding bool
@@ -135,13 +135,13 @@
 	open     int // owed an answer
 	lastCall decide.CallID
 
-	callers  map[Conn]*caller
+	callers  map[ConnID]*caller
 	homeless []string // lines for callers that have no connection
 	classes  map[string]int
 	quoted   [][]byte // names of the classes as JSON strings
 
 	switches map[decide.ExchangeID]*far
-	links    map[Conn]*link
+	links    map[ConnID]*link
 	early    map[string]early
 
 	coord    listFeed
@@ -161,22 +161,22 @@
 // New makes a proxy at time 0, which is wall on the wall's clock.
 func New(cfg *Config, wall time.Time) *Core {
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), wall: wall, ctl: decide.New(cfg.Setup.Settings, cfg.Seed),
-		calls: map[string]*call{}, byID: map[decide.CallID]*call{}, callers: map[Conn]*caller{}, classes: map[string]int{},
-		switches: map[decide.ExchangeID]*far{}, links: map[Conn]*link{}, early: map[string]early{}}
+		calls: map[string]*call{}, byID: map[decide.CallID]*call{}, callers: map[ConnID]*caller{}, classes: map[string]int{},
+		switches: map[decide.ExchangeID]*far{}, links: map[ConnID]*link{}, early: map[string]early{}}
 	for i, name := range cfg.Setup.ClassNames {
 		c.classes[name] = i
 		c.quoted = append(c.quoted, jsonl.Quote(name))
 	}
-	c.takeList(decide.ListCached, cfg.Known)
-	c.coord.begin(c, cfg.Last)
+	c.takeList(decide.ListCached, cfg.KnownEvents)
+	c.coord.begin(c, cfg.LastIndex)
 	c.keeper.Value = c.keepHouse
 	c.queue.Set(&c.keeper, c.jitter(houseKeeping))
 	c.after(reportEvery, c.reportLine)
 	return c
 }
 
-// Next is when Advance is wanted.
-func (c *Core) Next() (time.Duration, bool) { return c.queue.Next() }
+// NextWakeUp is when Advance is wanted.
+func (c *Core) NextWakeUp() (time.Duration, bool) { return c.queue.Next() }
 
 // Advance does what is due.
 func (c *Core) Advance(now time.Duration) {
@@ -202,7 +202,7 @@
 }
 
 // line writes to a connection: the build function appends the bytes.
-func (c *Core) line(id Conn, build func(b []byte) []byte) {
+func (c *Core) line(id ConnID, build func(b []byte) []byte) {
 	if n := len(c.outs); n > 0 {
 		if w, ok := c.outs[n-1].(Write); ok && w.Conn == id {
 			c.outs[n-1] = Write{id, build(w.Bytes)}
@@ -213,15 +213,15 @@
 }
 
 // close asks for a connection's end, behind what was written to it.
-func (c *Core) close(id Conn, gently bool) { c.outs = append(c.outs, Close{id, gently}) }
+func (c *Core) close(id ConnID, gently bool) { c.outs = append(c.outs, Close{id, gently}) }
 
-func (c *Core) dial(to netip.AddrPort, wait time.Duration) Conn {
+func (c *Core) dial(to netip.AddrPort, wait time.Duration) ConnID {
 	c.lastConn++
 	c.outs = append(c.outs, Dial{c.lastConn, to, wait})
 	return c.lastConn
 }
 
-func (c *Core) note(text string) { c.outs = append(c.outs, Note{text}) }
+func (c *Core) note(text string) { c.outs = append(c.outs, LogLine{text}) }
 
 // moduleTime is now on the module's clock.
 func (c *Core) moduleTime() time.Duration { return c.now + clockAhead }
@@ -273,7 +273,7 @@
 func (c *Core) takeList(kind decide.ListKind, events []coordinator.Event) {
 	for _, ev := range events {
 		list := decide.ListUpdate{Kind: decide.ListChanges}
-		if ev.Whole {
+		if ev.Full {
 			list.Kind = kind
 		}
 		for _, e := range ev.Entries {
--- a/internal/platform/departed_test.go
+++ b/internal/platform/departed_test.go
@@ -14,7 +14,7 @@
 func TestAGiveUpInTheSamePiece(t *testing.T) {
 	b := upBed(t)
 	p, sw := b.accept(), b.switches[1]
-	b.round(Input{Conn: p, What: Brought, Bytes: piece(setUp(7, 1, ""))}, Input{Conn: p, What: Brought, Bytes: piece(down(7, 16, ""), down(7, 16, ""))})
+	b.round(Input{Conn: p, Kind: InputData, Bytes: piece(setUp(7, 1, ""))}, Input{Conn: p, Kind: InputData, Bytes: piece(down(7, 16, ""), down(7, 16, ""))})
 	b.want(sw)
 	b.send(p, setUp(1, 1, ""), setUp(2, 1, ""), down(1, 16, ""), setUp(3, 1, ""), down(9, 16, ""), down(3, 16, ""))
 	b.want(sw, "new 2")
@@ -41,7 +41,7 @@
 	b.want(sw, "new 1", "new 2", "new 3", "new 4")
 	b.want(p, "up 1")
 	b.want(q, "up 3", "up 4")
-	b.round(Input{Conn: p, What: Brought, Bytes: piece(setUp(5, 1, ""), down(3, 16, ""), setUp(6, 1, "")), Gone: true}, Input{Conn: p, What: Ended})
+	b.round(Input{Conn: p, Kind: InputData, Bytes: piece(setUp(5, 1, ""), down(3, 16, ""), setUp(6, 1, "")), EOF: true}, Input{Conn: p, Kind: InputClosed})
 	b.want(sw, "down 2 16", "down 3 16")
 	b.want(p)
 	b.send(sw, down(1, 16, "")) // its own connection has gone
@@ -56,32 +56,32 @@
 // has gone or given up, to a switch told to drain, or on a connection that is lost; and an answer that crosses a give-up
 // is not passed on.
 func TestARoundIsTakenByWhatItMeans(t *testing.T) {
-	drain := coordinator.AppendFrame(nil, coordinator.Event{Number: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
+	drain := coordinator.AppendFrame(nil, coordinator.Event{Index: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
 	free := piece(`{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
 	for name, c := range map[string]struct {
-		late   func(b *bed, p Conn) []Input
+		late   func(b *bed, p ConnID) []Input
 		caller string // what the caller of call 2 is told
 		out    string // what its switch is told
 	}{
-		"a circuit is free, the caller gone": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: b.switches[1], What: Brought, Bytes: free}, {Conn: p, What: Ended}}
+		"a circuit is free, the caller gone": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputClosed}}
 		}, "", ""},
-		"a circuit is free, the call given up": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: b.switches[1], What: Brought, Bytes: free}, {Conn: p, What: Brought, Bytes: piece(down(2, 16, ""))}}
+		"a circuit is free, the call given up": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputData, Bytes: piece(down(2, 16, ""))}}
 		}, "", ""},
-		"a circuit is free": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: b.switches[1], What: Brought, Bytes: free}}
+		"a circuit is free": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}}
 		}, "", "new 2"},
-		"a circuit is free, the switch drains": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: b.switches[1], What: Brought, Bytes: free}, {Conn: b.coord, What: Brought, Bytes: drain}}
+		"a circuit is free, the switch drains": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: b.coord, Kind: InputData, Bytes: drain}}
 		}, "", ""},
-		"asked beside a drain": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: p, What: Brought, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.coord, What: Brought, Bytes: drain},
-				{Conn: b.switches[1], What: Brought, Bytes: free}}
+		"asked beside a drain": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: p, Kind: InputData, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.coord, Kind: InputData, Bytes: drain},
+				{Conn: b.switches[1], Kind: InputData, Bytes: free}}
 		}, "", ""},
-		"asked beside a loss": {func(b *bed, p Conn) []Input {
-			return []Input{{Conn: p, What: Brought, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.switches[1], What: Brought, Bytes: free},
-				{Conn: b.switches[1], What: Ended}}
+		"asked beside a loss": {func(b *bed, p ConnID) []Input {
+			return []Input{{Conn: p, Kind: InputData, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.switches[1], Kind: InputData, Bytes: free},
+				{Conn: b.switches[1], Kind: InputClosed}}
 		}, "down 2", "new 2"},
 	} {
 		b := upBed(t)
@@ -90,7 +90,7 @@
 			b.send(l, `{"t":"gauge","f":{"load":"idle:0;circuits:10"}}`)
 		}
 		b.send(p, setUp(2, 1, ""))
-		if b.Held() != 1 {
+		if b.QueuedCalls() != 1 {
 			t.Fatal("the call is not held")
 		}
 		b.round(c.late(b, p)...)
@@ -116,8 +116,8 @@
 	fresh.Started = b.wall.UnixMilli()
 	b.list(2, fresh)
 	n := 0
-	for b.Held() == 0 || len(b.lines[sw]) == 0 {
-		if b.Held() == 1 { // not one out yet: its turn comes
+	for b.QueuedCalls() == 0 || len(b.lines[sw]) == 0 {
+		if b.QueuedCalls() == 1 { // not one out yet: its turn comes
 			b.pass(10 * ms)
 			continue
 		}
@@ -126,9 +126,9 @@
 	}
 	out := len(b.got(sw))
 	b.at += 900 * ms // the waiting call's patience is longer
-	b.round(Input{Conn: p, What: Ended})
+	b.round(Input{Conn: p, Kind: InputClosed})
 	for _, m := range b.got(sw) {
-		if m.Type == jsonl.New {
+		if m.Type == jsonl.TypeNew {
 			t.Fatalf("of %d calls %d were out; %s left for a caller that had gone", n, out, m.Ref)
 		}
 	}
@@ -147,15 +147,15 @@
 		b.send(p, setUp(n, 1, ""))
 		b.pass(100 * ms)
 	}
-	for n, held := 100, b.Held(); b.Held() == held; n++ {
+	for n, held := 100, b.QueuedCalls(); b.QueuedCalls() == held; n++ {
 		b.send(q, setUp(n, 1, ""))
 	}
 	b.got(sw)
 	b.at += 900 * ms
-	b.round(Input{Conn: p, What: Ended},
-		Input{Conn: b.coord, What: Brought, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Number: 3, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})})
+	b.round(Input{Conn: p, Kind: InputClosed},
+		Input{Conn: b.coord, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: 3, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})})
 	for _, m := range b.got(sw) {
-		if m.Type == jsonl.New {
+		if m.Type == jsonl.TypeNew {
 			t.Fatalf("%s left for a switch told to drain", m.Ref)
 		}
 	}
@@ -174,7 +174,7 @@
 	b.Closed(b.at, b.switches[1]) // its calls stand on
 	b.send(p, setUp(2, 1, ""))
 	d := b.dialled()
-	b.NotConnected(b.at, d[0].Conn, NoRoom)
+	b.DialFailed(b.at, d[0].Conn, DialNoDescriptors)
 	b.take()
 	if !b.closed[silent] || b.closed[p] {
 		t.Fatalf("ended: the silent caller %t, the usual one %t", b.closed[silent], b.closed[p])
--- a/internal/platform/listfeed.go
+++ b/internal/platform/listfeed.go
@@ -21,15 +21,15 @@
 type listFeed struct {
 	core   *Core
 	addr   netip.AddrPort
-	frames coordinator.Frames
-	conn   Conn // 0 is none
+	frames coordinator.Decoder
+	conn   ConnID // 0 is none
 	up     bool
 	heard  time.Duration
 	pause  time.Duration
 }
 
 func (l *listFeed) begin(c *Core, last uint64) {
-	l.core, l.addr, l.frames.Last = c, c.cfg.Coordinator, last
+	l.core, l.addr, l.frames.LastIndex = c, c.cfg.Coordinator, last
 	l.connect()
 }
 
@@ -82,13 +82,13 @@
 	}
 	l.core.takeList(decide.ListFull, events)
 	if err != nil {
-		l.frames.Jump = err == coordinator.ErrGap && !l.frames.Jump
+		l.frames.AllowGap = err == coordinator.ErrMissingEvents && !l.frames.AllowGap
 		l.drop(err.Error())
 	}
 }
 
-// Move takes another address of the coordinator over; the numbers go on.
-func (c *Core) Move(now time.Duration, to netip.AddrPort) {
+// SetCoordinator takes another address of the coordinator over; the numbers go on.
+func (c *Core) SetCoordinator(now time.Duration, to netip.AddrPort) {
 	c.tell(now)
 	if to == c.coord.addr {
 		return
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -121,9 +121,9 @@
 }
 
 func TestACallerThatLeavesHasItsAttemptCalledOff(t *testing.T) {
-	for name, leave := range map[string]func(b *bed, p Conn){
-		"says so": func(b *bed, p Conn) { b.send(p, down(1, 16, "")) },
-		"closes":  func(b *bed, p Conn) { b.Closed(b.at, p); b.take() },
+	for name, leave := range map[string]func(b *bed, p ConnID){
+		"says so": func(b *bed, p ConnID) { b.send(p, down(1, 16, "")) },
+		"closes":  func(b *bed, p ConnID) { b.Closed(b.at, p); b.take() },
 	} {
 		b := upBed(t)
 		p := b.accept()
@@ -134,7 +134,7 @@
 		b.send(b.switches[1], up(1))
 		b.want(p)
 		b.quiet()
-		if b.Stats.Left != 1 {
+		if b.Stats.Abandoned != 1 {
 			t.Errorf("%s: %+v", name, b.Stats)
 		}
 	}
@@ -150,8 +150,8 @@
 		b.pass(at)
 		b.send(p, down(1, 16, ""))
 		b.want(b.switches[1], "new 1", "down 1 16")
-		if b.Stats.Ends[want] != 1 {
-			t.Errorf("left after %v: ends %v, want one of kind %d", at, b.Stats.Ends, want)
+		if b.Stats.AttemptOutcomes[want] != 1 {
+			t.Errorf("left after %v: ends %v, want one of kind %d", at, b.Stats.AttemptOutcomes, want)
 		}
 		b.quiet()
 	}
@@ -184,7 +184,7 @@
 		b.want(b.switches[1], "new 7")
 		b.send(p, c.line)
 		got := b.got(p)
-		if answered := len(got) == 1 && got[0].Type == jsonl.Down && got[0].Ref == ref(1); answered != c.answer || len(got) > 1 || b.closed[p] != c.closed {
+		if answered := len(got) == 1 && got[0].Type == jsonl.TypeDown && got[0].Ref == ref(1); answered != c.answer || len(got) > 1 || b.closed[p] != c.closed {
 			t.Errorf("%.80q: answers %+v, closed %v", c.line, got, b.closed[p])
 		}
 		b.want(b.switches[1])
@@ -341,7 +341,7 @@
 // a fleet's connections anew.
 func TestChangesToldOnAllConnectionsLeaveThemAlone(t *testing.T) {
 	b := upBed(t)
-	links := []Conn{b.switches[1]}
+	links := []ConnID{b.switches[1]}
 	for range 2 {
 		b.pass(300 * ms)
 		if len(b.dialled()) > 0 {
@@ -393,7 +393,7 @@
 }
 
 // standAt1 brings a call up that stands at switch 1.
-func standAt1(b *bed) (p Conn) {
+func standAt1(b *bed) (p ConnID) {
 	p = b.accept()
 	b.send(p, setUp(1, 1, ""))
 	b.send(b.switches[1], up(1))
@@ -444,21 +444,21 @@
 		t.Fatalf("%d connections asked for", len(d))
 	}
 	b.want(p) // a reset alone ends no standing call
-	b.NotConnected(b.at, d[0].Conn, Refused)
+	b.DialFailed(b.at, d[0].Conn, DialRefused)
 	b.take()
 	b.want(p, "down 1 41")
 	b.quiet()
 }
 
 // dialsEnd has every connection to a switch that is asked for end in the same way, for a time or until a caller hears.
-func (b *bed) dialsEnd(why DialError, d time.Duration, p Conn) {
+func (b *bed) dialsEnd(why DialFailure, d time.Duration, p ConnID) {
 	for until := b.at + d; b.at < until && len(b.lines[p]) == 0; b.pass(50 * ms) {
 		for _, d := range b.dialled() {
 			if d.To.Port() != 7070 {
-				if why == Silent {
-					b.pass(d.Wait)
+				if why == DialTimedOut {
+					b.pass(d.Timeout)
 				}
-				b.NotConnected(b.at, d.Conn, why)
+				b.DialFailed(b.at, d.Conn, why)
 			}
 		}
 	}
@@ -472,7 +472,7 @@
 	reset := b.at
 	b.Closed(b.at, b.switches[1])
 	b.take()
-	b.dialsEnd(Silent, 10*time.Second, p)
+	b.dialsEnd(DialTimedOut, 10*time.Second, p)
 	b.want(p, "down 1 41")
 	if after := b.at - reset; after < time.Second || after > 4*time.Second {
 		t.Fatalf("over after %v", after)
@@ -481,7 +481,7 @@
 }
 
 // drainingAt1 has a call stand at a switch that drains: it takes no new connection, and has two.
-func drainingAt1(t *testing.T) (b *bed, p Conn, links [2]Conn) {
+func drainingAt1(t *testing.T) (b *bed, p ConnID, links [2]ConnID) {
 	b = upBed(t)
 	links[0] = b.switches[1]
 	p = standAt1(b)
@@ -493,9 +493,9 @@
 }
 
 // answerTests has the switch pass the tests that are asked on a connection, and counts them.
-func (b *bed) answerTests(id Conn) (n int) {
+func (b *bed) answerTests(id ConnID) (n int) {
 	for _, m := range b.got(id) {
-		if m.Type == jsonl.Test {
+		if m.Type == jsonl.TypeHeartbeat {
 			b.send(id, fmt.Sprintf(`{"t":"hb_ok","ref":"%s","f":{},"c":1}`, m.Ref))
 			n++
 		}
@@ -509,7 +509,7 @@
 	b, p, links := drainingAt1(t)
 	tests := 0
 	for i := range 400 {
-		b.dialsEnd(Refused, 50*ms, p)
+		b.dialsEnd(DialRefused, 50*ms, p)
 		tests += b.answerTests(links[1])
 		if i == 100 {
 			b.Closed(b.at, links[0])
@@ -528,12 +528,12 @@
 // seems open nothing comes: the calls are over within 3 s.
 func TestASwitchThatDiedBehindASilentConnection(t *testing.T) {
 	b, p, links := drainingAt1(t)
-	b.dialsEnd(Refused, 3*time.Second, p)
+	b.dialsEnd(DialRefused, 3*time.Second, p)
 	b.want(p)
 	died := b.at
 	b.Closed(b.at, links[0])
 	b.take()
-	b.dialsEnd(Refused, 10*time.Second, p)
+	b.dialsEnd(DialRefused, 10*time.Second, p)
 	b.want(p, "down 1 41")
 	if after := b.at - died; after > 3*time.Second || !b.closed[links[1]] {
 		t.Fatalf("over after %v, the silent connection closed: %t", after, b.closed[links[1]])
@@ -548,8 +548,8 @@
 		b.pass(100 * ms)
 		for _, d := range b.dialled() {
 			if d.To.Port() != 7070 {
-				b.pass(d.Wait)
-				b.NotConnected(b.at, d.Conn, Silent)
+				b.pass(d.Timeout)
+				b.DialFailed(b.at, d.Conn, DialTimedOut)
 			}
 		}
 		if b.at > 8*time.Second {
@@ -604,7 +604,7 @@
 	b.connect(d[0])
 	b.want(d[0].Conn)
 	b.pass(time.Second)
-	if m := b.got(p); len(m) != 1 || m[0].Type != jsonl.Down {
+	if m := b.got(p); len(m) != 1 || m[0].Type != jsonl.TypeDown {
 		t.Fatalf("%+v", m)
 	}
 	b.quiet()
@@ -619,7 +619,7 @@
 	b.pass(499 * ms)
 	b.want(p)
 	b.pass(40 * ms)
-	if m := b.got(p); len(m) != 1 || m[0].Type != jsonl.Down {
+	if m := b.got(p); len(m) != 1 || m[0].Type != jsonl.TypeDown {
 		t.Fatalf("%+v", m)
 	}
 	b.quiet()
@@ -702,12 +702,12 @@
 }
 
 func TestTheCoordinatorIsAskedAgain(t *testing.T) {
-	frame := coordinator.AppendFrame(nil, coordinator.Event{Number: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
+	frame := coordinator.AppendFrame(nil, coordinator.Event{Index: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
 	for name, lose := range map[string]func(b *bed){
 		"broken in an event": func(b *bed) { b.Receive(b.at, b.coord, frame[:9]); b.Closed(b.at, b.coord) },
 		"silent":             func(b *bed) { b.pass(listSilence + 2*houseKeeping) },
 		"spoilt":             func(b *bed) { b.Receive(b.at, b.coord, []byte{0xff, 0xff, 0xff, 0xff}) },
-		"moved":              func(b *bed) { b.Move(b.at, entry(0, 0, 99, 0).Addr) },
+		"moved":              func(b *bed) { b.SetCoordinator(b.at, entry(0, 0, 99, 0).Addr) },
 	} {
 		b := upBed(t)
 		lose(b)
@@ -743,7 +743,7 @@
 			for _, o := range c.Outputs() {
 				if d, ok := o.(Dial); ok && d.To.Port() == 7070 {
 					at = append(at, now)
-					c.NotConnected(now, d.Conn, Refused)
+					c.DialFailed(now, d.Conn, DialRefused)
 				}
 			}
 		}
@@ -784,12 +784,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := upBed(t)
 		type seen struct {
-			from           Conn
+			from           ConnID
 			left, up, down bool
-			outAt          Conn // connection of the attempt that is out
+			outAt          ConnID // connection of the attempt that is out
 		}
 		calls := map[string]*seen{}
-		callers := []Conn{b.accept(), b.accept()}
+		callers := []ConnID{b.accept(), b.accept()}
 		number, next, index := 0, uint64(2), 1
 		pump := func() {
 			b.take()
@@ -799,7 +799,7 @@
 					t.Fatalf("the proxy wrote %q: %v", w.line, err)
 				}
 				id, k := w.to, calls[m.Ref]
-				if m.Type == jsonl.Test {
+				if m.Type == jsonl.TypeHeartbeat {
 					continue
 				}
 				if k == nil {
@@ -807,7 +807,7 @@
 				}
 				isCaller := id == callers[0] || id == callers[1]
 				switch {
-				case m.Type == jsonl.New:
+				case m.Type == jsonl.TypeNew:
 					if k.outAt != 0 && b.links[k.outAt] != nil {
 						t.Fatalf("%s is out twice", m.Ref)
 					}
@@ -815,17 +815,17 @@
 						t.Fatalf("%s goes out after its end", m.Ref)
 					}
 					k.outAt = id
-				case isCaller && m.Type == jsonl.Up:
+				case isCaller && m.Type == jsonl.TypeUp:
 					if k.up || k.down || k.left {
 						t.Fatalf("a second answer to %s", m.Ref)
 					}
 					k.up, k.outAt = true, 0
-				case isCaller && m.Type == jsonl.Down:
+				case isCaller && m.Type == jsonl.TypeDown:
 					if k.down || k.left && !k.up {
 						t.Fatalf("a second end of %s", m.Ref)
 					}
 					k.down = true
-				case !isCaller && m.Type == jsonl.Down:
+				case !isCaller && m.Type == jsonl.TypeDown:
 					if k.outAt == id {
 						k.outAt = 0
 					}
@@ -901,7 +901,7 @@
 					if d.To.Port() == 7070 || rapid.IntRange(0, 3).Draw(t, "comes up") > 0 {
 						b.connect(d)
 					} else {
-						b.NotConnected(b.at, d.Conn, Refused)
+						b.DialFailed(b.at, d.Conn, DialRefused)
 					}
 				}
 			}
--- a/internal/platform/round.go
+++ b/internal/platform/round.go
@@ -7,32 +7,32 @@
 	"pipitring/internal/jsonl"
 )
 
-// News is what happened on a connection.
-type News uint8
+// InputKind is what happened on a connection.
+type InputKind uint8
 
 // Kinds of News.
 const (
-	Opened  News = iota // one that was dialled is up
-	Brought             // bytes
-	Ended               // the other end closed it, or it broke
+	InputOpened InputKind = iota // one that was dialled is up
+	InputData                    // bytes
+	InputClosed                  // the other end closed it, or it broke
 )
 
 // Input is one piece of news.
 type Input struct {
-	Conn  Conn
-	What  News
+	Conn  ConnID
+	Kind  InputKind
 	Bytes []byte
-	Gone  bool // a caller's end was seen behind its bytes; Ended follows, maybe in a later round
+	EOF   bool // a caller's end was seen behind its bytes; Ended follows, maybe in a later round
 }
 
-// Round takes in what was found on all connections at once, and then does what is due. What is found together may have
+// ProcessBatch takes in what was found on all connections at once, and then does what is due. What is found together may have
 // waited for any time, in any order, so the order is by what it means: departures and give-ups of callers, then the
 // list's news, then switches, then what callers ask for. So no set-up leaves for a caller that has gone, to a switch known
 // to drain or on a connection known to be lost, because of the order in which sockets happen to be read.
-func (c *Core) Round(now time.Duration, in []Input) {
+func (c *Core) ProcessBatch(now time.Duration, in []Input) {
 	c.tell(now)
 	gone := c.departures(in)
-	c.Stats.Left += uint64(len(gone))
+	c.Stats.Abandoned += uint64(len(gone))
 	c.dismiss(gone)
 	var list, switches, callers []Input
 	for _, i := range in {
@@ -54,16 +54,16 @@
 
 func (c *Core) take(in []Input) {
 	for _, i := range in {
-		switch i.What {
-		case Opened:
+		switch i.Kind {
+		case InputOpened:
 			c.Connected(c.now, i.Conn)
-		case Brought:
+		case InputData:
 			if p := c.callers[i.Conn]; p != nil {
 				p.act()
 			} else {
 				c.Receive(c.now, i.Conn, i.Bytes)
 			}
-		case Ended:
+		case InputClosed:
 			c.Closed(c.now, i.Conn)
 		}
 	}
@@ -77,7 +77,7 @@
 			continue
 		}
 		p.takeIn(i.Bytes)
-		if !p.gone && (i.Gone || i.What == Ended) {
+		if !p.gone && (i.EOF || i.Kind == InputClosed) {
 			p.gone = true
 			gone = append(gone, c.openOn(p)...)
 		}
@@ -88,7 +88,7 @@
 			continue
 		}
 		for _, m := range p.got {
-			if k := c.calls[m.Ref]; m.Type == jsonl.Down && k != nil && k.from == p && !k.standing && !slices.Contains(gone, k) {
+			if k := c.calls[m.Ref]; m.Type == jsonl.TypeDown && k != nil && k.from == p && !k.standing && !slices.Contains(gone, k) {
 				gone = append(gone, k)
 			}
 		}
--- a/internal/platform/round_test.go
+++ b/internal/platform/round_test.go
@@ -17,18 +17,18 @@
 func TestRoundsOfAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := upBed(t)
-		callers := []Conn{b.accept(), b.accept(), b.accept()}
-		gone, drained := map[Conn]bool{}, map[byte]bool{}
+		callers := []ConnID{b.accept(), b.accept(), b.accept()}
+		gone, drained := map[ConnID]bool{}, map[byte]bool{}
 		type seen struct {
-			from     Conn
+			from     ConnID
 			left     bool
 			answered int
 		}
 		calls := map[string]*seen{}
 		number, event := 0, uint64(2)
 		var in []Input
-		bring := func(id Conn, line string) {
-			in = append(in, Input{Conn: id, What: Brought, Bytes: piece(line)})
+		bring := func(id ConnID, line string) {
+			in = append(in, Input{Conn: id, Kind: InputData, Bytes: piece(line)})
 		}
 		draw := func(what string, from, to int) int { return rapid.IntRange(from, to).Draw(t, what) }
 		news := func() {
@@ -52,9 +52,9 @@
 				if !gone[p] && draw("goes", 0, 3) == 0 {
 					gone[p] = true
 					if draw("seen behind bytes", 0, 1) == 1 {
-						in = append(in, Input{Conn: p, What: Brought, Gone: true})
+						in = append(in, Input{Conn: p, Kind: InputData, EOF: true})
 					}
-					in = append(in, Input{Conn: p, What: Ended})
+					in = append(in, Input{Conn: p, Kind: InputClosed})
 				}
 			case 5:
 				bring(link, `{"t":"up","ref":"`+anyRef()+`","f":{},"d":"answer"}`)
@@ -64,10 +64,10 @@
 				bring(link, `{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
 			case 8:
 				if draw("how", 0, 1) == 0 {
-					in = append(in, Input{Conn: link, What: Ended})
+					in = append(in, Input{Conn: link, Kind: InputClosed})
 				} else if !drained[sw] {
 					drained[sw] = true
-					in = append(in, Input{Conn: b.coord, What: Brought, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Number: event,
+					in = append(in, Input{Conn: b.coord, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: event,
 						Entries: []coordinator.Entry{entry(uint32(sw), int(sw), int(sw)+1, decide.Draining)}})})
 					event++
 				}
@@ -82,11 +82,11 @@
 				}
 				k := calls[m.Ref]
 				switch {
-				case m.Type == jsonl.New && (k.left || gone[k.from] || k.answered > 0):
+				case m.Type == jsonl.TypeNew && (k.left || gone[k.from] || k.answered > 0):
 					t.Fatalf("%s leaves after its end", m.Ref)
-				case m.Type == jsonl.New && (w.to == b.switches[1] && drained[1] || w.to == b.switches[2] && drained[2]):
+				case m.Type == jsonl.TypeNew && (w.to == b.switches[1] && drained[1] || w.to == b.switches[2] && drained[2]):
 					t.Fatalf("%s leaves for a switch that drains", m.Ref)
-				case k != nil && w.to == k.from && (m.Type == jsonl.Up || m.Type == jsonl.Down && k.answered == 0):
+				case k != nil && w.to == k.from && (m.Type == jsonl.TypeUp || m.Type == jsonl.TypeDown && k.answered == 0):
 					if k.answered++; k.answered > 1 {
 						t.Fatalf("a second answer to %s", m.Ref)
 					}
@@ -114,8 +114,8 @@
 				t.Fatalf("%s has no answer", r)
 			}
 		}
-		if b.open != 0 || b.Held() != 0 {
-			t.Fatalf("%d are owed an answer, %d held", b.open, b.Held())
+		if b.open != 0 || b.QueuedCalls() != 0 {
+			t.Fatalf("%d are owed an answer, %d held", b.open, b.QueuedCalls())
 		}
 	})
 }
--- a/internal/platform/stopping_test.go
+++ b/internal/platform/stopping_test.go
@@ -36,7 +36,7 @@
 		answered, refused := map[string]int{}, 0
 		for _, m := range b.got(p) {
 			answered[m.Ref]++
-			if m.Cause == jsonl.Congestion {
+			if m.Cause == jsonl.CauseCongestion {
 				refused++
 			}
 		}
--- a/internal/platform/switches.go
+++ b/internal/platform/switches.go
@@ -53,7 +53,7 @@
 	replaced  bool    // another id has its address
 	restarted bool    // the list told of a new start
 	links     []*link // up
-	dialling  Conn    // 0 is none
+	dialling  ConnID  // 0 is none
 	retry     bool    // a dial is due after a pause
 	pause     time.Duration
 	heard     time.Duration // the last message from it
@@ -72,9 +72,9 @@
 
 // link is one connection to a switch.
 type link struct {
-	id    Conn
+	id    ConnID
 	to    *far
-	lines jsonl.Lines
+	lines jsonl.LineSplitter
 	out   map[string]*attempt // set-ups out on it
 	ended bool
 
@@ -207,20 +207,20 @@
 // notUp takes in that no connection came up. Refused without one, the process is dead, and its calls with it; so it is
 // where it ended its last connection and takes no new one. Refused beside others it drains: it takes no more, but is there.
 // A machine that vanished leaves its connections open.
-func (f *far) notUp(l *link, why DialError) {
+func (f *far) notUp(l *link, why DialFailure) {
 	f.dialling = 0
 	delete(f.core.links, l.id)
-	if why == NoRoom { // attempts that wait have their own limit, and calls that stand are not in doubt
+	if why == DialNoDescriptors { // attempts that wait have their own limit, and calls that stand are not in doubt
 		f.core.makeRoom()
 		f.redial()
 		return
 	}
-	f.down, f.mute = true, why == Silent
+	f.down, f.mute = true, why == DialTimedOut
 	f.endWaiting(decide.Unreachable)
 	switch {
-	case len(f.links) == 0 && (why == Refused || f.broken != 0 && f.core.now-f.broken > lateUp):
+	case len(f.links) == 0 && (why == DialRefused || f.broken != 0 && f.core.now-f.broken > lateUp):
 		f.cutAll("takes no connection")
-	case len(f.links) > 0 && why == Refused && f.standing > 0:
+	case len(f.links) > 0 && why == DialRefused && f.standing > 0:
 		f.test()
 	}
 	f.redial()
@@ -260,7 +260,7 @@
 
 func (l *link) test() {
 	c := l.to.core
-	c.line(l.id, func(b []byte) []byte { return jsonl.AppendTest(b, c.rng.Uint64()) })
+	c.line(l.id, func(b []byte) []byte { return jsonl.AppendHeartbeat(b, c.rng.Uint64()) })
 }
 
 // redial makes another connection after a pause.
@@ -294,7 +294,7 @@
 	}
 	f.core.note(fmt.Sprintf("switch at %v %s: %d calls are over", f.addr, why, f.standing))
 	for _, k := range f.core.standingAt(f) {
-		f.core.released(k, jsonl.Temporary, decide.NoReport)
+		f.core.released(k, jsonl.CauseTemporaryFailure, decide.NoReport)
 	}
 }
 
@@ -348,7 +348,7 @@
 
 // spoil ends a connection of no further use: it brought what cannot be read, or nothing.
 func (l *link) spoil() {
-	l.to.core.Stats.BadSwitches++
+	l.to.core.Stats.SwitchErrors++
 	l.leave()
 }
 
@@ -396,7 +396,7 @@
 			l.spoil()
 			return false
 		}
-		l.spoke(m.Type == jsonl.Gauge)
+		l.spoke(m.Type == jsonl.TypeGauge)
 		l.message(&m)
 		return !l.ended
 	})
@@ -412,7 +412,7 @@
 func (l *link) message(m *jsonl.Message) {
 	f, c := l.to, l.to.core
 	switch m.Type {
-	case jsonl.Up:
+	case jsonl.TypeUp:
 		a := l.out[m.Ref]
 		switch {
 		case a == nil: // a second copy, an unknown id, or one that was given up
@@ -421,7 +421,7 @@
 		default:
 			c.answered(a, m.Desc)
 		}
-	case jsonl.Down:
+	case jsonl.TypeDown:
 		report := c.report(m)
 		if a := l.out[m.Ref]; a != nil {
 			o, cause := outcome(m)
@@ -435,7 +435,7 @@
 		case k == nil && c.now < releaseFor && len(c.early) < earlyKept:
 			c.early[m.Ref] = early{c.now, m.Cause}
 		}
-	case jsonl.Gauge:
+	case jsonl.TypeGauge:
 		f.heardFrom = true
 		c.feed(decide.ReportReceived{Exchange: f.id, Outcome: decide.Completed, Report: c.report(m)})
 	}
@@ -445,11 +445,11 @@
 func outcome(m *jsonl.Message) (decide.Outcome, decide.Cause) {
 	cause := notes[m.Fields["note"]]
 	switch m.Cause {
-	case jsonl.NoCircuit:
+	case jsonl.CauseNoCircuit:
 		return decide.Rejected, cause
-	case jsonl.UserBusy, jsonl.OutOfOrder:
+	case jsonl.CauseUserBusy, jsonl.CauseResourceUnavailable:
 		return decide.Busy, cause
-	case jsonl.Moot:
+	case jsonl.CauseTimerExpiry:
 		return decide.NotSent, cause
 	}
 	return decide.Cut, cause
@@ -482,7 +482,7 @@
 
 // learn takes an event of the list in: where switches are, and which are gone. It returns those that changed.
 func (c *Core) learn(ev coordinator.Event) (changed []*far) {
-	if ev.Whole {
+	if ev.Full {
 		named := map[decide.ExchangeID]bool{}
 		for _, e := range ev.Entries {
 			named[decide.ExchangeID(e.ID)] = true
@@ -563,7 +563,7 @@
 }
 
 // Connected tells that a connection that was dialled is up.
-func (c *Core) Connected(now time.Duration, id Conn) {
+func (c *Core) Connected(now time.Duration, id ConnID) {
 	c.tell(now)
 	if id == c.coord.conn {
 		c.coord.opened()
@@ -582,11 +582,11 @@
 	c.close(id, false) // no longer wanted
 }
 
-// NotConnected tells that a connection did not come up.
-func (c *Core) NotConnected(now time.Duration, id Conn, why DialError) {
+// DialFailed tells that a connection did not come up.
+func (c *Core) DialFailed(now time.Duration, id ConnID, why DialFailure) {
 	c.tell(now)
 	if id == c.coord.conn {
-		if why == NoRoom {
+		if why == DialNoDescriptors {
 			c.makeRoom()
 		}
 		c.coord.lost()
@@ -598,7 +598,7 @@
 }
 
 // Receive takes what a connection brought.
-func (c *Core) Receive(now time.Duration, id Conn, b []byte) {
+func (c *Core) Receive(now time.Duration, id ConnID, b []byte) {
 	c.tell(now)
 	if p := c.callers[id]; p != nil {
 		p.takeIn(b)
@@ -611,7 +611,7 @@
 }
 
 // Closed tells that the other end closed a connection, or that it broke.
-func (c *Core) Closed(now time.Duration, id Conn) {
+func (c *Core) Closed(now time.Duration, id ConnID) {
 	c.tell(now)
 	if p := c.callers[id]; p != nil {
 		p.lost()
--- a/internal/runtime/platform.go
+++ b/internal/runtime/platform.go
@@ -46,7 +46,7 @@
 	lis    net.Listener
 	client *gnet.Client
 	loop   gnet.EventLoop
-	conns  map[platform.Conn]gnet.Conn
+	conns  map[platform.ConnID]gnet.Conn
 	gentle int
 	wake   waker
 	done   chan struct{}
@@ -55,7 +55,7 @@
 	side   sync.WaitGroup // dials and accepts
 	cancel context.CancelFunc
 	ctx    context.Context
-	trace  Trace
+	trace  TraceFunc
 
 	leaving atomic.Bool  // the core has nothing left to do
 	mu      sync.RWMutex // held while something is handed to the loop
@@ -64,16 +64,16 @@
 	// What the sockets brought since the last turn. Taken together, so that a caller who has gone is known to have gone
 	// before anything is begun for it.
 	inbox   []platform.Input
-	unread  map[platform.Conn]*end // with bytes in the inbox
+	unread  map[platform.ConnID]*end // with bytes in the inbox
 	buf     []byte
 	waiting bool // a turn is on its way
 }
 
-// Trace gets all that crosses the sockets: the time since the start, the connection, what happened, and the bytes. A nil
+// TraceFunc gets all that crosses the sockets: the time since the start, the connection, what happened, and the bytes. A nil
 // one is none.
-type Trace func(at time.Duration, id platform.Conn, what string, b []byte)
+type TraceFunc func(at time.Duration, id platform.ConnID, what string, b []byte)
 
-func (p *Platform) tell(id platform.Conn, what string, b []byte) {
+func (p *Platform) tell(id platform.ConnID, what string, b []byte) {
 	if p.trace != nil {
 		p.trace(p.now(), id, what, b)
 	}
@@ -81,7 +81,7 @@
 
 // end is what a connection carries along.
 type end struct {
-	id     platform.Conn
+	id     platform.ConnID
 	caller bool // it was accepted
 	known  bool // the loop has it
 	over   bool // the core has closed it
@@ -103,7 +103,7 @@
 }
 
 // StartPlatform listens and serves until Stop, or until Tell told the core to end and it has nothing left to do.
-func StartPlatform(cfg *platform.Config, log *zap.Logger, trace Trace) (*Platform, error) {
+func StartPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc) (*Platform, error) {
 	listener := net.ListenConfig{KeepAlive: -1} // who says nothing is found out by the core
 	lis, err := listener.Listen(context.Background(), "tcp4", cfg.Listen.String())
 	if err != nil {
@@ -112,9 +112,9 @@
 	return startPlatform(cfg, log, trace, lis)
 }
 
-func startPlatform(cfg *platform.Config, log *zap.Logger, trace Trace, lis net.Listener) (*Platform, error) {
-	p := &Platform{log: log, cfg: cfg, trace: trace, lis: lis, conns: map[platform.Conn]gnet.Conn{},
-		buf: make([]byte, readAtOnce), unread: map[platform.Conn]*end{}, done: make(chan struct{})}
+func startPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc, lis net.Listener) (*Platform, error) {
+	p := &Platform{log: log, cfg: cfg, trace: trace, lis: lis, conns: map[platform.ConnID]gnet.Conn{},
+		buf: make([]byte, readAtOnce), unread: map[platform.ConnID]*end{}, done: make(chan struct{})}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	p.wake = newWaker(p.fire)
 	p.start = time.Now()
@@ -177,7 +177,7 @@
 			continue // gone before it was taken
 		}
 		p.log.Warn("connection not accepted", zap.Error(err))
-		p.do(func() { p.core.MakeRoom(p.now()); p.wantTurn() })
+		p.do(func() { p.core.EvictCaller(p.now()); p.wantTurn() })
 		select {
 		case <-p.ctx.Done():
 			return
@@ -214,7 +214,7 @@
 		p.wantTurn()
 	} else {
 		p.tell(e.id, "up", nil)
-		p.take(e.id, platform.Opened)
+		p.take(e.id, platform.InputOpened)
 	}
 	p.conns[e.id] = c
 	return nil, gnet.None
@@ -232,7 +232,7 @@
 	}
 	had := len(e.in)
 	if had == 0 {
-		p.take(e.id, platform.Brought)
+		p.take(e.id, platform.InputData)
 		p.unread[e.id] = e
 	}
 	e.in = append(e.in, b...)
@@ -272,7 +272,7 @@
 		e.over = true
 		p.tell(e.id, "closed", nil)
 		delete(p.conns, e.id)
-		p.take(e.id, platform.Ended)
+		p.take(e.id, platform.InputClosed)
 	}
 	return gnet.None
 }
@@ -291,8 +291,8 @@
 }
 
 // take puts news aside for the next turn.
-func (p *Platform) take(id platform.Conn, what platform.News) {
-	p.inbox = append(p.inbox, platform.Input{Conn: id, What: what})
+func (p *Platform) take(id platform.ConnID, what platform.InputKind) {
+	p.inbox = append(p.inbox, platform.Input{Conn: id, Kind: what})
 	p.wantTurn()
 }
 
@@ -308,14 +308,14 @@
 	in := p.inbox
 	p.inbox = nil
 	for i, n := range in {
-		if n.What == platform.Brought {
+		if n.Kind == platform.InputData {
 			e := p.unread[n.Conn]
-			in[i].Bytes, in[i].Gone, e.in = e.in, e.gone, nil
+			in[i].Bytes, in[i].EOF, e.in = e.in, e.gone, nil
 		}
 	}
 	clear(p.unread)
 	now := p.now()
-	p.core.Round(now, in)
+	p.core.ProcessBatch(now, in)
 	p.settle(now)
 }
 
@@ -326,7 +326,7 @@
 			p.carryOut(o)
 		}
 	}
-	at, ok := p.core.Next()
+	at, ok := p.core.NextWakeUp()
 	p.wake.want(now, at, ok)
 }
 
@@ -346,7 +346,7 @@
 	case platform.Dial:
 		p.tell(o.Conn, "dial", []byte(o.To.String()))
 		p.side.Go(func() { p.connect(o) })
-	case platform.Note:
+	case platform.LogLine:
 		p.log.Info(o.Text)
 	case platform.Exit:
 		p.log.Info("nothing left to do")
@@ -377,7 +377,7 @@
 	delete(p.conns, o.Conn)
 	e := c.Context().(*end)
 	e.over = true
-	if !o.Gently || p.gentle >= gentleAtOnce {
+	if !o.Graceful || p.gentle >= gentleAtOnce {
 		_ = c.Close()
 		return
 	}
@@ -402,7 +402,7 @@
 
 // connect makes a connection beside the loop and hands it over.
 func (p *Platform) connect(o platform.Dial) {
-	d := net.Dialer{Timeout: o.Wait, KeepAlive: -1}
+	d := net.Dialer{Timeout: o.Timeout, KeepAlive: -1}
 	conn, err := d.DialContext(p.ctx, "tcp4", o.To.String())
 	if err == nil {
 		err = p.enroll(conn, &end{id: o.Conn})
@@ -410,22 +410,22 @@
 	if err == nil {
 		return
 	}
-	why := platform.Silent
+	why := platform.DialTimedOut
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		why = platform.Refused
+		why = platform.DialRefused
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, errNotWatched):
-		why = platform.NoRoom
+		why = platform.DialNoDescriptors
 	}
 	p.do(func() {
 		p.tell(o.Conn, "not up", []byte(err.Error()))
-		p.core.NotConnected(p.now(), o.Conn, why)
+		p.core.DialFailed(p.now(), o.Conn, why)
 		p.wantTurn()
 	})
 }
 
-// Tell runs f on the loop: news for the core from outside, such as signals.
-func (p *Platform) Tell(f func(core *platform.Core, now time.Duration)) {
+// Execute runs f on the loop: news for the core from outside, such as signals.
+func (p *Platform) Execute(f func(core *platform.Core, now time.Duration)) {
 	p.do(func() {
 		f(p.core, p.now())
 		p.wantTurn()
@@ -455,8 +455,8 @@
 	return p.failed
 }
 
-// LoadPlatform reads the configuration that the environment names.
-func LoadPlatform(file string) (*platform.Config, error) {
+// LoadPlatformConfig reads the configuration that the environment names.
+func LoadPlatformConfig(file string) (*platform.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -22,7 +22,7 @@
 // What the tests do meanwhile waits unread in the sockets' buffers: on loopback it is there when the write returns.
 func (s *scene) hold() (release func()) {
 	held, gate := make(chan bool), make(chan bool)
-	s.proxy.Tell(func(*platform.Core, time.Duration) { close(held); <-gate })
+	s.proxy.Execute(func(*platform.Core, time.Duration) { close(held); <-gate })
 	<-held
 	return func() { close(gate) }
 }
@@ -42,7 +42,7 @@
 // TestNothingLeavesForACallerThatHasGone: while the proxy stands still a caller asks and goes, and a circuit for its
 // call is freed. Whatever the order in which the sockets are read, no set-up may leave for it.
 func TestNothingLeavesForACallerThatHasGone(t *testing.T) {
-	giveUp := string(jsonl.AppendDown(nil, callRef(1), jsonl.Normal, 0))
+	giveUp := string(jsonl.AppendDown(nil, callRef(1), jsonl.CauseNormal, 0))
 	for name, goes := range map[string]func(s *scene, send func(string)){
 		"closes behind its set-up":      func(s *scene, send func(string)) { send(offerLine(1)) },
 		"gives up behind its set-up":    func(s *scene, send func(string)) { send(offerLine(1)); send(giveUp) },
@@ -77,7 +77,7 @@
 	p, q := s.dial(), s.dial()
 	await(t, "both are taken", func() bool { return s.callers() >= 2 })
 	held, gate := make(chan bool), make(chan bool)
-	var hold Trace = func(_ time.Duration, _ platform.Conn, what string, b []byte) {
+	var hold TraceFunc = func(_ time.Duration, _ platform.ConnID, what string, b []byte) {
 		if what == "<" && strings.HasPrefix(string(b), `{"t":"ack"`) {
 			close(held)
 			<-gate
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	p.Close()
-	s.proxy.Tell(func(*platform.Core, time.Duration) {})
+	s.proxy.Execute(func(*platform.Core, time.Duration) {})
 	close(gate)
 	s.nothingLeft()
 }
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	await(t, "the call is held", func() bool {
-		return askCore(s, func(core *platform.Core, _ time.Duration) bool { return core.Held() == 1 })
+		return askCore(s, func(core *platform.Core, _ time.Duration) bool { return core.QueuedCalls() == 1 })
 	})
 	release := s.hold()
 	s.sw.Tell(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
@@ -130,9 +130,9 @@
 	if err := p.Send(offerLine(1)); err != nil {
 		t.Fatal(err)
 	}
-	s.coord.Tell(coordinator.Event{Number: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}})
+	s.coord.Tell(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}})
 	release()
-	s.expect(p, jsonl.Down, 1)
+	s.expect(p, jsonl.TypeDown, 1)
 	if s.saw("new " + callRef(1)) {
 		t.Fatal("a set-up left for a switch that was told to drain")
 	}
@@ -172,7 +172,7 @@
 	if _, err := p.Receive(); err == nil {
 		t.Fatal("it answers after its end")
 	}
-	s.proxy.Tell(func(*platform.Core, time.Duration) { t.Error("something is done after the end") })
+	s.proxy.Execute(func(*platform.Core, time.Duration) { t.Error("something is done after the end") })
 }
 
 // TestAConnectionResetAsItIsHandedOver: the far end resets a new connection while the loop, held, has not taken it yet.
@@ -200,7 +200,7 @@
 		if err != nil || m.Ref != callRef(n) {
 			t.Fatalf("got %+v, %v for call %d", m, err, n)
 		}
-		return m.Type == jsonl.Up
+		return m.Type == jsonl.TypeUp
 	})
 	s.settled()
 }
@@ -250,10 +250,10 @@
 // proxy, told to stop, has nothing left to do.
 func TestTheEndWaitsForASlowReader(t *testing.T) {
 	s, p, asked := behindASlowReader(t)
-	s.proxy.Tell(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
 	await(t, "it is about to end", func() bool { return s.proxy.leaving.Load() })
 	for n := 1; n <= asked; n++ {
-		s.expect(p, jsonl.Down, n)
+		s.expect(p, jsonl.TypeDown, n)
 	}
 	if err := s.proxy.Wait(); err != nil {
 		t.Fatal(err)
@@ -269,7 +269,7 @@
 	}
 	await(t, "the connection is given up", func() bool { return s.callers() < before })
 	for n := 1; n <= asked; n++ {
-		s.expect(p, jsonl.Down, n)
+		s.expect(p, jsonl.TypeDown, n)
 	}
 	if m, err := p.Receive(); err == nil {
 		t.Fatalf("more: %+v", m)
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -30,7 +30,7 @@
 	at    netip.AddrPort
 	sw    *standin.PlatformSwitch
 	coord *standin.PlatformCoordinator
-	trace atomic.Pointer[Trace] // called on the loop for what crosses the sockets, as soon as it is read
+	trace atomic.Pointer[TraceFunc] // called on the loop for what crosses the sockets, as soon as it is read
 	mu    sync.Mutex
 	seen  []string // set-ups and releases at the switch
 }
@@ -42,12 +42,12 @@
 	s.mu.Lock()
 	s.seen = append(s.seen, m.Type+" "+m.Ref)
 	s.mu.Unlock()
-	if m.Type == jsonl.New {
+	if m.Type == jsonl.TypeNew {
 		_ = p.Send(string(jsonl.AppendUp(nil, m.Ref, m.Desc))) // a lost connection is the test's doing
 	}
 }
 
-func (s *scene) traced(at time.Duration, id platform.Conn, what string, b []byte) {
+func (s *scene) traced(at time.Duration, id platform.ConnID, what string, b []byte) {
 	if f := s.trace.Load(); f != nil {
 		(*f)(at, id, what, b)
 	}
@@ -56,17 +56,17 @@
 // askCore has the loop look something up.
 func askCore[T any](s *scene, f func(core *platform.Core, now time.Duration) T) T {
 	found := make(chan T)
-	s.proxy.Tell(func(core *platform.Core, now time.Duration) { found <- f(core, now) })
+	s.proxy.Execute(func(core *platform.Core, now time.Duration) { found <- f(core, now) })
 	return <-found
 }
 
 // believes asks what the module holds true of a far end.
 func (s *scene) believes(f func(decide.Estimate) bool) bool {
-	return askCore(s, func(core *platform.Core, now time.Duration) bool { return slices.ContainsFunc(core.Beliefs(now), f) })
+	return askCore(s, func(core *platform.Core, now time.Duration) bool { return slices.ContainsFunc(core.Estimates(now), f) })
 }
 
 func (s *scene) callers() int {
-	return askCore(s, func(core *platform.Core, _ time.Duration) int { return core.Callers() })
+	return askCore(s, func(core *platform.Core, _ time.Duration) int { return core.CallerConnections() })
 }
 
 func (s *scene) saw(what string) bool {
@@ -134,7 +134,7 @@
 	defer p.Close()
 	_ = p.Send(`{"t":"hb","ref":"00000000000000aa","f":{},"c":0}` + "\n") // if it fails, so does the read
 	m, err := p.Receive()
-	return err == nil && m.Type == jsonl.Tested && m.Cause == 1
+	return err == nil && m.Type == jsonl.TypeHeartbeatOK && m.Cause == 1
 }
 
 func callRef(n int) string { return fmt.Sprintf("%016x", n) }
@@ -149,13 +149,13 @@
 	if err := p.Send(offerLine(n)); err != nil {
 		s.t.Fatal(err)
 	}
-	s.expect(p, jsonl.Up, n)
+	s.expect(p, jsonl.TypeUp, n)
 }
 
 // hangUp releases a call that stands.
 func (s *scene) hangUp(p *standin.JSONPeer, n int) {
 	s.t.Helper()
-	if err := p.Send(string(jsonl.AppendDown(nil, callRef(n), jsonl.Normal, 0))); err != nil {
+	if err := p.Send(string(jsonl.AppendDown(nil, callRef(n), jsonl.CauseNormal, 0))); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -191,14 +191,14 @@
 	s.sw.Kill()  // now the process is dead, and nobody listens
 	first, err := p.Receive()
 	second, err2 := p.Receive()
-	if err != nil || err2 != nil || first.Cause != jsonl.Temporary || second.Cause != jsonl.Temporary || first.Ref == second.Ref {
+	if err != nil || err2 != nil || first.Cause != jsonl.CauseTemporaryFailure || second.Cause != jsonl.CauseTemporaryFailure || first.Ref == second.Ref {
 		t.Fatalf("%+v %v, %+v %v", first, err, second, err2)
 	}
 }
 
 func TestPlatformFollowsTheCoordinatorToAnotherAddress(t *testing.T) {
 	s := newScene(t, 256)
-	gone := coordinator.Event{Number: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}}
+	gone := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}}
 	await(s.t, "the coordinator is asked", func() bool { return len(s.coord.Asked()) > 0 })
 	next, err := standin.StartPlatformCoordinator()
 	if err != nil {
@@ -208,7 +208,7 @@
 	next.Tell(gone)
 	p := s.dial()
 	s.call(p, 1)
-	s.proxy.Tell(func(core *platform.Core, now time.Duration) { core.Move(now, next.Addr()) })
+	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Addr()) })
 	await(s.t, "the new one is asked", func() bool { a := next.Asked(); return len(a) > 0 && a[0] == 1 })
 	await(s.t, "its news count", func() bool {
 		if err := p.Send(offerLine(2)); err != nil {
@@ -218,10 +218,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Type == jsonl.Up { // came before the news: ended, and asked again
-			_ = p.Send(string(jsonl.AppendDown(nil, callRef(2), jsonl.Normal, 0))) // if it fails, so does the next send
+		if m.Type == jsonl.TypeUp { // came before the news: ended, and asked again
+			_ = p.Send(string(jsonl.AppendDown(nil, callRef(2), jsonl.CauseNormal, 0))) // if it fails, so does the next send
 		}
-		return m.Type == jsonl.Down
+		return m.Type == jsonl.TypeDown
 	})
 	s.hangUp(p, 1)
 	await(s.t, "the call that stood is still known", func() bool { return s.saw("down " + callRef(1)) })
@@ -231,7 +231,7 @@
 	s := newScene(t, 256)
 	p := s.dial()
 	s.call(p, 1)
-	s.proxy.Tell(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
 	if s.tested() {
 		t.Fatal("tests still pass")
 	}
@@ -260,7 +260,7 @@
 		strings.Repeat(`{"t":"down","ref":"`+callRef(9)+`","c":16}`+"\n", 300), offerLine(1)[:40], ""} {
 		p := s.dial()
 		go func() { _ = p.Send(bad) }() // it may be cut in the middle
-		if m, err := p.Receive(); err == nil && (m.Type != jsonl.Down || m.Cause != jsonl.Temporary) {
+		if m, err := p.Receive(); err == nil && (m.Type != jsonl.TypeDown || m.Cause != jsonl.CauseTemporaryFailure) {
 			t.Errorf("%.30q got %+v", bad, m)
 		}
 		s.call(usual, 100+i)
@@ -304,13 +304,13 @@
 
 func TestLoadPlatformSaysWhichFileAndKey(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	if _, err := LoadPlatform(file); err == nil || !strings.Contains(err.Error(), file) {
+	if _, err := LoadPlatformConfig(file); err == nil || !strings.Contains(err.Error(), file) {
 		t.Fatalf("error %v", err)
 	}
 	if err := os.WriteFile(file, []byte(`{"listen":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := LoadPlatform(file); err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), "listen") {
+	if _, err := LoadPlatformConfig(file); err == nil || !strings.Contains(err.Error(), file) || !strings.Contains(err.Error(), "listen") {
 		t.Fatalf("error %v", err)
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -184,11 +184,11 @@
 	c.asked = append(c.asked, from)
 	var b []byte
 	for _, ev := range c.events {
-		if ev.Number > from {
+		if ev.Index > from {
 			b = coordinator.AppendFrame(b, ev)
 		}
 	}
-	_, _ = conn.Write(coordinator.AppendNothing(b, from)) // a lost connection shows at the read below
+	_, _ = conn.Write(coordinator.AppendHeartbeat(b, from)) // a lost connection shows at the read below
 	c.conns[conn] = true
 	c.mu.Unlock()
 	_, _ = conn.Read(last[:])
