--- a/cmd/pipitring/day.go
+++ b/cmd/pipitring/day.go
@@ -120,7 +120,7 @@
 	}
 }
 
-var outcomes = []rules.Outcome{rules.Stood, rules.Refused, rules.Failed, rules.Left, rules.Unanswered, rules.Unfinished}
+var outcomes = []rules.Outcome{rules.Answered, rules.Refused, rules.Failed, rules.Abandoned, rules.Unanswered, rules.Unfinished}
 
 func printOutcomes(w io.Writer, by map[string]map[rules.Outcome]int) {
 	fmt.Fprintf(w, "%-20s", "class")
@@ -159,12 +159,12 @@
 				err = printJSON(lab.Summary(rep))
 			} else {
 				printOutcomes(os.Stdout, rep.Outcomes)
-				fmt.Printf("%d datagrams, %d malformed; rules broken: %d\n", rep.Datagrams, rep.Malformed, len(rep.Broken))
-				for _, b := range rep.Broken {
+				fmt.Printf("%d datagrams, %d malformed; rules broken: %d\n", rep.Datagrams, rep.Malformed, len(rep.Violations))
+				for _, b := range rep.Violations {
 					fmt.Println(" ", b)
 				}
 			}
-			if err == nil && len(rep.Broken) > 0 {
+			if err == nil && len(rep.Violations) > 0 {
 				err = errBroken
 			}
 			return err
--- a/cmd/pipitring/platform_test.go
+++ b/cmd/pipitring/platform_test.go
@@ -203,13 +203,13 @@
 	p.configure(second)
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGHUP)
-	p.await("the second coordinator is asked", func() bool { return len(second.Asked()) > 0 })
+	p.await("the second coordinator is asked", func() bool { return len(second.RequestedFrom()) > 0 })
 	third := startCoordinator(t)
-	third.Tell(coordinator.Event{Index: 2})
+	third.Publish(coordinator.Event{Index: 2})
 	p.signal(syscall.SIGTERM)
 	p.configure(third)
 	p.signal(syscall.SIGHUP)
-	p.await("the third coordinator is asked", func() bool { return len(third.Asked()) > 0 })
+	p.await("the third coordinator is asked", func() bool { return len(third.RequestedFrom()) > 0 })
 	p.await("its tests fail", func() bool { return !p.ready() })
 	p.ask(caller, "0000000000000002")
 	p.answer("0000000000000002")
@@ -255,7 +255,7 @@
 	next := startCoordinator(t)
 	p.configure(next)
 	p.signal(syscall.SIGHUP)
-	p.await("the coordinator is asked", func() bool { return len(next.Asked()) > 0 })
+	p.await("the coordinator is asked", func() bool { return len(next.RequestedFrom()) > 0 })
 }
 
 // TestAStartThatCannotBe: the key is named, with what it has, and the exit status is that of wrong settings.
--- a/internal/call/cause.go
+++ b/internal/call/cause.go
@@ -7,33 +7,33 @@
 
 // Causes that routers and switches give.
 const (
-	Unallocated     Cause = 1
-	NoRoute         Cause = 3
-	NormalClearing  Cause = 16
-	UserBusy        Cause = 17
-	NoUserResponds  Cause = 18
-	NoAnswer        Cause = 19
-	Rejected        Cause = 21
-	NumberChanged   Cause = 22
-	RoutingError    Cause = 25
-	OutOfOrder      Cause = 27
-	InvalidNumber   Cause = 28
-	NormalUnspec    Cause = 31
-	NoCircuit       Cause = 34
-	NetworkDown     Cause = 38
-	TemporaryFail   Cause = 41
-	Congestion      Cause = 42
-	CircuitGone     Cause = 44
-	ResourceUnavail Cause = 47
-	TimerExpired    Cause = 102
+	Unallocated         Cause = 1
+	NoRoute             Cause = 3
+	NormalClearing      Cause = 16
+	UserBusy            Cause = 17
+	NoUserResponding    Cause = 18
+	NoAnswer            Cause = 19
+	Rejected            Cause = 21
+	NumberChanged       Cause = 22
+	RoutingError        Cause = 25
+	OutOfOrder          Cause = 27
+	InvalidNumber       Cause = 28
+	NormalUnspecified   Cause = 31
+	NoCircuit           Cause = 34
+	NetworkDown         Cause = 38
+	TemporaryFailure    Cause = 41
+	Congestion          Cause = 42
+	CircuitUnavailable  Cause = 44
+	ResourceUnavailable Cause = 47
+	TimerExpired        Cause = 102
 )
 
 // Refusal tells whether a final answer with this cause is a refusal; every other but a normal release is a
 // failure. It is the one table that callers, checkers and records go by.
 func (c Cause) Refusal() bool {
 	switch c {
-	case Unallocated, UserBusy, NoUserResponds, NoAnswer, Rejected, NumberChanged, InvalidNumber, NoCircuit,
-		Congestion, CircuitGone, ResourceUnavail:
+	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber, NoCircuit,
+		Congestion, CircuitUnavailable, ResourceUnavailable:
 		return true
 	}
 	return false
@@ -43,14 +43,14 @@
 // thing: the group or the processor that lacked room is the one beyond.
 func outcome(c Cause, tandem bool) (decide.Outcome, decide.Cause) {
 	switch c {
-	case Unallocated, UserBusy, NoUserResponds, NoAnswer, Rejected, NumberChanged, InvalidNumber:
+	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber:
 		return decide.Busy, decide.LinesBusy // it is the number that cannot be reached, whatever the route
-	case NoCircuit, CircuitGone:
+	case NoCircuit, CircuitUnavailable:
 		if tandem {
 			return decide.Rejected, decide.TandemRejected
 		}
 		return decide.Rejected, decide.NoCircuit
-	case Congestion, ResourceUnavail:
+	case Congestion, ResourceUnavailable:
 		if tandem {
 			return decide.Rejected, decide.TandemRejectedFull
 		}
@@ -73,14 +73,14 @@
 	case decide.Unreachable:
 		return NetworkDown
 	case decide.Cut:
-		return TemporaryFail
+		return TemporaryFailure
 	case decide.NotSent:
 		return NoCircuit
 	case decide.Busy, decide.Rejected:
 		if cause != 0 && cause != NormalClearing {
 			return cause
 		}
-		return TemporaryFail
+		return TemporaryFailure
 	}
 	return Congestion // never tried: held or turned away for lack of room
 }
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -15,18 +15,18 @@
 	Decide decide.Settings
 	Seed   uint64 // of the module's random choices
 	Groups map[int]int
-	// Own is the number of circuits to the own switch, or of its lines where they are only counted; 0 is not known.
-	Own  int
-	Plan *Plan
+	// OwnCircuits is the number of circuits to the own switch, or of its lines where they are only counted; 0 is not known.
+	OwnCircuits int
+	Plan        *Plan
 	// Patience is how long callers of each class wait before they give up one try.
 	Patience []time.Duration
-	// Margin is taken off it, so that the answer is with the caller in time.
-	Margin time.Duration
+	// AnswerMargin is taken off it, so that the answer is with the caller in time.
+	AnswerMargin time.Duration
 	// DrainGrace is how long after a drain was told a set-up may still reach the exchange.
 	DrainGrace time.Duration
 	MaxCalls   int // at once; 0 is no limit
-	// Prove holds final answers back until Durable tells that their record is, for this long at the most; 0 is not.
-	Prove time.Duration
+	// DurableTimeout holds final answers back until Durable tells that their record is, for this long at the most; 0 is not.
+	DurableTimeout time.Duration
 }
 
 // Core is the call state of one router.
@@ -37,12 +37,12 @@
 
 	set      Settings
 	ctl      *decide.Controller
-	groups   *trunk.Book
+	groups   *trunk.GroupTable
 	calls    map[decide.CallID]*call
-	legs     map[Leg]*leg
+	legs     map[LegID]*leg
 	list     map[decide.ExchangeID]*listed
 	lastCall decide.CallID
-	lastLeg  Leg
+	lastLeg  LegID
 	queue    timers.Queue[func(now time.Duration)]
 	pending  []decide.Event
 	feeding  bool
@@ -91,7 +91,7 @@
 
 // leg is a call's relation to one end. It outlives its call until the far end has let go.
 type leg struct {
-	id       Leg
+	id       LegID
 	call     *call // nil once the call has no more to do with it
 	exchange decide.ExchangeID
 	group    *trunk.Group
@@ -110,32 +110,32 @@
 
 // New returns a core without calls. Its settings must be valid.
 func New(s Settings) *Core {
-	c := &Core{set: s, ctl: decide.New(s.Decide, s.Seed), groups: trunk.NewBook(s.Groups),
-		calls: map[decide.CallID]*call{}, legs: map[Leg]*leg{}, list: map[decide.ExchangeID]*listed{}}
+	c := &Core{set: s, ctl: decide.New(s.Decide, s.Seed), groups: trunk.NewGroupTable(s.Groups),
+		calls: map[decide.CallID]*call{}, legs: map[LegID]*leg{}, list: map[decide.ExchangeID]*listed{}}
 	return c
 }
 
-// Reset takes new settings for calls that come from now on; the module and its beliefs stay.
-func (c *Core) Reset(now time.Duration, plan *Plan, groups map[int]int, own, maxCalls int) {
-	c.set.Plan, c.set.MaxCalls, c.set.Own = plan, maxCalls, own
+// Reconfigure takes new settings for calls that come from now on; the module and its beliefs stay.
+func (c *Core) Reconfigure(now time.Duration, plan *Plan, groups map[int]int, own, maxCalls int) {
+	c.set.Plan, c.set.MaxCalls, c.set.OwnCircuits = plan, maxCalls, own
 	c.groups.Resize(groups)
 	c.run(now)
 }
 
-// Serves tells whether the plan knows a way to a called number.
-func (c *Core) Serves(number string) bool {
-	_, _, _, ok := c.set.Plan.Look(Request{Called: number})
+// HasRoute tells whether the plan knows a way to a called number.
+func (c *Core) HasRoute(number string) bool {
+	_, _, _, ok := c.set.Plan.Lookup(Request{Called: number})
 	return ok
 }
 
 // Close refuses new calls from now on; those taken go on.
 func (c *Core) Close() { c.closing = true }
 
-// Shut refuses new calls, or takes them again; what refuses them is not what Close does: it may pass.
-func (c *Core) Shut(shut bool) { c.shut = shut }
+// SetSuspended refuses new calls, or takes them again; what refuses them is not what Close does: it may pass.
+func (c *Core) SetSuspended(shut bool) { c.shut = shut }
 
-// Open is the number of calls taken and not finished, Legs that of legs which any end still holds.
-func (c *Core) Open() int { return len(c.calls) }
+// OpenCalls is the number of calls taken and not finished, Legs that of legs which any end still holds.
+func (c *Core) OpenCalls() int { return len(c.calls) }
 
 // Legs is the number of legs that are not closed.
 func (c *Core) Legs() int { return len(c.legs) }
@@ -242,20 +242,20 @@
 // tellCircuits reports groups whose circuits changed, and what the own switch has: no group leads there, and its size
 // is what the module goes by while a processor is cold.
 func (c *Core) tellCircuits() {
-	c.groups.Changed(func(g *trunk.Group) {
-		if x := c.processorAt(g.Far()); x != nil {
+	c.groups.ForEachChanged(func(g *trunk.Group) {
+		if x := c.processorAt(g.Neighbour()); x != nil {
 			c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
 		}
 	})
-	if x := c.processorAt(c.set.Decide.OwnExchange); c.set.Own > 0 && x != nil && (x.Exchange != c.ownTold || c.ownFree != c.ownRoom()) {
+	if x := c.processorAt(c.set.Decide.OwnExchange); c.set.OwnCircuits > 0 && x != nil && (x.Exchange != c.ownTold || c.ownFree != c.ownRoom()) {
 		c.ownTold, c.ownFree = x.Exchange, c.ownRoom()
 		r := decide.NoReport
-		r.Free, r.Size = float64(c.ownFree), float64(c.set.Own)
+		r.Free, r.Size = float64(c.ownFree), float64(c.set.OwnCircuits)
 		c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
 	}
 }
 
-func (c *Core) ownRoom() int { return max(0, c.set.Own-c.ownUsed) }
+func (c *Core) ownRoom() int { return max(0, c.set.OwnCircuits-c.ownUsed) }
 
 // processorAt finds an exchange of a number on the list: the least of several, so that runs agree.
 func (c *Core) processorAt(number int) *listed {
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -26,10 +26,10 @@
 			t.Fatal(err)
 		}
 	}
-	if err := plan.AddClass(ByContext, "alarm", 1); err != nil {
+	if err := plan.AddClass(KeyContext, "alarm", 1); err != nil {
 		t.Fatal(err)
 	}
-	s := Settings{Seed: 7, Groups: groups, Plan: plan, Margin: 50 * ms, DrainGrace: time.Second,
+	s := Settings{Seed: 7, Groups: groups, Plan: plan, AnswerMargin: 50 * ms, DrainGrace: time.Second,
 		Patience: []time.Duration{3 * time.Second, 2 * time.Second},
 		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms, ColdCapacity: 0.3,
 			ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
@@ -68,7 +68,7 @@
 	}
 }
 
-func (b *bed) offer(called string) (Leg, Output) {
+func (b *bed) offer(called string) (LegID, Output) {
 	in := b.Offer(b.now, Origin{Exchange: Subscriber}, Request{Called: called, Calling: "9"})
 	out := b.take()
 	if len(out) != 1 {
@@ -80,7 +80,7 @@
 func TestCallStandsAndEnds(t *testing.T) {
 	b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
 	in, o := b.offer("15")
-	if o.Kind != Connect || o.Exchange != 101 || o.Request.Passed {
+	if o.Kind != Connect || o.Exchange != 101 || o.Request.ViaTandem {
 		t.Fatalf("got %+v", o)
 	}
 	b.pass(100 * ms)
@@ -101,14 +101,14 @@
 		t.Errorf("%d circuits free before the far end let go", free)
 	}
 	b.Closed(b.now, o.Leg)
-	if free := b.groups.Group(1).Free(); free != 4 || b.Open()+b.Legs() != 0 {
-		t.Errorf("%d circuits free, %d calls, %d legs", free, b.Open(), b.Legs())
+	if free := b.groups.Group(1).Free(); free != 4 || b.OpenCalls()+b.Legs() != 0 {
+		t.Errorf("%d circuits free, %d calls, %d legs", free, b.OpenCalls(), b.Legs())
 	}
-	if len(b.Records) != 2 || b.Records[0].Kind != Began || b.Records[0].Attempts[0].Took != 100*ms {
+	if len(b.Records) != 2 || b.Records[0].Kind != AnswerRecord || b.Records[0].Attempts[0].Duration != 100*ms {
 		t.Fatalf("records %+v", b.Records)
 	}
 	r := b.Records[1]
-	if r.End != Stood || r.SetUp != 100*ms || r.Length != time.Second || len(r.Attempts) != 1 {
+	if r.End != Answered || r.SetupTime != 100*ms || r.Duration != time.Second || len(r.Attempts) != 1 {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -148,7 +148,7 @@
 		t.Errorf("got %+v", got)
 	}
 	b.Closed(b.now, o.Leg)
-	if b.Records[0].End != Left || len(b.Records) != 1 || b.Legs() != 0 {
+	if b.Records[0].End != Abandoned || len(b.Records) != 1 || b.Legs() != 0 {
 		t.Errorf("%+v, %d legs", b.Records, b.Legs())
 	}
 }
@@ -162,7 +162,7 @@
 		cause Cause
 	}{
 		{"unknown number", Subscriber, Request{Called: "8"}, Unallocated},
-		{"passed on twice", 1, Request{Called: "2", Passed: true}, RoutingError},
+		{"passed on twice", 1, Request{Called: "2", ViaTandem: true}, RoutingError},
 		{"no circuit on the group it came over", 2, Request{Called: "1"}, NoCircuit},
 		{"over no group", 3, Request{Called: "1"}, NoCircuit},
 	} {
@@ -177,7 +177,7 @@
 	if _, o := b.offer("1"); o.Kind != Release || o.Cause != Congestion {
 		t.Errorf("closing: %+v", o)
 	}
-	if b.Open() != 0 || b.Stats.Offered != 0 {
+	if b.OpenCalls() != 0 || b.Stats.Offered != 0 {
 		t.Errorf("%d calls were taken", b.Stats.Offered)
 	}
 }
@@ -188,15 +188,15 @@
 	b := newBed(t, map[int]int{1: 20, 2: 20})
 	b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "2"})
 	got := b.take()
-	if len(got) != 1 || got[0].Exchange != 102 || !got[0].Request.Passed {
+	if len(got) != 1 || got[0].Exchange != 102 || !got[0].Request.ViaTandem {
 		t.Fatalf("in transit: %+v", got)
 	}
 	in := b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "3"})
 	if got = b.take(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || !got[0].Cause.Refusal() {
 		t.Fatalf("without a way on: %+v", got)
 	}
-	b.Offer(b.now, Origin{Exchange: 2}, Request{Called: "0", Passed: true})
-	if got = b.take(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.Passed {
+	b.Offer(b.now, Origin{Exchange: 2}, Request{Called: "0", ViaTandem: true})
+	if got = b.take(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.ViaTandem {
 		t.Fatalf("ends here: %+v", got)
 	}
 	if one, two := b.groups.Group(1), b.groups.Group(2); one.Free() != 18 || two.Free() != 18 {
@@ -232,11 +232,11 @@
 	b := newBed(t, map[int]int{1: 9})
 	_, silent := b.offer("15")
 	_, heard := b.offer("16")
-	b.Heard(b.now, heard.Leg)
+	b.Acknowledged(b.now, heard.Leg)
 	b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 		{Exchange: 101, Number: 1, Phase: decide.Draining}}})
 	b.pass(900 * ms)
-	var off []Leg
+	var off []LegID
 	for _, o := range b.take() {
 		if o.Kind == Release {
 			off = append(off, o.Leg)
@@ -268,7 +268,7 @@
 	p := NewPlan()
 	p.DefaultClass, p.DefaultTenant = 9, 8
 	for _, err := range []error{p.AddDest("61", 1), p.AddDest("618", 2), p.AddDest("#5", 3), p.AddClassPrefix("6", 4),
-		p.AddClass(ByUser, "lift", 5), p.AddClass(ByContext, "alarm", 6), p.AddTenantPrefix("61", 7)} {
+		p.AddClass(KeyUser, "lift", 5), p.AddClass(KeyContext, "alarm", 6), p.AddTenantPrefix("61", 7)} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -286,11 +286,11 @@
 		{Request{Called: "61a"}, 4, 7, 1, true},
 		{Request{}, 9, 8, 0, false},
 	} {
-		if class, tenant, dest, ok := p.Look(c.r); class != c.class || tenant != c.tenant || dest != c.dest || ok != c.ok {
+		if class, tenant, dest, ok := p.Lookup(c.r); class != c.class || tenant != c.tenant || dest != c.dest || ok != c.ok {
 			t.Errorf("%+v: %d %d %d %v", c.r, class, tenant, dest, ok)
 		}
 	}
-	if p.AddDest("61", 5) == nil || p.AddDest("6x", 5) == nil || p.AddClass(ByUser, "lift", 1) == nil {
+	if p.AddDest("61", 5) == nil || p.AddDest("6x", 5) == nil || p.AddClass(KeyUser, "lift", 1) == nil {
 		t.Error("a double or undiallable entry was taken")
 	}
 }
@@ -302,14 +302,14 @@
 		b := newBed(t, map[int]int{1: 3, 2: 3, 3: 3})
 		type state struct {
 			final, left bool
-			out         Leg
+			out         LegID
 			quietUntil  time.Duration
-			lastFrom    Leg
+			lastFrom    LegID
 		}
-		calls := map[Leg]*state{}     // by incoming leg
+		calls := map[LegID]*state{}   // by incoming leg
 		callOf := map[string]*state{} // by calling number
-		legs := map[Leg]*state{}      // outgoing
-		var open []Leg                // to be closed by the front
+		legs := map[LegID]*state{}    // outgoing
+		var open []LegID              // to be closed by the front
 		handle := func() {
 			for _, o := range b.take() {
 				switch o.Kind {
@@ -347,14 +347,14 @@
 		}
 		n := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var out []Leg
+			var out []LegID
 			for l, k := range legs {
 				if k.out == l {
 					out = append(out, l)
 				}
 			}
 			slices.Sort(out)
-			pick := func() (Leg, *state) {
+			pick := func() (LegID, *state) {
 				l := out[rapid.IntRange(0, len(out)-1).Draw(t, "leg")]
 				return l, legs[l]
 			}
@@ -433,32 +433,32 @@
 				t.Fatalf("call %s got no final answer", i)
 			}
 		}
-		if b.Open()+b.Legs()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.Faults != 0 {
-			t.Fatalf("left: %d calls, %d legs, %d timers; %+v", b.Open(), b.Legs(), b.Timers(), b.Stats)
+		if b.OpenCalls()+b.Legs()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.ActionFaults != 0 {
+			t.Fatalf("left: %d calls, %d legs, %d timers; %+v", b.OpenCalls(), b.Legs(), b.Timers(), b.Stats)
 		}
 		for _, g := range b.Groups() {
 			if g.Free() != g.Size() {
-				t.Fatalf("circuits of the group to %d: %d free of %d", g.Far(), g.Free(), g.Size())
+				t.Fatalf("circuits of the group to %d: %d free of %d", g.Neighbour(), g.Free(), g.Size())
 			}
 		}
 		began, ended := map[uint64]bool{}, map[uint64]bool{}
 		for i, r := range b.Records {
-			if r.Ticket != uint64(i+1) {
-				t.Fatalf("record %d has ticket %d", i+1, r.Ticket)
+			if r.RecordSeq != uint64(i+1) {
+				t.Fatalf("record %d has ticket %d", i+1, r.RecordSeq)
 			}
-			if r.Kind == Began {
-				if began[r.Seq] || ended[r.Seq] {
-					t.Fatalf("call %d began twice or after its end", r.Seq)
+			if r.Kind == AnswerRecord {
+				if began[r.CallSeq] || ended[r.CallSeq] {
+					t.Fatalf("call %d began twice or after its end", r.CallSeq)
 				}
-				began[r.Seq] = true
+				began[r.CallSeq] = true
 				continue
 			}
-			if ended[r.Seq] {
-				t.Fatalf("call %d ended twice", r.Seq)
+			if ended[r.CallSeq] {
+				t.Fatalf("call %d ended twice", r.CallSeq)
 			}
-			ended[r.Seq] = true
-			if (r.End == Stood || r.End == CutOff) && !began[r.Seq] {
-				t.Fatalf("call %d stood and never began", r.Seq)
+			ended[r.CallSeq] = true
+			if (r.End == Answered || r.End == CutOff) && !began[r.CallSeq] {
+				t.Fatalf("call %d stood and never began", r.CallSeq)
 			}
 			if (r.End == Refused) != r.Cause.Refusal() && (r.End == Refused || r.End == Failed) {
 				t.Fatalf("recorded as %v with cause %d", r.End, r.Cause)
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -25,17 +25,17 @@
 func (c *Core) hold(now time.Duration, h *held) {
 	h.limit.Value = func(now time.Duration) {
 		if h.call == nil || h.call.proving {
-			c.Stats.Unproven++
+			c.Stats.AnsweredNotDurable++
 		}
 		c.held = slices.DeleteFunc(c.held, func(o *held) bool { return o == h })
 		c.let(now, h)
 	}
 	c.held = append(c.held, h)
-	c.queue.Set(&h.limit, now+c.set.Prove)
+	c.queue.Set(&h.limit, now+c.set.DurableTimeout)
 }
 
-// Durable tells that all records up to a ticket are: their answers go out.
-func (c *Core) Durable(now time.Duration, ticket uint64) {
+// MarkDurable tells that all records up to a ticket are: their answers go out.
+func (c *Core) MarkDurable(now time.Duration, ticket uint64) {
 	n := 0
 	for n < len(c.held) && c.held[n].ticket <= ticket {
 		n++
@@ -61,5 +61,5 @@
 	}
 }
 
-// Held is the number of answers that wait for their record.
-func (c *Core) Held() int { return len(c.held) }
+// PendingAnswers is the number of answers that wait for their record.
+func (c *Core) PendingAnswers() int { return len(c.held) }
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -8,7 +8,7 @@
 // proving is a bed whose answers wait for their records, 30 ms at the most.
 func proving(t *testing.T) *bed {
 	b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
-	b.set.Prove = 30 * ms
+	b.set.DurableTimeout = 30 * ms
 	return b
 }
 
@@ -34,18 +34,18 @@
 	return got
 }
 
-func (b *bed) closeAll(t *testing.T, legs ...Leg) {
+func (b *bed) closeAll(t *testing.T, legs ...LegID) {
 	t.Helper()
 	for _, l := range legs {
 		b.Closed(b.now, l)
 	}
 	b.pass(10 * time.Second)
-	if b.Open()+b.Legs()+b.Held()+b.Timers() != 0 || b.Stats.Faults+b.Stats.Overdue != 0 {
-		t.Errorf("left: %d calls, %d legs, %d held, %d timers; %+v", b.Open(), b.Legs(), b.Held(), b.Timers(), b.Stats)
+	if b.OpenCalls()+b.Legs()+b.PendingAnswers()+b.Timers() != 0 || b.Stats.ActionFaults+b.Stats.Overdue != 0 {
+		t.Errorf("left: %d calls, %d legs, %d held, %d timers; %+v", b.OpenCalls(), b.Legs(), b.PendingAnswers(), b.Timers(), b.Stats)
 	}
 	ends := 0
 	for _, r := range b.Records {
-		if r.Kind == Ended {
+		if r.Kind == FinalRecord {
 			ends++
 		}
 	}
@@ -59,7 +59,7 @@
 	in, o := b.offer("15")
 	b.Answered(b.now, o.Leg)
 	b.expect(t, "before it is durable")
-	b.Durable(b.now, b.Records[0].Ticket)
+	b.MarkDurable(b.now, b.Records[0].RecordSeq)
 	b.expect(t, "durable", Answer)
 	b.Released(b.now, in, NormalClearing)
 	b.expect(t, "released", Release)
@@ -75,10 +75,10 @@
 	b.expect(t, "in time")
 	b.pass(ms)
 	b.expect(t, "over time", Answer)
-	if b.Stats.Unproven != 1 {
-		t.Errorf("%d counted", b.Stats.Unproven)
+	if b.Stats.AnsweredNotDurable != 1 {
+		t.Errorf("%d counted", b.Stats.AnsweredNotDurable)
 	}
-	b.Durable(b.now, 100) // late: nothing is sent twice
+	b.MarkDurable(b.now, 100) // late: nothing is sent twice
 	b.expect(t, "late")
 	b.Released(b.now, in, NormalClearing)
 	b.take()
@@ -98,10 +98,10 @@
 		}
 		b.Closed(b.now, o.Leg)
 		b.expect(t, "hung up")
-		b.Durable(b.now, b.Records[0].Ticket)
+		b.MarkDurable(b.now, b.Records[0].RecordSeq)
 		b.expect(t, "durable", Answer, Release)
 		r := b.Records[len(b.Records)-1]
-		if want := map[bool]End{false: Stood, true: CutOff}[lost]; r.End != want {
+		if want := map[bool]End{false: Answered, true: CutOff}[lost]; r.End != want {
 			t.Errorf("ended as %v, want %v", r.End, want)
 		}
 		b.closeAll(t, in)
@@ -115,9 +115,9 @@
 	b.Answered(b.now, o.Leg)
 	b.Released(b.now, in, NormalClearing)
 	b.expect(t, "left", Release)
-	b.Durable(b.now, 100)
+	b.MarkDurable(b.now, 100)
 	b.expect(t, "durable")
-	if r := b.Records[len(b.Records)-1]; r.End != Left || r.SetUp != 0 {
+	if r := b.Records[len(b.Records)-1]; r.End != Abandoned || r.SetupTime != 0 {
 		t.Errorf("record %+v", r)
 	}
 	b.closeAll(t, in, o.Leg)
@@ -129,7 +129,7 @@
 	b.Released(b.now, o.Leg, UserBusy)
 	b.Closed(b.now, o.Leg)
 	b.expect(t, "before it is durable")
-	b.Durable(b.now, b.Records[0].Ticket)
+	b.MarkDurable(b.now, b.Records[0].RecordSeq)
 	if got := b.expect(t, "durable", Release); got[0].Leg != in || got[0].Cause != UserBusy {
 		t.Errorf("got %+v", got)
 	}
@@ -138,13 +138,13 @@
 
 func TestShutRouterTakesNoCall(t *testing.T) {
 	b := proving(t)
-	b.Shut(true)
+	b.SetSuspended(true)
 	in := b.Offer(b.now, Origin{Exchange: Subscriber}, Request{Called: "15"})
 	if got := b.expect(t, "shut", Release); got[0].Cause != Congestion {
 		t.Errorf("cause %d", got[0].Cause)
 	}
 	b.Closed(b.now, in)
-	b.Shut(false)
+	b.SetSuspended(false)
 	in, o := b.offer("15")
 	if o.Kind != Connect {
 		t.Fatalf("got %+v", o)
--- a/internal/call/flow.go
+++ b/internal/call/flow.go
@@ -11,15 +11,15 @@
 
 // Offer hands a call to the router. A call that cannot be taken (unknown number, a loop, no circuit on the
 // group that it came over, too many calls, a router that closes) gets its Release at once and was never taken.
-func (c *Core) Offer(now time.Duration, from Origin, r Request) Leg {
+func (c *Core) Offer(now time.Duration, from Origin, r Request) LegID {
 	c.lastLeg++
 	in := &leg{id: c.lastLeg, incoming: true, heard: true}
 	c.legs[in.id] = in
-	class, tenant, dest, known := c.set.Plan.Look(r)
+	class, tenant, dest, known := c.set.Plan.Lookup(r)
 	width := c.set.Decide.Classes[class].Width
 	over := from.Exchange != Subscriber
-	turn := func(cause Cause, text string) Leg {
-		c.Stats.Turned++
+	turn := func(cause Cause, text string) LegID {
+		c.Stats.Rejected++
 		c.out(Output{Kind: Release, Leg: in.id, Cause: cause, Text: text})
 		return in.id
 	}
@@ -32,7 +32,7 @@
 		return turn(Congestion, "no records can be kept now")
 	case c.set.MaxCalls > 0 && len(c.calls) >= c.set.MaxCalls:
 		return turn(Congestion, "too many calls")
-	case over && dest != c.set.Decide.OwnExchange && r.Passed:
+	case over && dest != c.set.Decide.OwnExchange && r.ViaTandem:
 		return turn(RoutingError, "passed on twice")
 	}
 	if over {
@@ -42,7 +42,7 @@
 		}
 		in.group, in.width = g, width
 	}
-	patience := max(0, c.set.Patience[class]-c.set.Margin)
+	patience := max(0, c.set.Patience[class]-c.set.AnswerMargin)
 	c.seq++
 	k := &call{id: c.nextCall(), seq: c.seq, request: r, origin: from, class: class, tenant: tenant, dest: dest,
 		width: width, transit: over, in: in, offered: now, deadline: now + patience}
@@ -52,7 +52,7 @@
 	in.call = k
 	c.calls[k.id] = k
 	c.Stats.Offered++
-	c.queue.Set(&k.watch, k.deadline+c.set.Margin/2)
+	c.queue.Set(&k.watch, k.deadline+c.set.AnswerMargin/2)
 	c.feed(decide.Offer{Call: k.id, Class: class, Tenant: tenant, CalledNumber: numberKey(r.Called),
 		Patience: patience, Dest: dest, AdvisedTandem: decide.Unknown, Width: width, Transit: over})
 	c.run(now)
@@ -74,7 +74,7 @@
 	k := c.calls[a.Call]
 	ended := decide.AttemptEnded{Call: a.Call, Exchange: a.Exchange, Outcome: decide.NotSent, Report: decide.NoReport}
 	if k == nil || k.stood || k.out != nil {
-		c.Stats.Faults++
+		c.Stats.ActionFaults++
 		ended.Concluded = k == nil || k.stood
 		c.feed(ended)
 		return
@@ -116,12 +116,12 @@
 	}
 	c.queue.Set(&k.limit, limit)
 	r := k.request
-	r.Passed = k.transit && x.Number != c.set.Decide.OwnExchange
+	r.ViaTandem = k.transit && x.Number != c.set.Decide.OwnExchange
 	c.out(Output{Kind: Connect, Leg: l.id, Exchange: a.Exchange, Request: r})
 }
 
-// Carried tells what carries a leg that was to be set up.
-func (c *Core) Carried(id Leg, b Bearer) {
+// SetBearer tells what carries a leg that was to be set up.
+func (c *Core) SetBearer(id LegID, b Bearer) {
 	if l := c.legs[id]; l != nil && l.call != nil && !l.incoming {
 		l.call.tried[l.tried].Bearer = b
 	}
@@ -130,18 +130,18 @@
 // tell notes an attempt's outcome for the record.
 func (l *leg) tell(now time.Duration, o decide.Outcome, cause Cause) {
 	t := &l.call.tried[l.tried]
-	t.Outcome, t.Cause, t.Took = o, cause, now-l.sent
+	t.Outcome, t.Cause, t.Duration = o, cause, now-l.sent
 }
 
-// Heard tells that the far end of a leg has the set-up.
-func (c *Core) Heard(now time.Duration, id Leg) {
+// Acknowledged tells that the far end of a leg has the set-up.
+func (c *Core) Acknowledged(now time.Duration, id LegID) {
 	if l := c.legs[id]; l != nil {
 		l.heard = true
 	}
 }
 
 // Progressed tells that the far end rings or is proceeding.
-func (c *Core) Progressed(now time.Duration, id Leg) {
+func (c *Core) Progressed(now time.Duration, id LegID) {
 	l := c.legs[id]
 	if l == nil || l.incoming {
 		return
@@ -154,7 +154,7 @@
 
 // Answered tells that the far end answered: the call stands. An answer to an attempt that is over is late and
 // changes nothing; its release is on the way.
-func (c *Core) Answered(now time.Duration, id Leg) {
+func (c *Core) Answered(now time.Duration, id LegID) {
 	l := c.legs[id]
 	if l == nil || l.call == nil || l.call.out != l || l.call.stood || l.call.proving {
 		return
@@ -164,8 +164,8 @@
 	c.queue.Stop(&k.limit)
 	l.tell(now, decide.Completed, 0)
 	k.answered = now
-	ticket := c.record(now, k, Record{Kind: Began})
-	if c.set.Prove > 0 {
+	ticket := c.record(now, k, Record{Kind: AnswerRecord})
+	if c.set.DurableTimeout > 0 {
 		k.proving = true
 		c.hold(now, &held{ticket: ticket, call: k})
 		return
@@ -188,7 +188,7 @@
 
 // Released tells that the far end of a leg ended it: the caller hung up, or the exchange refused or released
 // the call.
-func (c *Core) Released(now time.Duration, id Leg, cause Cause) {
+func (c *Core) Released(now time.Duration, id LegID, cause Cause) {
 	c.legEnded(now, id, farEnd{cause: cause}, func(l *leg) {
 		o, why := outcome(cause, l.tandem)
 		c.attemptOver(now, l, o, why, cause, 0)
@@ -197,7 +197,7 @@
 
 // Lost tells that the far end of a leg is gone or knows nothing of it. reset is the latter; without it the
 // set-up went unanswered.
-func (c *Core) Lost(now time.Duration, id Leg, reset bool) {
+func (c *Core) Lost(now time.Duration, id LegID, reset bool) {
 	o := decide.TimedOut
 	if reset {
 		o = decide.Cut
@@ -206,7 +206,7 @@
 }
 
 // legEnded ends what a leg belongs to; attempt ends a set-up that was not answered.
-func (c *Core) legEnded(now time.Duration, id Leg, e farEnd, attempt func(*leg)) {
+func (c *Core) legEnded(now time.Duration, id LegID, e farEnd, attempt func(*leg)) {
 	l := c.legs[id]
 	if l == nil || l.call == nil {
 		return
@@ -225,7 +225,7 @@
 }
 
 // Closed tells that nothing of a leg is left at either end: its circuits are free.
-func (c *Core) Closed(now time.Duration, id Leg) {
+func (c *Core) Closed(now time.Duration, id LegID) {
 	l := c.legs[id]
 	if l == nil {
 		return
@@ -283,11 +283,11 @@
 	c.feed(decide.CallerAbandoned{Call: k.id})
 	c.cancel(now, k)
 	c.detach(k.in, 0)
-	known := ByCaller
+	known := EndedByCaller
 	if cause == OutOfOrder {
-		known = ByLoss
+		known = EndedByLoss
 	}
-	c.over(now, k, Left, cause, known)
+	c.over(now, k, Abandoned, cause, known)
 }
 
 // cancel calls off the attempt that is out, if any; no answer is owed any more.
@@ -305,18 +305,18 @@
 // standingOver ends a call that stood; by is the leg whose far end ended it. A release that is not a normal
 // one, or a lost far end, means that the call was cut.
 func (c *Core) standingOver(now time.Duration, k *call, by *leg, cause Cause, lost bool) {
-	out, end, o := k.out, Stood, decide.Completed
-	if lost || cause != NormalClearing && cause != NormalUnspec && cause != 0 {
+	out, end, o := k.out, Answered, decide.Completed
+	if lost || cause != NormalClearing && cause != NormalUnspecified && cause != 0 {
 		end, o = CutOff, decide.Cut
 	}
-	other, known := k.in, ByFarEnd
+	other, known := k.in, EndedByFarEnd
 	if by == k.in {
-		other, known = out, ByCaller
+		other, known = out, EndedByCaller
 	}
 	if lost {
-		known = ByLoss
+		known = EndedByLoss
 	}
-	k.tried[out.tried].Took = k.answered - out.sent
+	k.tried[out.tried].Duration = k.answered - out.sent
 	c.detach(by, 0)
 	c.detach(other, max(cause, NormalClearing))
 	c.feed(decide.AttemptEnded{Call: k.id, Attempt: out.attempt, Exchange: out.exchange, Outcome: o,
@@ -329,7 +329,7 @@
 func (c *Core) finish(now time.Duration, id decide.CallID, stayAway time.Duration) {
 	k := c.calls[id]
 	if k == nil || k.stood || k.out != nil {
-		c.Stats.Faults++
+		c.Stats.ActionFaults++
 		return
 	}
 	cause := finalCause(k.last, k.cause)
@@ -345,9 +345,9 @@
 		end = Refused
 	}
 	c.detach(k.in, 0)
-	ticket := c.over(now, k, end, cause, ByRouter)
+	ticket := c.over(now, k, end, cause, EndedByRouter)
 	release := Output{Kind: Release, Leg: k.in.id, Cause: cause, Text: text}
-	if c.set.Prove > 0 {
+	if c.set.DurableTimeout > 0 {
 		c.hold(now, &held{ticket: ticket, release: release})
 		return
 	}
@@ -360,7 +360,7 @@
 		return
 	}
 	if k.proving { // the answer is here, only its record is not: the caller's time goes before
-		c.Stats.Unproven++
+		c.Stats.AnsweredNotDurable++
 		c.stand(now, k)
 		return
 	}
@@ -369,31 +369,31 @@
 	c.cancel(now, k)
 	c.detach(k.in, 0)
 	c.out(Output{Kind: Release, Leg: k.in.id, Cause: TimerExpired})
-	c.over(now, k, Failed, TimerExpired, ByTimer)
+	c.over(now, k, Failed, TimerExpired, EndedByTimer)
 }
 
 // over takes a finished call off the books; it returns the ticket of its record.
-func (c *Core) over(now time.Duration, k *call, end End, cause Cause, known Known) uint64 {
+func (c *Core) over(now time.Duration, k *call, end End, cause Cause, known EndSource) uint64 {
 	c.queue.Stop(&k.limit)
 	c.queue.Stop(&k.watch)
 	delete(c.calls, k.id)
 	c.Stats.Ends[end]++
-	return c.record(now, k, Record{End: end, Cause: cause, Known: known})
+	return c.record(now, k, Record{End: end, Cause: cause, EndSource: known})
 }
 
 // record fills in what is known of a call and keeps the record for the user.
 func (c *Core) record(now time.Duration, k *call, r Record) uint64 {
 	c.ticket++
-	r.Call, r.Seq, r.Ticket = k.id, k.seq, c.ticket
+	r.Call, r.CallSeq, r.RecordSeq = k.id, k.seq, c.ticket
 	r.Origin, r.Bearer = k.origin.Exchange, k.origin.Bearer
 	r.Class, r.Tenant, r.Dest, r.Width, r.Transit = k.class, k.tenant, k.dest, k.width, k.transit
 	r.Offered, r.Called, r.Calling, r.User, r.Context = k.offered, k.request.Called, k.request.Calling, k.request.User, k.request.Context
 	r.Attempts = k.tried
-	if r.Kind == Began {
+	if r.Kind == AnswerRecord {
 		r.Attempts = slices.Clone(k.tried) // the call goes on
 	}
-	if k.stood || r.Kind == Began {
-		r.SetUp, r.Length = k.answered-k.offered, now-k.answered
+	if k.stood || r.Kind == AnswerRecord {
+		r.SetupTime, r.Duration = k.answered-k.offered, now-k.answered
 	}
 	c.Records = append(c.Records, r)
 	return c.ticket
--- a/internal/call/instant_test.go
+++ b/internal/call/instant_test.go
@@ -12,7 +12,7 @@
 	for _, prove := range []time.Duration{0, 30 * ms} {
 		for _, order := range permutations(4) {
 			b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
-			b.set.Prove = prove
+			b.set.DurableTimeout = prove
 			in, o := b.offer("15")
 			at, ok := b.Next()
 			if !ok {
@@ -37,7 +37,7 @@
 				}
 			}
 			out := b.take()
-			b.Durable(b.now, 1000)
+			b.MarkDurable(b.now, 1000)
 			out = append(out, b.take()...)
 			b.pass(20 * time.Second)
 			out = append(out, b.take()...)
@@ -66,13 +66,13 @@
 			b.pass(20 * time.Second)
 			ends := 0
 			for _, r := range b.Records {
-				if r.Kind == Ended {
+				if r.Kind == FinalRecord {
 					ends++
 				}
 			}
-			if ends != 1 || b.Open()+b.Legs()+b.Held()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.Faults != 0 {
+			if ends != 1 || b.OpenCalls()+b.Legs()+b.PendingAnswers()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.ActionFaults != 0 {
 				t.Errorf("prove %v, order %v: %d ends recorded; %s", prove, order, ends,
-					fmt.Sprint(b.Open(), " calls, ", b.Legs(), " legs, ", b.Held(), " held, ", b.Timers(), " timers ", b.Stats))
+					fmt.Sprint(b.OpenCalls(), " calls, ", b.Legs(), " legs, ", b.PendingAnswers(), " held, ", b.Timers(), " timers ", b.Stats))
 			}
 		}
 	}
--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -11,17 +11,17 @@
 	"pipitring/decide"
 )
 
-// Leg is one end-to-end signalling relation of a call: with its caller, or with the exchange it is sent to.
-type Leg uint64
+// LegID is one end-to-end signalling relation of a call: with its caller, or with the exchange it is sent to.
+type LegID uint64
 
 // Request is what is known of a call when it is offered.
 type Request struct {
-	Called  string
-	Calling string
-	Name    string // of the caller
-	Context string
-	User    string
-	Passed  bool // a tandem has passed it on already
+	Called    string
+	Calling   string
+	Name      string // of the caller
+	Context   string
+	User      string
+	ViaTandem bool // a tandem has passed it on already
 }
 
 // Origin tells where a call came from.
@@ -53,8 +53,8 @@
 // Output is one thing that a front has to do.
 type Output struct {
 	Kind     OutputKind
-	Leg      Leg
-	Other    Leg
+	Leg      LegID
+	Other    LegID
 	Exchange decide.ExchangeID
 	Request  Request
 	Cause    Cause
@@ -66,11 +66,11 @@
 
 // Ends of a call.
 const (
-	Stood   End = iota + 1 // it was answered, and released by either end
-	CutOff                 // it was answered, and cut
-	Refused                // final answer: turned away
-	Failed                 // final answer: given up
-	Left                   // the caller hung up before any answer
+	Answered  End = iota + 1 // it was answered, and released by either end
+	CutOff                   // it was answered, and cut
+	Refused                  // final answer: turned away
+	Failed                   // final answer: given up
+	Abandoned                // the caller hung up before any answer
 )
 
 func (e End) String() string {
@@ -82,20 +82,20 @@
 
 // Kinds of Record.
 const (
-	Ended RecordKind = iota // the call is over
-	Began                   // it is answered; its Ended follows
+	FinalRecord  RecordKind = iota // the call is over
+	AnswerRecord                   // it is answered; its Ended follows
 )
 
-// Known tells how the end of a call is known.
-type Known uint8
+// EndSource tells how the end of a call is known.
+type EndSource uint8
 
 // Ways to know a call's end.
 const (
-	ByRouter Known = iota + 1 // this router gave the final answer
-	ByCaller                  // the caller's end released it
-	ByFarEnd                  // the far end released it
-	ByLoss                    // an end was lost
-	ByTimer                   // the watchdog ended it
+	EndedByRouter EndSource = iota + 1 // this router gave the final answer
+	EndedByCaller                      // the caller's end released it
+	EndedByFarEnd                      // the far end released it
+	EndedByLoss                        // an end was lost
+	EndedByTimer                       // the watchdog ended it
 )
 
 // Attempt is one set-up of a call, or one that could not leave.
@@ -105,45 +105,45 @@
 	Tandem    bool
 	Bearer    Bearer
 	Sent      time.Duration // clock
-	Took      time.Duration // until its end, or its answer
+	Duration  time.Duration // until its end, or its answer
 	Outcome   decide.Outcome
 	Cause     Cause // the far end's, 0 if it gave none
 }
 
 // Record tells of one call.
 type Record struct {
-	Kind     RecordKind
-	Call     decide.CallID
-	Seq      uint64 // of calls taken since the start: never used twice, as Call may be
-	Ticket   uint64 // of the records made; see Core.Durable
-	Origin   int
-	Bearer   Bearer // of the caller's leg
-	Class    int
-	Tenant   int
-	Dest     int
-	Width    int
-	Transit  bool
-	End      End
-	Cause    Cause
-	Known    Known
-	Attempts []Attempt
-	Offered  time.Duration // clock
-	SetUp    time.Duration // from offer to answer, 0 if it never stood
-	Length   time.Duration // it stood for
-	Called   string
-	Calling  string
-	User     string
-	Context  string
+	Kind      RecordKind
+	Call      decide.CallID
+	CallSeq   uint64 // of calls taken since the start: never used twice, as Call may be
+	RecordSeq uint64 // of the records made; see Core.Durable
+	Origin    int
+	Bearer    Bearer // of the caller's leg
+	Class     int
+	Tenant    int
+	Dest      int
+	Width     int
+	Transit   bool
+	End       End
+	Cause     Cause
+	EndSource EndSource
+	Attempts  []Attempt
+	Offered   time.Duration // clock
+	SetupTime time.Duration // from offer to answer, 0 if it never stood
+	Duration  time.Duration // it stood for
+	Called    string
+	Calling   string
+	User      string
+	Context   string
 }
 
 // Stats count since the start.
 type Stats struct {
-	Offered   uint64 // calls taken
-	Turned    uint64 // calls rejected before they were taken
-	Ends      [Left + 1]uint64
-	Attempts  uint64
-	Overdue   uint64 // calls answered by the watchdog: a defect of the module
-	Withdrawn uint64 // set-ups called off at the end of a drain's grace
-	Unproven  uint64 // answers that went out before their record was durable
-	Faults    uint64 // actions of the module that could not be carried out: a defect
+	Offered            uint64 // calls taken
+	Rejected           uint64 // calls rejected before they were taken
+	Ends               [Abandoned + 1]uint64
+	Attempts           uint64
+	Overdue            uint64 // calls answered by the watchdog: a defect of the module
+	Withdrawn          uint64 // set-ups called off at the end of a drain's grace
+	AnsweredNotDurable uint64 // answers that went out before their record was durable
+	ActionFaults       uint64 // actions of the module that could not be carried out: a defect
 }
--- a/internal/call/plan.go
+++ b/internal/call/plan.go
@@ -95,22 +95,22 @@
 // AddTenantPrefix gives calls to numbers with a prefix a tenant.
 func (p *Plan) AddTenantPrefix(prefix string, tenant int) error { return p.tenant.add(prefix, tenant) }
 
-// By tells whether an entry names a user or a context.
-type By uint8
+// PlanKey tells whether an entry names a user or a context.
+type PlanKey uint8
 
 // What an entry can name.
 const (
-	ByUser By = iota
-	ByContext
+	KeyUser PlanKey = iota
+	KeyContext
 )
 
 // AddClass gives the calls of a user or a context a class.
-func (p *Plan) AddClass(by By, name string, class int) error {
+func (p *Plan) AddClass(by PlanKey, name string, class int) error {
 	return addName([]map[string]int{p.classByUser, p.classByCtx}[by], name, class)
 }
 
 // AddTenant gives the calls of a user or a context a tenant.
-func (p *Plan) AddTenant(by By, name string, tenant int) error {
+func (p *Plan) AddTenant(by PlanKey, name string, tenant int) error {
 	return addName([]map[string]int{p.tenantByUser, p.tenantByCtx}[by], name, tenant)
 }
 
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Look tells a request's class, tenant and destination; ok is false where no prefix fits the number.
-func (p *Plan) Look(r Request) (class, tenant, dest int, ok bool) {
+// Lookup tells a request's class, tenant and destination; ok is false where no prefix fits the number.
+func (p *Plan) Lookup(r Request) (class, tenant, dest int, ok bool) {
 	dest, ok = p.dest.longest(r.Called)
 	return look(p.classByUser, p.classByCtx, &p.class, p.DefaultClass, r),
 		look(p.tenantByUser, p.tenantByCtx, &p.tenant, p.DefaultTenant, r), dest, ok
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -30,7 +30,7 @@
 	Router
 	Switch
 	Callers
-	Noticer
+	NoticeSource
 )
 
 // Party is one end of a datagram.
@@ -52,7 +52,7 @@
 		return netip.AddrFrom4([4]byte{10, 0, byte(p.Exchange), 2})
 	case Callers:
 		return netip.AddrFrom4([4]byte{10, 1, byte(p.Exchange), 1})
-	case Noticer:
+	case NoticeSource:
 		return netip.AddrFrom4([4]byte{10, 255, 0, 1})
 	}
 	return netip.AddrFrom4([4]byte{})
@@ -61,7 +61,7 @@
 // PartyAt is the party of an address.
 func PartyAt(a netip.Addr) Party {
 	b := a.As4()
-	for _, k := range []Kind{Router, Switch, Callers, Noticer} {
+	for _, k := range []Kind{Router, Switch, Callers, NoticeSource} {
 		if p := (Party{k, int(b[2])}); p.Addr() == a {
 			return p
 		}
@@ -89,19 +89,19 @@
 
 // Notice tells what no datagram shows. One field is set.
 type Notice struct {
-	Figures *Figures `json:"figures,omitempty"`
-	List    *List    `json:"list,omitempty"`
-	Started *Started `json:"started,omitempty"`
-	Router  *Life    `json:"router,omitempty"`
+	Parameters *Parameters  `json:"figures,omitempty"`
+	List       *List        `json:"list,omitempty"`
+	Started    *Started     `json:"started,omitempty"`
+	Router     *RouterState `json:"router,omitempty"`
 }
 
-// Figures are what the rules are judged by.
-type Figures struct {
-	DrainGrace   time.Duration            `json:"drain_grace_ns"`
-	ReleaseWait  time.Duration            `json:"release_wait_ns"`
-	FallMultiple float64                  `json:"fall_multiple"`
-	FallWindow   time.Duration            `json:"fall_window_ns"`
-	Patience     map[string]time.Duration `json:"patience_ns"` // of one try, by the NEW's context
+// Parameters are what the rules are judged by.
+type Parameters struct {
+	DrainGrace       time.Duration            `json:"drain_grace_ns"`
+	ReleaseWait      time.Duration            `json:"release_wait_ns"`
+	OverloadMultiple float64                  `json:"fall_multiple"`
+	OverloadWindow   time.Duration            `json:"fall_window_ns"`
+	Patience         map[string]time.Duration `json:"patience_ns"` // of one try, by the NEW's context
 }
 
 // List is a list as one router was told it.
@@ -120,15 +120,15 @@
 // Started tells that a processor started: from then on it can do From times Rate set-ups a second, rising to Rate
 // within Warm.
 type Started struct {
-	Exchange int           `json:"exchange"`
-	ID       string        `json:"id"`
-	Rate     float64       `json:"rate"`
-	From     float64       `json:"from"`
-	Warm     time.Duration `json:"warm_ns"`
+	Exchange     int           `json:"exchange"`
+	ID           string        `json:"id"`
+	Rate         float64       `json:"rate"`
+	ColdCapacity float64       `json:"from"`
+	ColdDuration time.Duration `json:"warm_ns"`
 }
 
-// Life tells that a router started or was killed.
-type Life struct {
+// RouterState tells that a router started or was killed.
+type RouterState struct {
 	Exchange int  `json:"exchange"`
 	Up       bool `json:"up"`
 }
@@ -193,7 +193,7 @@
 	case n.Router != nil:
 		to = Party{Router, n.Router.Exchange}
 	}
-	c.write(at, Party{Kind: Noticer}, to, noticePort, payload)
+	c.write(at, Party{Kind: NoticeSource}, to, noticePort, payload)
 }
 
 // Segment records bytes of a TCP stream, as they were read; seq is the number of bytes before them.
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -178,14 +178,14 @@
 
 // entries puts what a class or a tenant is known by into the plan.
 func (s *Settings) entries(d *tomlbind.Doc, key string, users, contexts, prefixes []string, value int,
-	byName func(call.By, string, int) error, byPrefix func(string, int) error) {
+	byName func(call.PlanKey, string, int) error, byPrefix func(string, int) error) {
 	for j, u := range users {
-		if err := byName(call.ByUser, u, value); err != nil {
+		if err := byName(call.KeyUser, u, value); err != nil {
 			d.Report(fmt.Sprintf("%s.users[%d]", key, j+1), "%v", err)
 		}
 	}
 	for j, c := range contexts {
-		if err := byName(call.ByContext, c, value); err != nil {
+		if err := byName(call.KeyContext, c, value); err != nil {
 			d.Report(fmt.Sprintf("%s.contexts[%d]", key, j+1), "%v", err)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -269,10 +269,10 @@
 	if s.Router.Seed != 0 {
 		seed = s.Router.Seed
 	}
-	c := call.Settings{Decide: s.Decide(), Seed: seed, Groups: s.Sizes, Own: s.OwnCircuits(), Plan: s.Plan, Margin: s.Router.AnswerMargin,
+	c := call.Settings{Decide: s.Decide(), Seed: seed, Groups: s.Sizes, OwnCircuits: s.OwnCircuits(), Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin,
 		DrainGrace: s.atMost(s.Rules.DrainGrace), MaxCalls: s.Router.MaxCalls}
 	if s.Records.Dir != "" && s.Records.Answer == AnswerDurable {
-		c.Prove = s.Records.AnswerWait
+		c.DurableTimeout = s.Records.AnswerWait
 	}
 	for _, class := range s.Class {
 		c.Patience = append(c.Patience, s.atMost(class.Patience))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class, tenant, dest, ok := s.Plan.Look(call.Request{Called: "6295", Context: "alarm", User: "handheld"})
+	class, tenant, dest, ok := s.Plan.Lookup(call.Request{Called: "6295", Context: "alarm", User: "handheld"})
 	if class != 1 || tenant != 0 || dest != 2 || !ok {
 		t.Errorf("an alarm to 6295: class %d, tenant %d, exchange %d, %v", class, tenant, dest, ok)
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -39,14 +39,14 @@
 }
 
 var (
-	ends   = [...]cdr.End{call.Stood: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Left: cdr.Abandoned}
-	knowns = [...]cdr.EndSource{call.ByRouter: cdr.EndedByRouter, call.ByCaller: cdr.EndedByCaller, call.ByFarEnd: cdr.EndedByFarEnd, call.ByLoss: cdr.EndedByLoss,
-		call.ByTimer: cdr.EndedByTimer}
+	ends   = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
+	knowns = [...]cdr.EndSource{call.EndedByRouter: cdr.EndedByRouter, call.EndedByCaller: cdr.EndedByCaller, call.EndedByFarEnd: cdr.EndedByFarEnd, call.EndedByLoss: cdr.EndedByLoss,
+		call.EndedByTimer: cdr.EndedByTimer}
 )
 
 // Record puts a core's record in the form that is kept; clock tells what its moments were on the wall.
 func (s *Settings) Record(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
-	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), EndSource: knowns[r.Known], Class: s.Class[r.Class].Name,
+	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), EndSource: knowns[r.EndSource], Class: s.Class[r.Class].Name,
 		Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context, Front: r.Bearer.Front, Circuit: r.Bearer.Circuit,
 		Origin: r.Origin, Dest: r.Dest, Transit: r.Transit, Width: r.Width, Offered: clock.At(r.Offered)}
 	if r.Tenant < len(s.Tenant) {
@@ -56,13 +56,13 @@
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		out.Attempts = append(out.Attempts, cdr.Attempt{Exchange: a.Exchange, Tandem: a.Tandem, Front: a.Bearer.Front,
-			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Took: a.Took, Outcome: outcomeName(a.Outcome), Cause: uint8(a.Cause)})
-		end = max(end, a.Sent+a.Took)
+			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Took: a.Duration, Outcome: outcomeName(a.Outcome), Cause: uint8(a.Cause)})
+		end = max(end, a.Sent+a.Duration)
 	}
-	if r.SetUp > 0 {
-		answered := r.Offered + r.SetUp
-		end = answered + r.Length
-		out.Answered, out.SetUp, out.Duration = clock.At(answered), r.SetUp, r.Length
+	if r.SetupTime > 0 {
+		answered := r.Offered + r.SetupTime
+		end = answered + r.Duration
+		out.Answered, out.SetUp, out.Duration = clock.At(answered), r.SetupTime, r.Duration
 	}
 	out.Ended, out.ClockStep = clock.At(end), clock.Step(r.Offered, end)
 	return out
--- a/internal/front/iaxfront/front.go
+++ b/internal/front/iaxfront/front.go
@@ -15,7 +15,7 @@
 	ep      *iax2.Endpoint
 	core    *call.Core
 	own     int
-	dialogs map[call.Leg]*iax2.Dialog
+	dialogs map[call.LegID]*iax2.Dialog
 	peers   map[iax2.Addr]int // exchange number by the address that its router sends from
 	routes  map[decide.ExchangeID]iax2.Addr
 }
@@ -26,7 +26,7 @@
 // New returns a front; own is the number of the own exchange, cfg the endpoint's settings. Routers of other
 // exchanges are trusted.
 func New(core *call.Core, own int, cfg iax2.Config) *Front {
-	f := &Front{core: core, own: own, dialogs: map[call.Leg]*iax2.Dialog{}, peers: map[iax2.Addr]int{},
+	f := &Front{core: core, own: own, dialogs: map[call.LegID]*iax2.Dialog{}, peers: map[iax2.Addr]int{},
 		routes: map[decide.ExchangeID]iax2.Addr{}}
 	cfg.Trusted = func(a iax2.Addr) bool { _, ok := f.peers[a]; return ok }
 	f.ep = iax2.NewEndpoint(cfg)
@@ -39,14 +39,14 @@
 // Dialogs is the number of dialogs that belong to a leg.
 func (f *Front) Dialogs() int { return len(f.dialogs) }
 
-// Route tells where set-ups to a processor go.
-func (f *Front) Route(id decide.ExchangeID, to iax2.Addr) { f.routes[id] = to }
+// AddRoute tells where set-ups to a processor go.
+func (f *Front) AddRoute(id decide.ExchangeID, to iax2.Addr) { f.routes[id] = to }
 
-// Unroute forgets a processor that is gone.
-func (f *Front) Unroute(id decide.ExchangeID) { delete(f.routes, id) }
+// RemoveRoute forgets a processor that is gone.
+func (f *Front) RemoveRoute(id decide.ExchangeID) { delete(f.routes, id) }
 
-// Peers tells which routers calls over trunk groups come from, by address.
-func (f *Front) Peers(peers map[iax2.Addr]int) { f.peers = peers }
+// SetPeers tells which routers calls over trunk groups come from, by address.
+func (f *Front) SetPeers(peers map[iax2.Addr]int) { f.peers = peers }
 
 // Pump hands the endpoint's events to the core; it reports whether there were any.
 func (f *Front) Pump(now time.Duration) bool {
@@ -64,7 +64,7 @@
 	if e.Dialog == nil {
 		return
 	}
-	leg := call.Leg(e.Dialog.Ref)
+	leg := call.LegID(e.Dialog.Ref)
 	switch e.Kind {
 	case iax2.Offered:
 		origin := call.Subscriber
@@ -73,11 +73,11 @@
 		}
 		r := e.Request
 		leg = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer}, call.Request{Called: r.Called, Calling: r.Calling,
-			Name: r.CallingName, Context: r.Context, User: r.User, Passed: origin != call.Subscriber && r.Redirecting != ""})
+			Name: r.CallingName, Context: r.Context, User: r.User, ViaTandem: origin != call.Subscriber && r.Redirecting != ""})
 		e.Dialog.Ref = uint64(leg)
 		f.dialogs[leg] = e.Dialog
 	case iax2.Accepted:
-		f.core.Heard(now, leg)
+		f.core.Acknowledged(now, leg)
 	case iax2.Progress:
 		f.core.Progressed(now, leg)
 	case iax2.Answered:
@@ -92,8 +92,8 @@
 	}
 }
 
-// Carry does what the core asks of one of this front's legs; false if the leg is none of them.
-func (f *Front) Carry(now time.Duration, o call.Output) bool {
+// Execute does what the core asks of one of this front's legs; false if the leg is none of them.
+func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
 	}
@@ -122,7 +122,7 @@
 	}
 	r := iax2.Request{Called: o.Request.Called, Calling: o.Request.Calling, CallingName: o.Request.Name,
 		Context: o.Request.Context, User: o.Request.User}
-	if o.Request.Passed {
+	if o.Request.ViaTandem {
 		r.Redirecting = strconv.Itoa(f.own)
 	}
 	d, err := f.ep.Call(now, to, r)
@@ -133,6 +133,6 @@
 	}
 	d.Ref = uint64(o.Leg)
 	f.dialogs[o.Leg] = d
-	f.core.Carried(o.Leg, bearer)
+	f.core.SetBearer(o.Leg, bearer)
 	return true
 }
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -11,8 +11,8 @@
 	"pipitring/internal/m3ua"
 )
 
-// Conn names one connection of the runtime's.
-type Conn uint64
+// ConnID names one connection of the runtime's.
+type ConnID uint64
 
 // GroupConfig sets one group of circuits.
 type GroupConfig struct {
@@ -37,9 +37,9 @@
 	cfg    Config
 	groups []*group // by exchange, rising
 	byPC   map[uint32]*group
-	conns  map[Conn]*conn
+	conns  map[ConnID]*conn
 	order  []*conn
-	legs   map[call.Leg]*leg
+	legs   map[call.LegID]*leg
 	routes map[decide.ExchangeID]*group
 	Stats  Stats
 	Alarms []Alarm // for maintenance; the user takes them and resets the slice
@@ -60,8 +60,8 @@
 	Circuits     isup.Stats
 }
 
-// States tells the state of every group, by exchange.
-func (f *Front) States() (out []GroupState) {
+// GroupStates tells the state of every group, by exchange.
+func (f *Front) GroupStates() (out []GroupState) {
 	for _, g := range f.groups {
 		out = append(out, GroupState{g.exchange, g.server.Active(), g.isup.Busy(), g.isup.Idle(), g.isup.Stats})
 	}
@@ -70,10 +70,10 @@
 
 // Stats count since the start.
 type Stats struct {
-	Unsent   uint64 // messages that no association could take
-	Stranger uint64 // messages of point codes that no group leads to, or connections of strangers
-	Cut      uint64 // set-ups ended because the last association to an exchange was lost
-	Alarms   uint64
+	Unsent      uint64 // messages that no association could take
+	UnknownPeer uint64 // messages of point codes that no group leads to, or connections of strangers
+	Cut         uint64 // set-ups ended because the last association to an exchange was lost
+	Alarms      uint64
 }
 
 // group is one group of circuits and the associations to its other end.
@@ -88,7 +88,7 @@
 
 // conn is one association.
 type conn struct {
-	id    Conn
+	id    ConnID
 	link  *m3ua.Link
 	group *group // nil until the other end has told who it is
 	dead  bool
@@ -96,7 +96,7 @@
 
 // leg is a call on a circuit.
 type leg struct {
-	id       call.Leg
+	id       call.LegID
 	group    *group
 	call     *isup.Call
 	incoming bool
@@ -105,7 +105,7 @@
 
 // New returns a front without associations.
 func New(core *call.Core, c Config) *Front {
-	f := &Front{core: core, cfg: c, byPC: map[uint32]*group{}, conns: map[Conn]*conn{}, legs: map[call.Leg]*leg{},
+	f := &Front{core: core, cfg: c, byPC: map[uint32]*group{}, conns: map[ConnID]*conn{}, legs: map[call.LegID]*leg{},
 		routes: map[decide.ExchangeID]*group{}}
 	for _, gc := range c.Groups {
 		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), own: gc.Circuits.Own, legs: map[*isup.Call]*leg{},
@@ -131,15 +131,15 @@
 	return nil
 }
 
-// Route tells which exchange a processor stands at.
-func (f *Front) Route(id decide.ExchangeID, exchange int) {
+// AddRoute tells which exchange a processor stands at.
+func (f *Front) AddRoute(id decide.ExchangeID, exchange int) {
 	if g := f.group(exchange); g != nil {
 		f.routes[id] = g
 	}
 }
 
-// Unroute forgets a processor that is gone.
-func (f *Front) Unroute(id decide.ExchangeID) { delete(f.routes, id) }
+// RemoveRoute forgets a processor that is gone.
+func (f *Front) RemoveRoute(id decide.ExchangeID) { delete(f.routes, id) }
 
 // Busy is the number of circuits that are not idle; Legs that of legs on them.
 func (f *Front) Busy() (n int) {
@@ -160,7 +160,7 @@
 
 // Connected begins an association on a new connection. exchange is the one that it was made to; -1 where the
 // other end connected, which tells by its ASP identifier who it is: its point code.
-func (f *Front) Connected(now time.Duration, id Conn, exchange int) {
+func (f *Front) Connected(now time.Duration, id ConnID, exchange int) {
 	k := &conn{id: id}
 	cfg := f.cfg.Link
 	if exchange >= 0 {
@@ -173,14 +173,14 @@
 }
 
 // Receive takes bytes of a connection.
-func (f *Front) Receive(now time.Duration, id Conn, b []byte) {
+func (f *Front) Receive(now time.Duration, id ConnID, b []byte) {
 	if k := f.conns[id]; k != nil {
 		k.link.Receive(now, b)
 	}
 }
 
 // Disconnected tells that a connection is gone.
-func (f *Front) Disconnected(now time.Duration, id Conn) {
+func (f *Front) Disconnected(now time.Duration, id ConnID) {
 	k := f.conns[id]
 	if k == nil {
 		return
@@ -191,7 +191,7 @@
 }
 
 // Outgoing calls write with the bytes that a connection is to send, and closing for each that has to be closed.
-func (f *Front) Outgoing(write func(Conn, []byte), closing func(Conn)) {
+func (f *Front) Outgoing(write func(ConnID, []byte), closing func(ConnID)) {
 	for i := 0; i < len(f.order); i++ {
 		k := f.order[i]
 		if len(k.link.Out) > 0 {
@@ -273,7 +273,7 @@
 			k.group = f.byPC[k.link.PeerASP()]
 		}
 		if k.group == nil {
-			f.Stats.Stranger++
+			f.Stats.UnknownPeer++
 			k.dead = true
 			return
 		}
@@ -293,7 +293,7 @@
 	case m3ua.Received:
 		g := f.byPC[e.Data.OPC]
 		if g == nil || g != k.group || e.Data.SI != m3ua.ISUPIndicator || e.Data.DPC != g.own {
-			f.Stats.Stranger++
+			f.Stats.UnknownPeer++
 			return
 		}
 		g.isup.Receive(now, e.Data.Payload)
@@ -322,7 +322,7 @@
 	for _, l := range cut {
 		f.Stats.Cut++
 		f.core.Lost(now, l.id, true)
-		g.isup.Release(now, l.call, uint8(call.TemporaryFail))
+		g.isup.Release(now, l.call, uint8(call.TemporaryFailure))
 	}
 }
 
@@ -342,7 +342,7 @@
 	}
 	switch e.Kind {
 	case isup.Accepted:
-		f.core.Heard(now, l.id)
+		f.core.Acknowledged(now, l.id)
 	case isup.Answered:
 		l.stands = true
 		f.core.Answered(now, l.id)
@@ -367,13 +367,13 @@
 	l := &leg{group: g, call: e.Call, incoming: true}
 	g.legs[e.Call] = l
 	l.id = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer(e.Call)}, call.Request{Called: r.Called, Calling: r.Calling,
-		Context: r.User, Passed: r.Hops >= 0 && r.Hops < firstHops})
+		Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < firstHops})
 	f.legs[l.id] = l
 	g.isup.Accept(now, e.Call) // the far end may stop T7: the call is taken, or its release follows at once
 }
 
-// Carry does what the core asks of one of this front's legs; false if the leg is none of them.
-func (f *Front) Carry(now time.Duration, o call.Output) bool {
+// Execute does what the core asks of one of this front's legs; false if the leg is none of them.
+func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
 	}
@@ -397,7 +397,7 @@
 		return false
 	}
 	r := isup.Request{Called: o.Request.Called, Calling: o.Request.Calling, Hops: firstHops, User: o.Request.Context}
-	if o.Request.Passed {
+	if o.Request.ViaTandem {
 		r.Hops--
 	}
 	var k *isup.Call
@@ -411,6 +411,6 @@
 	}
 	l := &leg{id: o.Leg, group: g, call: k}
 	g.legs[k], f.legs[o.Leg] = l, l
-	f.core.Carried(o.Leg, bearer(k))
+	f.core.SetBearer(o.Leg, bearer(k))
 	return true
 }
--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -134,7 +134,7 @@
 func judgedCalls(ctx context.Context, length time.Duration) (int, error) {
 	rep, err := judged(func(tap *capture.Writer) error {
 		tap.Notice(time.Now(), callsFigures())
-		tap.Notice(time.Now(), capture.Notice{Router: &capture.Life{Exchange: 0, Up: true}})
+		tap.Notice(time.Now(), capture.Notice{Router: &capture.RouterState{Exchange: 0, Up: true}})
 		_, err := callsAt(ctx, 980, length, false, tap)
 		return err
 	})
@@ -144,12 +144,12 @@
 	if rep.Tries == 0 {
 		return 0, errors.New("the capture shows no call")
 	}
-	return len(rep.Broken), nil
+	return len(rep.Violations), nil
 }
 
 // callsFigures are what the rules are judged by where whole calls are measured.
 func callsFigures() capture.Notice {
-	return capture.Notice{Figures: &capture.Figures{DrainGrace: time.Second, ReleaseWait: 300 * time.Millisecond,
+	return capture.Notice{Parameters: &capture.Parameters{DrainGrace: time.Second, ReleaseWait: 300 * time.Millisecond,
 		Patience: map[string]time.Duration{callsClass: callsPatience}}}
 }
 
@@ -192,11 +192,11 @@
 	late := 0
 	var callers []*standin.Callers
 	for i := range generators {
-		c, err := standin.NewCallers(anyPort, target, standin.CallersSpec{Exchange: i, Rate: rate / float64(generators), Fixed: true,
+		c, err := standin.NewCallers(anyPort, target, standin.CallersSpec{Exchange: i, Rate: rate / float64(generators), FixedHold: true,
 			Weights: []float64{0, 1}, Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold,
 				Patience: callsPatience, Deadline: callsPatience}},
 			Number: func(int, *rand.Rand) string { return "1555" },
-			Answered: func(d time.Duration) {
+			OnAnswer: func(d time.Duration) {
 				mu.Lock()
 				_ = p.hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // within its range
 				if d > callsAim {
@@ -236,7 +236,7 @@
 	for _, c := range callers {
 		t := c.Count()[callsClass]
 		p.calls += t.Tries
-		p.missed += t.Tries - t.Stood
+		p.missed += t.Tries - t.Answered
 	}
 	mu.Lock()
 	p.missed += late
@@ -357,8 +357,8 @@
 		carry()
 		now += time.Millisecond
 	}
-	if n.Core.Stats.Ends[call.Refused] > 0 || n.Core.Open() != calls {
-		return 0, fmt.Errorf("%d of %d calls stand", n.Core.Open(), calls)
+	if n.Core.Stats.Ends[call.Refused] > 0 || n.Core.OpenCalls() != calls {
+		return 0, fmt.Errorf("%d of %d calls stand", n.Core.OpenCalls(), calls)
 	}
 	clear(ends)
 	held := heapInUse() - before
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	res.take(report)
-	res.Records.match(report.Each, res.kept, nil)
+	res.Records.match(report.TryDetails, res.kept, nil)
 	res.WallSeconds = time.Since(began).Seconds()
 	return res, nil
 }
@@ -107,7 +107,7 @@
 
 // Judge judges a capture.
 func Judge(r io.Reader) (*rules.Report, error) {
-	c := rules.Checker{Keep: true}
+	c := rules.Checker{KeepTries: true}
 	if err := capture.Read(r, func(p capture.Packet) error { c.Packet(p); return nil }); err != nil {
 		return nil, err
 	}
@@ -192,13 +192,13 @@
 		}
 		if err := r.Do(func(n *node.Node, _ time.Duration) {
 			res.Overdue += n.Core.Stats.Overdue
-			res.Faults += n.Core.Stats.Faults
+			res.Faults += n.Core.Stats.ActionFaults
 		}); err != nil {
 			return err
 		}
 	}
 	for _, sw := range f.switches {
-		res.SwitchFell += sw.Count().Fell
+		res.SwitchFell += sw.Count().Collapsed
 	}
 	return f.stopRouters()
 }
@@ -216,12 +216,12 @@
 
 // take puts a report in the result's terms.
 func (r *DayResult) take(rep *rules.Report) {
-	r.RulesBroken, r.Calls, r.ByClass, r.Causes = len(rep.Broken), rep.Tries, rep.Outcomes, rep.Causes
-	for _, b := range rep.Broken {
+	r.RulesBroken, r.Calls, r.ByClass, r.Causes = len(rep.Violations), rep.Tries, rep.Outcomes, rep.Causes
+	for _, b := range rep.Violations {
 		r.Broken = append(r.Broken, b.String())
 	}
-	r.Stood, r.Refused, r.Failed = rep.Count(rules.Stood), rep.Count(rules.Refused), rep.Count(rules.Failed)
-	r.LeftEarly, r.Unanswered, r.Unfinished = rep.Count(rules.Left), rep.Count(rules.Unanswered), rep.Count(rules.Unfinished)
+	r.Stood, r.Refused, r.Failed = rep.Count(rules.Answered), rep.Count(rules.Refused), rep.Count(rules.Failed)
+	r.LeftEarly, r.Unanswered, r.Unfinished = rep.Count(rules.Abandoned), rep.Count(rules.Unanswered), rep.Count(rules.Unfinished)
 	r.Cut, r.Attempts, r.Datagrams, r.Malformed = rep.Cut, rep.Attempts, rep.Datagrams, rep.Malformed
 	r.SetUpMS = map[string]float64{}
 	for name, q := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99} {
--- a/internal/lab/drain_test.go
+++ b/internal/lab/drain_test.go
@@ -23,7 +23,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					c := &rules.Checker{Exact: true, Keep: true}
+					c := &rules.Checker{Exact: true, KeepTries: true}
 					g, err := startVirtual(s, capture.NewSink(c.Packet), VirtualOptions{})
 					if err != nil {
 						t.Fatal(err)
@@ -33,17 +33,17 @@
 					g.w.At(at+offset, func() { g.f.callers[0].Dial(1) })
 					if cut > 0 {
 						lossy := g.f.linkFaults(0, 1)
-						lossy.Lose = 1
+						lossy.LossRate = 1
 						g.w.At(at+offset, func() { g.f.links[[2]int{0, 1}].Set(lossy) })
 						g.w.At(at+cut, func() { g.f.links[[2]int{0, 1}].Set(g.f.linkFaults(0, 1)) })
 					}
 					g.w.Run(at + 6*time.Second)
 					rep := c.Report()
 					setups += rep.Attempts
-					answered += rep.Count(rules.Stood)
-					if len(rep.Broken) > 0 || rep.Count(rules.Stood)+rep.Count(rules.Refused)+rep.Count(rules.Failed) != 1 {
+					answered += rep.Count(rules.Answered)
+					if len(rep.Violations) > 0 || rep.Count(rules.Answered)+rep.Count(rules.Refused)+rep.Count(rules.Failed) != 1 {
 						t.Errorf("grace %v, %s, set-up %v after the drain, link lost until %v: %v, outcomes %v", grace, front, offset, cut,
-							rep.Broken, rep.Outcomes)
+							rep.Violations, rep.Outcomes)
 					}
 					g.f.closeDir()
 				}
--- a/internal/lab/failover.go
+++ b/internal/lab/failover.go
@@ -90,7 +90,7 @@
 func awaitBoth(r *runtime.Server) error {
 	up := 0
 	for limit := time.Now().Add(10 * time.Second); up < 2; time.Sleep(2 * time.Millisecond) {
-		if err := r.Do(func(n *node.Node, _ time.Duration) { up = n.ISUP().States()[0].Associations }); err != nil {
+		if err := r.Do(func(n *node.Node, _ time.Duration) { up = n.ISUP().GroupStates()[0].Associations }); err != nil {
 			return err
 		}
 		if time.Now().After(limit) {
@@ -106,10 +106,10 @@
 	before, after := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var cutAt time.Time
-	c, err := standin.NewCallers(anyPort, router, standin.CallersSpec{Rate: rate, Fixed: true, Weights: []float64{0, 1},
+	c, err := standin.NewCallers(anyPort, router, standin.CallersSpec{Rate: rate, FixedHold: true, Weights: []float64{0, 1},
 		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold, Patience: callsPatience, Deadline: callsPatience}},
 		Number:  func(int, *rand.Rand) string { return "1555" },
-		Answered: func(d time.Duration) {
+		OnAnswer: func(d time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			h := before
@@ -143,7 +143,7 @@
 	t := c.Count()[callsClass]
 	mu.Lock()
 	defer mu.Unlock()
-	return &FailoverResult{Rate: rate, Calls: t.Tries, Stood: t.Stood, Refused: t.Refused, Failed: t.Failed,
+	return &FailoverResult{Rate: rate, Calls: t.Tries, Stood: t.Answered, Refused: t.Refused, Failed: t.Failed,
 		P99Before: float64(before.ValueAtQuantile(99)), P50After: float64(after.ValueAtQuantile(50)),
 		P99After: float64(after.ValueAtQuantile(99)), MaxAfter: float64(after.Max())}, nil
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -40,7 +40,7 @@
 
 // register tells routers the exchange list.
 type register interface {
-	Publish(routers int, lines []standin.Line)
+	Publish(routers int, lines []standin.ListEntry)
 	Lag(router int, d time.Duration)
 	Gone(on bool)
 	Close()
@@ -75,14 +75,14 @@
 	m3ua     []netip.AddrPort // where each router takes associations
 	circuits map[[2]int]int   // of each group, by the lesser and the greater exchange
 	keep     map[[2]int]float64
-	lines    []standin.Line
+	lines    []standin.ListEntry
 	dir      string // of all that is kept on disk
 }
 
 // sockets is a fleet's ground on loopback.
 type sockets struct {
 	f        *fleet
-	register *standin.Register
+	register *standin.DiscoveryServer
 	links    map[[2]int]*standin.Link
 	streams  map[[2]int]*standin.StreamLink
 }
@@ -161,9 +161,9 @@
 	if err := f.openDir(); err != nil {
 		return f, err
 	}
-	f.notice(capture.Notice{Figures: f.figures()})
+	f.notice(capture.Notice{Parameters: f.figures()})
 	f.drawGroups()
-	if g.register, err = standin.NewRegister(tap, g.addrOf); err != nil {
+	if g.register, err = standin.NewDiscoveryServer(tap, g.addrOf); err != nil {
 		return f, err
 	}
 	f.register = g.register
@@ -210,14 +210,14 @@
 
 func (f *fleet) switchSpec(x int) standin.SwitchSpec {
 	s := &f.script.Fleet
-	return standin.SwitchSpec{Exchange: x, Rate: s.SetUpRate, QueueWait: s.QueueWait, Lines: s.Lines, ColdFrom: s.ColdFrom,
-		ColdFor: s.ColdFor, FallMultiple: s.FallMultiple, FallWindow: s.FallWindow, RingFor: s.Ring}
+	return standin.SwitchSpec{Exchange: x, Rate: s.SetUpRate, QueueWait: s.QueueWait, Lines: s.Lines, ColdCapacity: s.ColdFrom,
+		ColdDuration: s.ColdFor, OverloadMultiple: s.FallMultiple, OverloadWindow: s.FallWindow, RingTime: s.Ring}
 }
 
 // listSwitch puts a switch that has long run on the list.
 func (f *fleet) listSwitch(x int) {
 	sw := f.switches[x]
-	f.lines = append(f.lines, standin.Line{ID: sw.ID(), Exchange: x, Zone: f.region(x), Phase: "ready",
+	f.lines = append(f.lines, standin.ListEntry{ID: sw.ID(), Exchange: x, Zone: f.region(x), Phase: "ready",
 		Started: f.ground.wall().Add(-longWarm), Switch: sw.Addr()})
 }
 
@@ -262,10 +262,10 @@
 	}
 }
 
-func (f *fleet) figures() *capture.Figures {
+func (f *fleet) figures() *capture.Parameters {
 	s := &f.script.Fleet
-	g := &capture.Figures{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, FallMultiple: s.FallMultiple,
-		FallWindow: s.FallWindow, Patience: map[string]time.Duration{}}
+	g := &capture.Parameters{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, OverloadMultiple: s.FallMultiple,
+		OverloadWindow: s.FallWindow, Patience: map[string]time.Duration{}}
 	for _, c := range f.script.Class {
 		g.Patience[c.Name] = c.Patience
 	}
@@ -310,7 +310,7 @@
 	if f.region(a) != f.region(b) {
 		delay = s.CrossDelay
 	}
-	return standin.LinkFaults{Delay: delay, Jitter: s.Jitter, Lose: s.Lose, Repeat: s.Repeat}
+	return standin.LinkFaults{Delay: delay, Jitter: s.Jitter, LossRate: s.Lose, DuplicateRate: s.Repeat}
 }
 
 // prefix is the beginning of the numbers that an exchange serves.
@@ -318,7 +318,7 @@
 
 func (f *fleet) callersSpec(x int) standin.CallersSpec {
 	s := f.script
-	c := standin.CallersSpec{Exchange: x, Rate: s.Load.Rate / float64(s.Fleet.Exchanges), Redials: s.Load.Redials,
+	c := standin.CallersSpec{Exchange: x, Rate: s.Load.Rate / float64(s.Fleet.Exchanges), MaxRedials: s.Load.Redials,
 		Backoff: s.Load.Backoff, User: fmt.Sprintf("handheld-%d", x), Secret: "let me in",
 		Number: func(dest int, rng *rand.Rand) string { return fmt.Sprintf("%s%05d", prefix(dest), rng.IntN(100000)) }}
 	for _, cl := range s.Class {
@@ -391,9 +391,9 @@
 		return fmt.Errorf("router %d: %w", x, err)
 	}
 	f.routers[x] = r
-	f.notice(capture.Notice{Router: &capture.Life{Exchange: x, Up: true}})
+	f.notice(capture.Notice{Router: &capture.RouterState{Exchange: x, Up: true}})
 	if x < len(f.callers) {
-		f.callers[x].Watch()
+		f.callers[x].RestartSeconds()
 	}
 	return nil
 }
@@ -405,7 +405,7 @@
 		return nil
 	}
 	f.routers[x] = nil
-	f.notice(capture.Notice{Router: &capture.Life{Exchange: x}})
+	f.notice(capture.Notice{Router: &capture.RouterState{Exchange: x}})
 	return r.Kill()
 }
 
@@ -442,7 +442,7 @@
 func (f *fleet) publish() { f.register.Publish(f.script.Fleet.Exchanges, slices.Clone(f.lines)) }
 
 // line finds the newest line of an exchange.
-func (f *fleet) line(x int) *standin.Line {
+func (f *fleet) line(x int) *standin.ListEntry {
 	for i := len(f.lines) - 1; i >= 0; i-- {
 		if f.lines[i].Exchange == x {
 			return &f.lines[i]
@@ -460,8 +460,8 @@
 // replace starts another processor, cold, and lists it in place of the old one.
 func (f *fleet) replace(x int) {
 	id := f.switches[x].Restart()
-	f.lines = slices.DeleteFunc(f.lines, func(l standin.Line) bool { return l.Exchange == x })
-	f.lines = append(f.lines, standin.Line{ID: id, Exchange: x, Zone: f.region(x), Phase: "ready", Started: f.ground.wall(),
+	f.lines = slices.DeleteFunc(f.lines, func(l standin.ListEntry) bool { return l.Exchange == x })
+	f.lines = append(f.lines, standin.ListEntry{ID: id, Exchange: x, Zone: f.region(x), Phase: "ready", Started: f.ground.wall(),
 		Switch: f.switches[x].Addr()})
 	f.publish()
 }
@@ -498,7 +498,7 @@
 			continue
 		}
 		derr := r.Do(func(n *node.Node, _ time.Duration) {
-			l.Calls += n.Core.Open()
+			l.Calls += n.Core.OpenCalls()
 			l.Legs += n.Core.Legs()
 			l.Dialogs += n.Dialogs() + n.ISUP().Legs()
 			for _, g := range n.Core.Groups() {
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -160,15 +160,15 @@
 		start, stop = c.Start, c.Stop
 		count = func() (int, int) { tries, stood, _ := c.Count(); return tries, stood }
 	} else {
-		c, err := standin.NewCallers(anyPort, r.Addr(), standin.CallersSpec{Rate: rate, Fixed: true, Weights: []float64{0, 1},
+		c, err := standin.NewCallers(anyPort, r.Addr(), standin.CallersSpec{Rate: rate, FixedHold: true, Weights: []float64{0, 1},
 			Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold, Patience: callsPatience, Deadline: callsPatience}},
-			Number:  func(int, *rand.Rand) string { return "1555" }, Answered: answered}, 1, nil)
+			Number:  func(int, *rand.Rand) string { return "1555" }, OnAnswer: answered}, 1, nil)
 		if err != nil {
 			return p, err
 		}
 		defer c.Close()
 		start, stop = c.Start, c.Stop
-		count = func() (int, int) { t := c.Count()[callsClass]; return t.Tries, t.Stood }
+		count = func() (int, int) { t := c.Count()[callsClass]; return t.Tries, t.Answered }
 	}
 	if err := awaitActive(r, out); err != nil {
 		return p, err
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -69,9 +69,9 @@
 	if err != nil {
 		return nil, err
 	}
-	res.Calls, res.RulesBroken = rep.Tries, len(rep.Broken)
-	res.Answered = rep.Count(rules.Stood) + rep.Count(rules.Refused) + rep.Count(rules.Failed)
-	for _, b := range rep.Broken[:min(len(rep.Broken), 20)] {
+	res.Calls, res.RulesBroken = rep.Tries, len(rep.Violations)
+	res.Answered = rep.Count(rules.Answered) + rep.Count(rules.Refused) + rep.Count(rules.Failed)
+	for _, b := range rep.Violations[:min(len(rep.Violations), 20)] {
 		res.Found = append(res.Found, b.String())
 	}
 	return res, res.audit(filepath.Join(dir, "records"), rep)
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	d.match(rep.Each, keptRecords{0: have}, nil)
+	d.match(rep.TryDetails, keptRecords{0: have}, nil)
 	r.Records, r.Recovered, r.Missing, r.Doubled, r.Wrong = d.Records, d.Recovered, d.Missing, d.Doubled, d.Wrong
 	r.Found = append(r.Found, d.Found...)
 	return nil
@@ -103,7 +103,7 @@
 func kills(ctx context.Context, o KillOptions, dir string, tap *capture.Writer, res *KillResult) error {
 	tap.Notice(time.Now(), callsFigures())
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6,
-		RingFor: 5 * time.Millisecond}, o.Seed, tap)
+		RingTime: 5 * time.Millisecond}, o.Seed, tap)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 // own exchange.
 func lifeOf(tap *capture.Writer, up bool) {
 	for x := range 2 {
-		tap.Notice(time.Now(), capture.Notice{Router: &capture.Life{Exchange: x, Up: up}})
+		tap.Notice(time.Now(), capture.Notice{Router: &capture.RouterState{Exchange: x, Up: up}})
 	}
 }
 
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -150,7 +150,7 @@
 func (d *DayRecords) match(tries []rules.Try, have keptRecords, unproven map[int]bool) {
 	for _, t := range tries {
 		got := have[t.Router][t.Call]
-		answered := t.Outcome == rules.Stood || t.Outcome == rules.Refused || t.Outcome == rules.Failed
+		answered := t.Outcome == rules.Answered || t.Outcome == rules.Refused || t.Outcome == rules.Failed
 		d.Looked++
 		what := "router " + strconv.Itoa(t.Router) + ", call " + t.Call + ", " + string(t.Outcome) + " by the capture"
 		switch {
@@ -159,8 +159,8 @@
 			d.find("%s: %d records", what, len(got))
 		case len(got) == 0 && unproven[t.Router]:
 			d.AtRisk++
-		case len(got) == 0 && !t.Heard && !answered: // it may never have come, or been asked for its token first
-		case len(got) == 0 && (answered && !(t.Down && t.Outcome == rules.Failed) || !t.Down):
+		case len(got) == 0 && !t.Acknowledged && !answered: // it may never have come, or been asked for its token first
+		case len(got) == 0 && (answered && !(t.RouterDown && t.Outcome == rules.Failed) || !t.RouterDown):
 			d.Missing++
 			d.find("%s: no record", what)
 		case len(got) == 1 && !agrees(t.Outcome, got[0].end):
@@ -174,7 +174,7 @@
 // hang-up, or was lost on its way, was given all the same.
 func agrees(o rules.Outcome, e cdr.End) bool {
 	switch o {
-	case rules.Stood:
+	case rules.Answered:
 		return e == cdr.Answered || e == cdr.Cut
 	case rules.Refused:
 		return e == cdr.Refused
--- a/internal/lab/start.go
+++ b/internal/lab/start.go
@@ -124,7 +124,7 @@
 			for i, t := range f.callers[x].Seconds() {
 				if i < startWatch {
 					seconds[i].Tries += t.Tries
-					seconds[i].Stood += t.Stood
+					seconds[i].Answered += t.Answered
 				}
 			}
 		}
@@ -141,15 +141,15 @@
 	for _, t := range seconds {
 		share := -1.0
 		if t.Tries > 0 {
-			share = float64(t.Stood) / float64(t.Tries)
+			share = float64(t.Answered) / float64(t.Tries)
 		}
 		out.BySecond = append(out.BySecond, share)
 		out.Calls += t.Tries
-		out.Stood += t.Stood
+		out.Stood += t.Answered
 	}
 	if out.Calls > 0 {
 		out.Share = float64(out.Stood) / float64(out.Calls)
 	}
-	out.FirstAnswer = float64(slices.IndexFunc(seconds, func(t standin.Tally) bool { return t.Stood > 0 }))
+	out.FirstAnswer = float64(slices.IndexFunc(seconds, func(t standin.Tally) bool { return t.Answered > 0 }))
 	return out, nil
 }
--- a/internal/lab/trouble.go
+++ b/internal/lab/trouble.go
@@ -73,29 +73,29 @@
 	case "burst", "hot_caller":
 		return callers(func(c *standin.Callers, on bool) {
 			if on {
-				c.Factor(t.Size)
+				c.SetRateFactor(t.Size)
 			} else {
-				c.Factor(1)
+				c.SetRateFactor(1)
 			}
 		})
 	case "give_up":
-		return callers(func(c *standin.Callers, on bool) { c.Impatient(map[bool]float64{true: t.Size}[on]) })
+		return callers(func(c *standin.Callers, on bool) { c.SetHangUpShare(map[bool]float64{true: t.Size}[on]) })
 	case "retry_abuse":
 		return callers(func(c *standin.Callers, on bool) { c.RedialAtOnce(on) })
 	case "hang":
-		return faults(standin.Faults{Silent: true})
+		return faults(standin.Faults{Unresponsive: true})
 	case "slow":
-		return faults(standin.Faults{Slow: t.Size})
+		return faults(standin.Faults{SlowFactor: t.Size})
 	case "late_answers":
-		return faults(standin.Faults{Late: time.Duration(t.Size * float64(time.Second))})
+		return faults(standin.Faults{AnswerDelay: time.Duration(t.Size * float64(time.Second))})
 	case "answer_lost":
-		return faults(standin.Faults{Lose: t.Size})
+		return faults(standin.Faults{LossRate: t.Size})
 	case "answer_repeated":
-		return faults(standin.Faults{Repeat: t.Size})
+		return faults(standin.Faults{DuplicateRate: t.Size})
 	case "reject":
-		return faults(standin.Faults{Reject: t.Size})
+		return faults(standin.Faults{RejectRate: t.Size})
 	case "hang_up":
-		return faults(standin.Faults{HangUpAt: t.Size})
+		return faults(standin.Faults{HangUpRate: t.Size})
 	case "deploy":
 		return f.deploy(t, at)
 	case "crash", "mass_restart", "reconnect":
@@ -187,12 +187,12 @@
 	case "reconnect":
 		return []step{begin(each(func(x int) {
 			for _, c := range f.callers {
-				c.CutComeAgain(true)
+				c.RedialWhenCut(true)
 			}
 			f.switches[x].CutCalls(t.Size)
 		})), end(func() error {
 			for _, c := range f.callers {
-				c.CutComeAgain(false)
+				c.RedialWhenCut(false)
 			}
 			return nil
 		})}
@@ -217,7 +217,7 @@
 				}
 			case t.Kind == "lost_messages" && inside:
 				if on {
-					faults.Lose = t.Size
+					faults.LossRate = t.Size
 				}
 				l.Set(faults)
 			case t.Kind == "origin_slow" && across:
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -115,7 +115,7 @@
 // view is the list as one router may know it, and the router's query.
 type view struct {
 	index   uint64
-	lines   []standin.Line
+	lines   []standin.ListEntry
 	lag     time.Duration
 	last    time.Duration // when the newest list becomes known, so that none overtakes another
 	asks    uint64        // queries of all lives
@@ -146,7 +146,7 @@
 	}
 }
 
-func (r *vregister) Publish(n int, lines []standin.Line) {
+func (r *vregister) Publish(n int, lines []standin.ListEntry) {
 	r.index++
 	index := r.index
 	lines = slices.Clone(lines)
@@ -297,7 +297,7 @@
 			f.closeDir()
 		}
 	}()
-	f.notice(capture.Notice{Figures: f.figures()})
+	f.notice(capture.Notice{Parameters: f.figures()})
 	f.drawGroups()
 	drift := w.Rand("drift")
 	for x := range n {
@@ -345,7 +345,7 @@
 // run plays until a time, and stops at a broken rule if that is asked for.
 func (g *virtual) run(until time.Duration, c *rules.Checker) error {
 	for g.w.Step(until) {
-		if g.o.Steps && len(c.Broken()) > 0 {
+		if g.o.Steps && len(c.Violations()) > 0 {
 			return errBrokenRule
 		}
 	}
@@ -359,7 +359,7 @@
 	s = &copied
 	began := time.Now()
 	res := &VirtualResult{DayResult: DayResult{Day: s.Name, Front: s.Fleet.Front}}
-	c := &rules.Checker{Keep: true, Exact: true}
+	c := &rules.Checker{KeepTries: true, Exact: true}
 	tap := capture.NewSink(func(p capture.Packet) {
 		if o.Watch != nil {
 			o.Watch(p)
@@ -377,11 +377,11 @@
 	}
 	report := c.Report()
 	res.take(report)
-	if len(report.Broken) > 0 {
-		res.firstCall = report.Broken[0].Call
+	if len(report.Violations) > 0 {
+		res.firstCall = report.Violations[0].Call
 	}
 	if err == nil {
-		res.Records.match(report.Each, res.kept, g.unproven)
+		res.Records.match(report.TryDetails, res.kept, g.unproven)
 	}
 	res.Trace, res.Steps, res.Virtual = g.w.Trace(), g.w.Steps, g.w.Now()
 	res.WallSeconds = time.Since(began).Seconds()
--- a/internal/node/isup_test.go
+++ b/internal/node/isup_test.go
@@ -16,13 +16,13 @@
 type mixed struct {
 	*network
 	pipes []*pipe
-	next  isupfront.Conn
+	next  isupfront.ConnID
 }
 
 // pipe is one connection between two routers.
 type pipe struct {
 	x      [2]int // router
-	conn   [2]isupfront.Conn
+	conn   [2]isupfront.ConnID
 	flying [2][]chunk // toward each end
 	down   bool
 	chop   int // bytes of one read; 0 is all
@@ -62,7 +62,7 @@
 
 // connect makes an association; a connects to b.
 func (w *mixed) connect(a, b int) *pipe {
-	p := &pipe{x: [2]int{a, b}, conn: [2]isupfront.Conn{w.next + 1, w.next + 2}}
+	p := &pipe{x: [2]int{a, b}, conn: [2]isupfront.ConnID{w.next + 1, w.next + 2}}
 	w.next += 2
 	w.pipes = append(w.pipes, p)
 	w.nodes[a].ISUP().Connected(w.now, p.conn[0], b)
@@ -85,7 +85,7 @@
 // carry moves what the nodes wrote into the pipes.
 func (w *mixed) carry() {
 	for x, n := range w.nodes {
-		n.ISUP().Outgoing(func(id isupfront.Conn, b []byte) {
+		n.ISUP().Outgoing(func(id isupfront.ConnID, b []byte) {
 			for _, p := range w.pipes {
 				for end := range 2 {
 					if p.x[end] == x && p.conn[end] == id && !p.down {
@@ -93,7 +93,7 @@
 					}
 				}
 			}
-		}, func(id isupfront.Conn) {
+		}, func(id isupfront.ConnID) {
 			for _, p := range w.pipes {
 				if p.conn[0] == id || p.conn[1] == id {
 					w.cut(p)
@@ -143,16 +143,16 @@
 	w.t.Helper()
 	w.play(w.now + 25*time.Second)
 	for x, n := range w.nodes {
-		if n.Core.Open()+n.Core.Legs()+n.Dialogs()+n.ISUP().Legs()+n.ISUP().Busy() != 0 {
-			w.t.Errorf("router %d: %d calls, %d legs, %d dialogs, %d ISUP legs, %d circuits busy", x, n.Core.Open(), n.Core.Legs(),
+		if n.Core.OpenCalls()+n.Core.Legs()+n.Dialogs()+n.ISUP().Legs()+n.ISUP().Busy() != 0 {
+			w.t.Errorf("router %d: %d calls, %d legs, %d dialogs, %d ISUP legs, %d circuits busy", x, n.Core.OpenCalls(), n.Core.Legs(),
 				n.Dialogs(), n.ISUP().Legs(), n.ISUP().Busy())
 		}
 		for _, g := range n.Core.Groups() {
 			if g.Free() != g.Size() {
-				w.t.Errorf("router %d: %d of %d circuits to %d free", x, g.Free(), g.Size(), g.Far())
+				w.t.Errorf("router %d: %d of %d circuits to %d free", x, g.Free(), g.Size(), g.Neighbour())
 			}
 		}
-		if s := n.Core.Stats; s.Overdue+s.Faults != 0 {
+		if s := n.Core.Stats; s.Overdue+s.ActionFaults != 0 {
 			w.t.Errorf("router %d: %+v", x, s)
 		}
 	}
@@ -194,7 +194,7 @@
 // A tandem takes the call by ISUP and passes it on by ISUP.
 func TestTandemByISUP(t *testing.T) {
 	w := newMixed(t, 3, 10)
-	w.nodes[0].Core.Reset(w.now, plain(0), map[int]int{1: 0, 2: 10}, 0, 0)
+	w.nodes[0].Core.Reconfigure(w.now, plain(0), map[int]int{1: 0, 2: 10}, 0, 0)
 	d := w.call("15")
 	w.play(w.now + time.Second)
 	if got := w.finals(); !slices.Equal(got, []string{"answered"}) || w.nodes[2].ISUP().Busy() != 2 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,8 +58,8 @@
 // Dialogs is the number of dialogs that belong to a call's leg.
 func (n *Node) Dialogs() int { return n.front.Dialogs() }
 
-// Mistrusted counts starts on the list that no clock could have stamped rightly.
-func (n *Node) Mistrusted() uint64 { return n.start.Mistrusted }
+// DistrustedStarts counts starts on the list that no clock could have stamped rightly.
+func (n *Node) DistrustedStarts() uint64 { return n.start.Mistrusted }
 
 // List is the exchange list as this router last learnt it.
 func (n *Node) List() registry.List { return n.list }
@@ -82,9 +82,9 @@
 // Flush lets go what may ride together: to be called when all that came in has been received.
 func (n *Node) Flush(now time.Duration) { n.front.Endpoint().Flush(now) }
 
-// Durable tells that all records up to a ticket are.
-func (n *Node) Durable(now time.Duration, ticket uint64) {
-	n.Core.Durable(now, ticket)
+// MarkDurable tells that all records up to a ticket are.
+func (n *Node) MarkDurable(now time.Duration, ticket uint64) {
+	n.Core.MarkDurable(now, ticket)
 	n.pump(now)
 }
 
@@ -125,12 +125,12 @@
 		addr, ok := iax2.AddrFrom(to)
 		switch {
 		case e.Phase == decide.Removed:
-			n.front.Unroute(e.Exchange())
-			n.isup.Unroute(e.Exchange())
+			n.front.RemoveRoute(e.Exchange())
+			n.isup.RemoveRoute(e.Exchange())
 		case n.isup.Serves(e.Number):
-			n.isup.Route(e.Exchange(), e.Number)
+			n.isup.AddRoute(e.Exchange(), e.Number)
 		case ok:
-			n.front.Route(e.Exchange(), addr)
+			n.front.AddRoute(e.Exchange(), addr)
 		}
 	}
 	if len(event.Entries) == 0 && kind == decide.ListChanges {
@@ -155,7 +155,7 @@
 	for a, number := range n.set.Peers {
 		peers[a] = number
 	}
-	n.front.Peers(peers)
+	n.front.SetPeers(peers)
 }
 
 func (n *Node) zone(name string) int {
@@ -176,7 +176,7 @@
 		}
 		for i := 0; i < len(n.Core.Outputs); i++ {
 			o := n.Core.Outputs[i]
-			if !n.front.Carry(now, o) && !n.isup.Carry(now, o) && o.Kind == call.Connect {
+			if !n.front.Execute(now, o) && !n.isup.Execute(now, o) && o.Kind == call.Connect {
 				// The exchange is on the module's list and has no address here: it went in this very step.
 				n.Core.Released(now, o.Leg, call.NoRoute)
 				n.Core.Closed(now, o.Leg)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -66,7 +66,7 @@
 				sizes[y] = 10
 			}
 		}
-		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, Own: 60, Plan: plans(x), Margin: 80 * ms,
+		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, OwnCircuits: 60, Plan: plans(x), AnswerMargin: 80 * ms,
 			DrainGrace: time.Second, Patience: []time.Duration{3 * time.Second},
 			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms, ResendAfter: 500 * ms,
 				ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
@@ -220,16 +220,16 @@
 	w.t.Helper()
 	w.run(w.now + 2*time.Minute)
 	for x, n := range w.nodes {
-		if n.Core.Open()+n.Core.Legs()+n.Dialogs()+n.IAX().Open()+n.Core.Timers() != 0 {
-			w.t.Errorf("router %d: %d calls, %d legs, %d dialogs, %d call numbers, %d timers left", x, n.Core.Open(), n.Core.Legs(),
+		if n.Core.OpenCalls()+n.Core.Legs()+n.Dialogs()+n.IAX().Open()+n.Core.Timers() != 0 {
+			w.t.Errorf("router %d: %d calls, %d legs, %d dialogs, %d call numbers, %d timers left", x, n.Core.OpenCalls(), n.Core.Legs(),
 				n.Dialogs(), n.IAX().Open(), n.Core.Timers())
 		}
 		for _, g := range n.Core.Groups() {
 			if g.Free() != g.Size() {
-				w.t.Errorf("router %d: %d of %d circuits to %d free", x, g.Free(), g.Size(), g.Far())
+				w.t.Errorf("router %d: %d of %d circuits to %d free", x, g.Free(), g.Size(), g.Neighbour())
 			}
 		}
-		if s := n.Core.Stats; s.Overdue+s.Faults != 0 {
+		if s := n.Core.Stats; s.Overdue+s.ActionFaults != 0 {
 			w.t.Errorf("router %d: %+v", x, s)
 		}
 	}
@@ -340,9 +340,9 @@
 // The direct group is full, and every switch but the tandem's way turns the call back: one refusal in the end.
 func TestTandemTurnedBack(t *testing.T) {
 	w := newNetwork(t, 4, plain)
-	w.nodes[0].Core.Reset(w.now, plain(0), map[int]int{1: 0, 2: 10, 3: 10}, 0, 0)
+	w.nodes[0].Core.Reconfigure(w.now, plain(0), map[int]int{1: 0, 2: 10, 3: 10}, 0, 0)
 	for _, x := range []int{2, 3} {
-		w.nodes[x].Core.Reset(w.now, plain(x), map[int]int{0: 10, 1: 0}, 0, 0)
+		w.nodes[x].Core.Reconfigure(w.now, plain(x), map[int]int{0: 10, 1: 0}, 0, 0)
 	}
 	w.call("15")
 	w.run(w.now + 3*time.Second)
@@ -392,8 +392,8 @@
 	if got := w.finals(); len(got) != 2 || got[0] != "answered" || got[1] != "lost" {
 		t.Errorf("the caller saw %v", got)
 	}
-	if w.nodes[1].Core.Open() != 1 {
-		t.Errorf("router 1 holds %d calls", w.nodes[1].Core.Open())
+	if w.nodes[1].Core.OpenCalls() != 1 {
+		t.Errorf("router 1 holds %d calls", w.nodes[1].Core.OpenCalls())
 	}
 	// Router 1 does not ping here; its switch hangs up, which ends the call on both sides.
 	w.offered[0].Dialog.Release(w.now, iax2.CauseNormal, "")
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -203,7 +203,7 @@
 		{"cut off at the start", standin.ReceiverFaults{Cuts: 3, CutAfter: 0}, false, 0},
 		{"cut off in the middle", standin.ReceiverFaults{Cuts: 3, CutAfter: 700}, false, 0},
 		{"confirmation lost", standin.ReceiverFaults{LoseAnswers: 2}, false, 0},
-		{"making it lost", standin.ReceiverFaults{LoseMade: 1}, false, 0},
+		{"making it lost", standin.ReceiverFaults{LoseCreated: 1}, false, 0},
 		{"refused for a while", standin.ReceiverFaults{Refuse: 9}, false, 0},
 		{"cut off and forgotten", standin.ReceiverFaults{Cuts: 9, CutAfter: 300}, true, 0},
 		{"taken, its confirmation lost, and forgotten", standin.ReceiverFaults{LoseAnswers: 1, Refuse: 0}, true, 1},
@@ -229,7 +229,7 @@
 					t.Fatalf("%s: not through after 60 tries: %d batches, done %d", c.name, e.BatchCount(), e.LastConfirmed())
 				}
 				if _, err := b.step(e, tus); err != nil && c.forget {
-					r.Forget()
+					r.DropUploads()
 				}
 				if tries%2 == 1 { // the exporter is killed between any two tries
 					if e, err = cdr.OpenExport(b.rec.Store(), b.exportSettings(format)); err != nil {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -17,11 +17,11 @@
 
 // The five rules.
 const (
-	OneAnswer   Rule = iota + 1 // one final answer in time, none lost, nothing sent after it
-	OneAttempt                  // never two attempts of a call out at once
-	DrainsKept                  // nothing new to a draining or gone exchange after the grace
-	ColdSpared                  // a cold switch is not pushed over
-	ReleaseKept                 // the stated wait after a time-out, a reset or a cancel
+	OneAnswer           Rule = iota + 1 // one final answer in time, none lost, nothing sent after it
+	OneAttempt                          // never two attempts of a call out at once
+	DrainObserved                       // nothing new to a draining or gone exchange after the grace
+	SlowStartObserved                   // a cold switch is not pushed over
+	ReleaseWaitObserved                 // the stated wait after a time-out, a reset or a cancel
 )
 
 func (r Rule) String() string {
@@ -39,17 +39,17 @@
 	coldStep    = 50 * time.Millisecond // in which its budget is added up
 )
 
-// Broken is one case of a rule broken.
-type Broken struct {
-	Rule Rule
-	At   time.Duration // since the capture's first packet
-	Who  capture.Party
-	Call string // its calling number
-	Text string
+// Violation is one case of a rule broken.
+type Violation struct {
+	Rule  Rule
+	At    time.Duration // since the capture's first packet
+	Party capture.Party
+	Call  string // its calling number
+	Text  string
 }
 
-func (b Broken) String() string {
-	return fmt.Sprintf("%9.3f s  %v: %v, call %q: %s", b.At.Seconds(), b.Rule, b.Who, b.Call, b.Text)
+func (b Violation) String() string {
+	return fmt.Sprintf("%9.3f s  %v: %v, call %q: %s", b.At.Seconds(), b.Rule, b.Party, b.Call, b.Text)
 }
 
 // Outcome is how a try ended for its caller.
@@ -57,37 +57,37 @@
 
 // Outcomes of a try.
 const (
-	Stood      Outcome = "stood"
+	Answered   Outcome = "stood"
 	Refused    Outcome = "refused"
 	Failed     Outcome = "failed"
-	Left       Outcome = "left"       // the caller hung up before any answer
+	Abandoned  Outcome = "left"       // the caller hung up before any answer
 	Unanswered Outcome = "unanswered" // the router was down
 	Unfinished Outcome = "unfinished" // the capture ended before the try did
 )
 
 // Report is what a capture shows.
 type Report struct {
-	Broken    []Broken
-	Tries     int
-	Outcomes  map[string]map[Outcome]int // by context, which tells the class
-	SetUps    []time.Duration            // from NEW to ANSWER as the callers saw it, sorted
-	Causes    map[uint8]int              // of final answers that are no ANSWER
-	Cut       int                        // calls that stood and were cut
-	Attempts  int                        // set-ups that routers sent
-	Malformed int
-	Datagrams int
-	Length    time.Duration
-	Each      []Try // every try of a caller, if the Checker's Keep asks for them
+	Violations []Violation
+	Tries      int
+	Outcomes   map[string]map[Outcome]int // by context, which tells the class
+	SetUps     []time.Duration            // from NEW to ANSWER as the callers saw it, sorted
+	Causes     map[uint8]int              // of final answers that are no ANSWER
+	Cut        int                        // calls that stood and were cut
+	Attempts   int                        // set-ups that routers sent
+	Malformed  int
+	Datagrams  int
+	Duration   time.Duration
+	TryDetails []Try // every try of a caller, if the Checker's Keep asks for them
 }
 
 // Try is one try of a caller.
 type Try struct {
-	Router  int
-	Call    string // its calling number
-	Outcome Outcome
-	Down    bool // the router was killed, or did not run, in its time
-	Heard   bool // the router showed to have the call
-	at      time.Duration
+	Router       int
+	Call         string // its calling number
+	Outcome      Outcome
+	RouterDown   bool // the router was killed, or did not run, in its time
+	Acknowledged bool // the router showed to have the call
+	at           time.Duration
 }
 
 // syncs is how long a record may be on its way to the disk: of a caller that left so shortly before its router was
@@ -104,22 +104,22 @@
 
 // Checker judges packet by packet. The zero value is ready.
 type Checker struct {
-	Keep    bool // the report lists every try
-	Exact   bool // all is recorded at the moment at which it crossed: nothing is allowed for a busy machine
-	report  Report
-	first   time.Time
-	figures capture.Figures
-	dialogs map[key]*dialog
-	open    []*dialog // of callers, oldest first
-	calls   map[routerCall]*attempts
-	lists   map[int]map[int]time.Duration // router, exchange: since when it was told of no ready processor
-	starts  map[int]*cold
-	up      map[int]bool
-	killed  map[int]time.Duration // when a router was killed last,
-	started map[int]time.Duration // and when it started last
-	now     time.Duration
-	frame   iax2.Frame
-	elems   iax2.Elements
+	KeepTries bool // the report lists every try
+	Exact     bool // all is recorded at the moment at which it crossed: nothing is allowed for a busy machine
+	report    Report
+	first     time.Time
+	figures   capture.Parameters
+	dialogs   map[key]*dialog
+	open      []*dialog // of callers, oldest first
+	calls     map[routerCall]*attempts
+	lists     map[int]map[int]time.Duration // router, exchange: since when it was told of no ready processor
+	starts    map[int]*cold
+	up        map[int]bool
+	killed    map[int]time.Duration // when a router was killed last,
+	started   map[int]time.Duration // and when it started last
+	now       time.Duration
+	frame     iax2.Frame
+	elems     iax2.Elements
 }
 
 // key is a dialog as the party that opened it names it.
@@ -189,7 +189,7 @@
 		c.first = p.At
 	}
 	c.now = p.At.Sub(c.first)
-	c.report.Length = c.now
+	c.report.Duration = c.now
 	if p.Notice != nil {
 		c.notice(p.Notice)
 		return
@@ -220,8 +220,8 @@
 	c.full(p.From, p.To, f)
 }
 
-// Broken is what has been found so far.
-func (c *Checker) Broken() []Broken { return c.report.Broken }
+// Violations is what has been found so far.
+func (c *Checker) Violations() []Violation { return c.report.Violations }
 
 // exactSlack is what lies between a party and the router of its own exchange, there and back.
 const exactSlack = time.Millisecond
@@ -235,13 +235,13 @@
 }
 
 func (c *Checker) broken(r Rule, who capture.Party, call, format string, args ...any) {
-	c.report.Broken = append(c.report.Broken, Broken{r, c.now, who, call, fmt.Sprintf(format, args...)})
+	c.report.Violations = append(c.report.Violations, Violation{r, c.now, who, call, fmt.Sprintf(format, args...)})
 }
 
 func (c *Checker) notice(n *capture.Notice) {
 	switch {
-	case n.Figures != nil:
-		c.figures = *n.Figures
+	case n.Parameters != nil:
+		c.figures = *n.Parameters
 	case n.List != nil:
 		c.listTold(n.List)
 	case n.Started != nil:
@@ -254,9 +254,9 @@
 			c.started[n.Router.Exchange] = c.now
 		} else {
 			c.killed[n.Router.Exchange] = c.now
-			for i := len(c.report.Each) - 1; i >= 0 && c.report.Each[i].at > c.now-syncs; i-- {
-				if t := &c.report.Each[i]; t.Router == n.Router.Exchange && t.Outcome == Left {
-					t.Down = true
+			for i := len(c.report.TryDetails) - 1; i >= 0 && c.report.TryDetails[i].at > c.now-syncs; i-- {
+				if t := &c.report.TryDetails[i]; t.Router == n.Router.Exchange && t.Outcome == Abandoned {
+					t.RouterDown = true
 				}
 			}
 		}
@@ -373,7 +373,7 @@
 		c.judgeAttempt(d)
 	}
 	if to.Kind == capture.Switch {
-		if s := c.starts[to.Exchange]; s != nil && c.now-s.at <= s.Warm {
+		if s := c.starts[to.Exchange]; s != nil && c.now-s.at <= s.ColdDuration {
 			s.sent = append(s.sent, c.now)
 		}
 	}
@@ -383,7 +383,7 @@
 func (c *Checker) judgeDrain(from, to capture.Party, call string) {
 	since, ok := c.lists[from.Exchange][to.Exchange]
 	if ok && since >= 0 && c.now > since+c.figures.DrainGrace+c.slack(graceSlack) {
-		c.broken(DrainsKept, from, call, "set-up to %v %.3f s after it was told that no processor there is ready",
+		c.broken(DrainObserved, from, call, "set-up to %v %.3f s after it was told that no processor there is ready",
 			to, (c.now - since).Seconds())
 	}
 }
@@ -405,7 +405,7 @@
 		c.broken(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v of %.3f s before is out", d.other, a.out.other,
 			(c.now - a.out.opened).Seconds())
 	case a.quiet > 0 && c.now < a.quiet-c.slack(waitSlack):
-		c.broken(ReleaseKept, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
+		c.broken(ReleaseWaitObserved, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
 			(a.quiet - c.now).Seconds(), a.why)
 	}
 	a.out, a.quiet = d, 0
@@ -503,7 +503,7 @@
 		d.answered, d.stoodAt = true, c.now
 		if d.opener.Kind == capture.Callers {
 			c.report.SetUps = append(c.report.SetUps, c.now-d.opened)
-			c.outcome(d, Stood)
+			c.outcome(d, Answered)
 			c.judgeLate(d)
 		}
 		c.callEnded(d)
@@ -570,7 +570,7 @@
 		c.outcome(d, Unanswered)
 		c.broken(OneAnswer, d.other, d.call, "no final answer in %.3f s", (c.now - d.opened).Seconds())
 	default:
-		c.outcome(d, Left)
+		c.outcome(d, Abandoned)
 	}
 }
 
@@ -592,8 +592,8 @@
 		c.report.Outcomes[d.context] = m
 	}
 	m[o]++
-	if c.Keep {
-		c.report.Each = append(c.report.Each, Try{d.other.Exchange, d.call, o, c.wasDown(d), d.remote != 0, c.now})
+	if c.KeepTries {
+		c.report.TryDetails = append(c.report.TryDetails, Try{d.other.Exchange, d.call, o, c.wasDown(d), d.remote != 0, c.now})
 	}
 }
 
@@ -635,24 +635,24 @@
 
 // judgeCold is rule 4: in any window the set-ups must stay under the multiple of what the processor could do.
 func (c *Checker) judgeCold(s *cold) {
-	if s == nil || s.found || c.figures.FallWindow == 0 {
+	if s == nil || s.found || c.figures.OverloadWindow == 0 {
 		return
 	}
 	lo := 0
 	for hi, at := range s.sent {
-		for s.sent[lo] < at-c.figures.FallWindow {
+		for s.sent[lo] < at-c.figures.OverloadWindow {
 			lo++
 		}
 		budget := 0.0
-		for t := at - c.figures.FallWindow; t < at; t += coldStep {
+		for t := at - c.figures.OverloadWindow; t < at; t += coldStep {
 			// A window that began before the start counts in full, at what the processor can do first.
-			part := min(1, s.From+(1-s.From)*max(0, t-s.at).Seconds()/s.Warm.Seconds())
+			part := min(1, s.ColdCapacity+(1-s.ColdCapacity)*max(0, t-s.at).Seconds()/s.ColdDuration.Seconds())
 			budget += s.Rate * part * min(coldStep, at-t).Seconds()
 		}
-		if n := float64(hi - lo + 1); n > budget*c.figures.FallMultiple+chanceSlack {
+		if n := float64(hi - lo + 1); n > budget*c.figures.OverloadMultiple+chanceSlack {
 			s.found = true
-			c.broken(ColdSpared, capture.Party{Kind: capture.Switch, Exchange: s.Exchange}, "",
-				"%v set-ups in %v, %.1f s after its start, where it can do %.1f", n, c.figures.FallWindow,
+			c.broken(SlowStartObserved, capture.Party{Kind: capture.Switch, Exchange: s.Exchange}, "",
+				"%v set-ups in %v, %.1f s after its start, where it can do %.1f", n, c.figures.OverloadWindow,
 				(at - s.at).Seconds(), budget)
 			return
 		}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -39,10 +39,10 @@
 	if p.w, err = capture.NewWriter(&p.buf); err != nil {
 		t.Fatal(err)
 	}
-	p.notice(capture.Notice{Figures: &capture.Figures{DrainGrace: time.Second, ReleaseWait: 300 * ms, FallMultiple: 3,
-		FallWindow: 2 * time.Second, Patience: map[string]time.Duration{"alarm": 2 * time.Second}}})
+	p.notice(capture.Notice{Parameters: &capture.Parameters{DrainGrace: time.Second, ReleaseWait: 300 * ms, OverloadMultiple: 3,
+		OverloadWindow: 2 * time.Second, Patience: map[string]time.Duration{"alarm": 2 * time.Second}}})
 	for x := range 3 {
-		p.notice(capture.Notice{Router: &capture.Life{Exchange: x, Up: true}})
+		p.notice(capture.Notice{Router: &capture.RouterState{Exchange: x, Up: true}})
 	}
 	p.list("ready")
 	return p
@@ -138,7 +138,7 @@
 	p := newTape(t)
 	good(p)
 	r := p.report()
-	if len(r.Broken) != 0 || r.Count(Stood) != 1 || r.Tries != 1 || r.Attempts != 3 || len(r.SetUps) != 1 || r.Cut != 0 {
+	if len(r.Violations) != 0 || r.Count(Answered) != 1 || r.Tries != 1 || r.Attempts != 3 || len(r.SetUps) != 1 || r.Cut != 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -170,7 +170,7 @@
 		}},
 		{"no answer from a router that was killed", 0, func(p *tape) {
 			in := p.open(callers, router, 5, "c")
-			p.wait(100 * ms).notice(capture.Notice{Router: &capture.Life{Exchange: 0}})
+			p.wait(100 * ms).notice(capture.Notice{Router: &capture.RouterState{Exchange: 0}})
 			p.wait(2 * time.Second)
 			in.hangup()
 		}},
@@ -199,12 +199,12 @@
 			p.open(router, tandem, 6, "c").accept()
 			p.wait(400*ms).open(router, far, 7, "c")
 		}},
-		{"set-up after the grace", DrainsKept, func(p *tape) {
+		{"set-up after the grace", DrainObserved, func(p *tape) {
 			p.list("draining")
 			p.wait(500 * ms).list("draining")
 			p.wait(530*ms).open(router, far, 6, "c")
 		}},
-		{"repeat of a set-up after the grace", DrainsKept, func(p *tape) {
+		{"repeat of a set-up after the grace", DrainObserved, func(p *tape) {
 			p.open(router, far, 6, "c")
 			p.list("gone")
 			p.wait(1200*ms).open(router, far, 6, "c")
@@ -216,16 +216,16 @@
 			p.open(router, far, 6, "c")
 		}},
 		{"set-up by a router that was not told", 0, func(p *tape) { p.list("gone"); p.wait(2*time.Second).open(tandem, far, 6, "c") }},
-		{"cold switch over its budget", ColdSpared, func(p *tape) { coldBurst(p, 40) }},
+		{"cold switch over its budget", SlowStartObserved, func(p *tape) { coldBurst(p, 40) }},
 		{"cold switch within its budget", 0, func(p *tape) { coldBurst(p, 18) }},
-		{"sent again too early after a time-out", ReleaseKept, func(p *tape) {
+		{"sent again too early after a time-out", ReleaseWaitObserved, func(p *tape) {
 			p.open(callers, router, 5, "c")
 			one := p.open(router, tandem, 6, "c")
 			p.wait(500 * ms)
 			one.hangup()
 			p.wait(200*ms).open(router, far, 7, "c")
 		}},
-		{"sent again too early after a reset", ReleaseKept, func(p *tape) {
+		{"sent again too early after a reset", ReleaseWaitObserved, func(p *tape) {
 			p.open(callers, router, 5, "c")
 			p.open(router, tandem, 6, "c").inval()
 			p.wait(250*ms).open(router, far, 7, "c")
@@ -241,7 +241,7 @@
 		c.play(p)
 		r := p.report()
 		var got []Rule
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			got = append(got, b.Rule)
 		}
 		want := []Rule{c.rule}
@@ -249,14 +249,14 @@
 			want = nil
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: found %v, want %v: %v", c.name, got, want, r.Broken)
+			t.Errorf("%s: found %v, want %v: %v", c.name, got, want, r.Violations)
 		}
 	}
 }
 
 // coldBurst sends n set-ups in 400 ms to a processor that can do 10 a second at a third of that.
 func coldBurst(p *tape, n int) {
-	p.notice(capture.Notice{Started: &capture.Started{Exchange: 1, ID: "a", Rate: 10, From: 0.3, Warm: 10 * time.Second}})
+	p.notice(capture.Notice{Started: &capture.Started{Exchange: 1, ID: "a", Rate: 10, ColdCapacity: 0.3, ColdDuration: 10 * time.Second}})
 	p.wait(2 * time.Second)
 	for i := range n {
 		p.wait(400*ms/time.Duration(n)).open(far, farSw, uint16(100+i), fmt.Sprint("cold", i)).answer()
@@ -272,7 +272,7 @@
 	in.answer()
 	in.end(41)
 	r := p.report()
-	if r.Count(Refused) != 3 || r.Count(Failed) != 3 || r.Count(Stood) != 1 || r.Cut != 1 {
+	if r.Count(Refused) != 3 || r.Count(Failed) != 3 || r.Count(Answered) != 1 || r.Cut != 1 {
 		t.Errorf("%+v", r.Outcomes)
 	}
 }
@@ -344,12 +344,12 @@
 			p.wait(150 * ms)
 			p.iam(router, far, 2, "7")
 		}},
-		{"IAM after the grace", DrainsKept, func(p *tape) {
+		{"IAM after the grace", DrainObserved, func(p *tape) {
 			p.list("gone")
 			p.wait(1100 * ms)
 			p.iam(router, far, 1, "7")
 		}},
-		{"sent again too early after REL of our own", ReleaseKept, func(p *tape) {
+		{"sent again too early after REL of our own", ReleaseWaitObserved, func(p *tape) {
 			p.open(callers, router, 5, "7")
 			p.iam(router, tandem, 1, "7")
 			p.circuit(router, tandem, 1, isup.REL, isup.Cause(102))
@@ -363,7 +363,7 @@
 			p.wait(400 * ms)
 			p.iam(router, far, 1, "7")
 		}},
-		{"sent again too early after its association was lost", ReleaseKept, func(p *tape) {
+		{"sent again too early after its association was lost", ReleaseWaitObserved, func(p *tape) {
 			p.open(callers, router, 5, "7")
 			p.iam(router, tandem, 1, "7")
 			p.w.Reset(p.at, tandem, router)
@@ -377,7 +377,7 @@
 			p.wait(301 * ms)
 			p.iam(router, far, 1, "7")
 		}},
-		{"the loser of a glare again too early", ReleaseKept, func(p *tape) {
+		{"the loser of a glare again too early", ReleaseWaitObserved, func(p *tape) {
 			p.open(callers, router, 5, "7")
 			p.iam(router, far, 2, "7") // circuit 2: the higher point code controls it, that is the far end
 			p.iam(far, router, 2, "8")
@@ -403,7 +403,7 @@
 		c.play(p)
 		r := p.report()
 		var got []Rule
-		for _, b := range r.Broken {
+		for _, b := range r.Violations {
 			got = append(got, b.Rule)
 		}
 		want := []Rule{c.rule}
@@ -411,7 +411,7 @@
 			want = nil
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) || r.Malformed != 0 {
-			t.Errorf("%s: found %v, want %v, %d malformed: %v", c.name, got, want, r.Malformed, r.Broken)
+			t.Errorf("%s: found %v, want %v, %d malformed: %v", c.name, got, want, r.Malformed, r.Violations)
 		}
 	}
 }
--- a/internal/runtime/assoc.go
+++ b/internal/runtime/assoc.go
@@ -24,7 +24,7 @@
 // stream is what a TCP connection carries along: one association.
 type stream struct {
 	exchange int // that we connected to; -1 if the other end connected
-	id       isupfront.Conn
+	id       isupfront.ConnID
 	closed   chan struct{} // closed when the connection is gone; nil where nobody waits
 }
 
@@ -76,7 +76,7 @@
 
 // flushStreams writes what the associations have to send. An end that does not read loses its association.
 func (s *Server) flushStreams() {
-	s.node.ISUP().Outgoing(func(id isupfront.Conn, b []byte) {
+	s.node.ISUP().Outgoing(func(id isupfront.ConnID, b []byte) {
 		c := s.conns[id]
 		if c == nil {
 			return
@@ -84,7 +84,7 @@
 		if _, err := c.Write(b); err != nil || c.OutboundBuffered() > heldBack {
 			_ = c.Close() // OnClose follows
 		}
-	}, func(id isupfront.Conn) {
+	}, func(id isupfront.ConnID) {
 		if c := s.conns[id]; c != nil {
 			_ = c.Close()
 		}
--- a/internal/runtime/assoc_test.go
+++ b/internal/runtime/assoc_test.go
@@ -106,7 +106,7 @@
 			ask(t, one, func(n *node.Node) bool { return n.ISUP().Active(0) })
 	}
 	await(t, "signalling up", up)
-	if got := ask(t, zero, func(n *node.Node) int { return n.ISUP().States()[0].Idle }); got != 6 {
+	if got := ask(t, zero, func(n *node.Node) int { return n.ISUP().GroupStates()[0].Idle }); got != 6 {
 		t.Errorf("%d circuits idle", got)
 	}
 	to, _ := iax2.AddrFrom(zero.Addr())
@@ -131,14 +131,14 @@
 	}
 	await(t, "the cut is seen", func() bool { return !up() })
 	await(t, "signalling up again", up)
-	if n := ask(t, zero, func(n *node.Node) int { return n.Core.Open() }); n != 1 {
+	if n := ask(t, zero, func(n *node.Node) int { return n.Core.OpenCalls() }); n != 1 {
 		t.Errorf("%d calls after the cut", n)
 	}
 	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
 	caller.flush()
 	far.until(iax2.Closed)
 	await(t, "all idle", func() bool {
-		left := func(n *node.Node) int { return n.Core.Open() + n.Core.Legs() + n.ISUP().Busy() }
+		left := func(n *node.Node) int { return n.Core.OpenCalls() + n.Core.Legs() + n.ISUP().Busy() }
 		return ask(t, zero, left)+ask(t, one, left) == 0
 	})
 }
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -109,23 +109,23 @@
 		out = append(out, prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...))
 	}
 	core, iax := &n.Core.Stats, &n.IAX().Stats
-	gauge(descCalls, float64(n.Core.Open()))
+	gauge(descCalls, float64(n.Core.OpenCalls()))
 	gauge(descLegs, float64(n.Core.Legs()))
 	gauge(descDialogs, float64(n.IAX().Open()))
-	for e := call.Stood; e <= call.Left; e++ {
+	for e := call.Answered; e <= call.Abandoned; e++ {
 		count(descEnds, core.Ends[e], e.String())
 	}
 	count(descOffered, core.Offered)
-	count(descTurned, core.Turned)
+	count(descTurned, core.Rejected)
 	count(descAttempts, core.Attempts)
 	count(descOverdue, core.Overdue)
 	count(descWithdraw, core.Withdrawn)
-	count(descFaults, core.Faults)
+	count(descFaults, core.ActionFaults)
 	for _, g := range n.Core.Groups() {
-		gauge(descFree, float64(g.Free()), strconv.Itoa(g.Far()))
-		gauge(descSize, float64(g.Size()), strconv.Itoa(g.Far()))
+		gauge(descFree, float64(g.Free()), strconv.Itoa(g.Neighbour()))
+		gauge(descSize, float64(g.Size()), strconv.Itoa(g.Neighbour()))
 	}
-	for _, g := range n.ISUP().States() {
+	for _, g := range n.ISUP().GroupStates() {
 		to := strconv.Itoa(g.Exchange)
 		gauge(descAssoc, float64(g.Associations), to)
 		gauge(descBusy, float64(g.Busy), to)
@@ -136,7 +136,7 @@
 	count(descAlarms, front.Alarms)
 	count(descUnsent, front.Unsent)
 	count(descCut, front.Cut)
-	count(descStranger, front.Stranger)
+	count(descStranger, front.UnknownPeer)
 	count(descIn, iax.In)
 	count(descOut, iax.Out)
 	count(descRepeats, iax.Repeats)
@@ -145,9 +145,9 @@
 	count(descStray, iax.Stray)
 	count(descDropped, m.dropped)
 	if m.s.keep != nil {
-		m.readRecords(gauge, count, core.Unproven)
+		m.readRecords(gauge, count, core.AnsweredNotDurable)
 	}
-	count(descMistrust, n.Mistrusted())
+	count(descMistrust, n.DistrustedStarts())
 	gauge(descListAge, m.s.listAge(now))
 	return out
 }
@@ -186,17 +186,17 @@
 	}
 	for i := range core.Records {
 		r := &core.Records[i]
-		if r.Kind == call.Began {
+		if r.Kind == call.AnswerRecord {
 			continue
 		}
 		class := s.set.Class[r.Class].Name
-		if r.SetUp > 0 {
-			s.metrics.setUp.WithLabelValues(class).Observe(r.SetUp.Seconds())
+		if r.SetupTime > 0 {
+			s.metrics.setUp.WithLabelValues(class).Observe(r.SetupTime.Seconds())
 		}
 		if e := s.log.Check(zap.DebugLevel, "final answer"); e != nil {
 			e.Write(zap.Uint32("call", uint32(r.Call)), zap.String("end", r.End.String()), zap.String("class", class),
 				zap.Uint8("cause", uint8(r.Cause)), zap.Int("dest", r.Dest), zap.Bool("transit", r.Transit),
-				zap.Int("attempts", len(r.Attempts)), zap.Duration("setup", r.SetUp), zap.Duration("length", r.Length))
+				zap.Int("attempts", len(r.Attempts)), zap.Duration("setup", r.SetupTime), zap.Duration("length", r.Duration))
 		}
 	}
 	core.Records = core.Records[:0]
@@ -220,7 +220,7 @@
 
 func (s *Server) health() health {
 	h := health{Draining: s.draining.Load()}
-	err := s.Do(func(n *node.Node, now time.Duration) { h.Calls, h.ListAge = n.Core.Open(), s.listAge(now) })
+	err := s.Do(func(n *node.Node, now time.Duration) { h.Calls, h.ListAge = n.Core.OpenCalls(), s.listAge(now) })
 	if s.keep != nil {
 		st := s.keep.rec.Disk()
 		h.Records, h.AtRisk = st.State.String(), st.Waiting
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -102,7 +102,7 @@
 func TestACircuitFreedBehindACallersBack(t *testing.T) {
 	s := newScene(t, 256)
 	await(t, "the group is full", func() bool {
-		s.sw.Tell(`{"t":"gauge","f":{"load":"x0:0;x1:100"}}` + "\n")
+		s.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:0;x1:100"}}` + "\n")
 		return s.believes(func(b decide.Estimate) bool { return b.Free == 0 })
 	})
 	p := s.dial()
@@ -113,7 +113,7 @@
 		return askCore(s, func(core *platform.Core, _ time.Duration) bool { return core.QueuedCalls() == 1 })
 	})
 	release := s.hold()
-	s.sw.Tell(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
+	s.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
 	p.Close()
 	release()
 	s.nothingLeft()
@@ -122,7 +122,7 @@
 // TestADrainToldBesideASetUp: both are unread when the proxy comes back, the set-up first. The switch is told to drain.
 func TestADrainToldBesideASetUp(t *testing.T) {
 	s := newScene(t, 256)
-	await(t, "the coordinator is asked", func() bool { return len(s.coord.Asked()) > 0 })
+	await(t, "the coordinator is asked", func() bool { return len(s.coord.RequestedFrom()) > 0 })
 	s.settled()
 	p := s.dial()
 	await(t, "the caller is taken", func() bool { return s.callers() > 1 })
@@ -130,7 +130,7 @@
 	if err := p.Send(offerLine(1)); err != nil {
 		t.Fatal(err)
 	}
-	s.coord.Tell(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}})
+	s.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}})
 	release()
 	s.expect(p, jsonl.TypeDown, 1)
 	if s.saw("new " + callRef(1)) {
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -199,17 +199,17 @@
 func TestPlatformFollowsTheCoordinatorToAnotherAddress(t *testing.T) {
 	s := newScene(t, 256)
 	gone := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}}
-	await(s.t, "the coordinator is asked", func() bool { return len(s.coord.Asked()) > 0 })
+	await(s.t, "the coordinator is asked", func() bool { return len(s.coord.RequestedFrom()) > 0 })
 	next, err := standin.StartPlatformCoordinator()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Stop()
-	next.Tell(gone)
+	next.Publish(gone)
 	p := s.dial()
 	s.call(p, 1)
 	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Addr()) })
-	await(s.t, "the new one is asked", func() bool { a := next.Asked(); return len(a) > 0 && a[0] == 1 })
+	await(s.t, "the new one is asked", func() bool { a := next.RequestedFrom(); return len(a) > 0 && a[0] == 1 })
 	await(s.t, "its news count", func() bool {
 		if err := p.Send(offerLine(2)); err != nil {
 			t.Fatal(err)
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -100,7 +100,7 @@
 		}
 		st := k.rec.Disk()
 		// An error says that the loop has ended, or is behind: then the next look tells it.
-		if st.Open != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.Shut(!st.Open) }) == nil {
+		if st.Open != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Open) }) == nil {
 			open = st.Open
 		}
 		if st.State != state {
@@ -114,7 +114,7 @@
 // take hands the core's records over; on the loop.
 func (k *keeping) take(now time.Duration, made []call.Record) {
 	k.clock.Observe(now, time.Now())
-	if unproven := k.s.node.Core.Stats.Unproven; unproven != k.proven {
+	if unproven := k.s.node.Core.Stats.AnsweredNotDurable; unproven != k.proven {
 		k.rec.Overdue(int(unproven - k.proven))
 		k.proven = unproven
 	}
@@ -123,9 +123,9 @@
 	}
 	k.items = k.items[:0]
 	for i := range made {
-		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.Began, Record: k.s.set.Record(&k.clock, k.rec.ID(made[i].Seq), &made[i])})
+		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: k.s.set.Record(&k.clock, k.rec.ID(made[i].CallSeq), &made[i])})
 	}
-	last := made[len(made)-1].Ticket
+	last := made[len(made)-1].RecordSeq
 	k.mu.Lock()
 	ticket, ok := k.rec.Submit(k.items...)
 	if ok {
@@ -155,7 +155,7 @@
 		ticket := k.durable
 		k.mu.Unlock()
 		now := k.s.now()
-		k.s.node.Durable(now, ticket)
+		k.s.node.MarkDurable(now, ticket)
 		k.s.settle(now)
 		return nil
 	}))
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -58,9 +58,9 @@
 	stopped  atomic.Bool
 	listed   atomic.Int64 // when the list last came, on our clock; 0 is never
 	draining atomic.Bool
-	keep     *keeping                     // nil: no records are kept
-	conns    map[isupfront.Conn]gnet.Conn // TCP, on the loop
-	lastConn isupfront.Conn
+	keep     *keeping                       // nil: no records are kept
+	conns    map[isupfront.ConnID]gnet.Conn // TCP, on the loop
+	lastConn isupfront.ConnID
 	ended    sync.Once      // the records are closed
 	side     sync.WaitGroup // what runs beside the loop
 	cancel   context.CancelFunc
@@ -72,11 +72,11 @@
 		log = zap.NewNop()
 	}
 	s := &Server{set: set, log: log, start: time.Now(), ready: make(chan struct{}), done: make(chan struct{}),
-		conns: map[isupfront.Conn]gnet.Conn{}}
+		conns: map[isupfront.ConnID]gnet.Conn{}}
 	if err := free(set.Router.Listen); err != nil {
 		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, err)
 	}
-	s.node = node.New(set.Node(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.Serves(number) }))
+	s.node = node.New(set.Node(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.HasRoute(number) }))
 	if err := s.openRecords(); err != nil {
 		return nil, err
 	}
@@ -311,7 +311,7 @@
 		return err
 	}
 	return s.Do(func(n *node.Node, now time.Duration) {
-		n.Core.Reset(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
+		n.Core.Reconfigure(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
 		s.log.Info("settings reloaded", zap.String("file", next.Path))
 	})
 }
@@ -329,7 +329,7 @@
 	defer look.Stop()
 	for {
 		open := 0
-		if err := s.Do(func(n *node.Node, _ time.Duration) { open = n.Core.Open() + n.Core.Legs() }); err != nil {
+		if err := s.Do(func(n *node.Node, _ time.Duration) { open = n.Core.OpenCalls() + n.Core.Legs() }); err != nil {
 			return err
 		}
 		if open == 0 {
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -171,7 +171,7 @@
 	caller.until(iax2.Closed)
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := 0
-		if err := s.Do(func(n *node.Node, _ time.Duration) { left = n.Core.Open() + n.Core.Legs() + n.Dialogs() }); err != nil {
+		if err := s.Do(func(n *node.Node, _ time.Duration) { left = n.Core.OpenCalls() + n.Core.Legs() + n.Dialogs() }); err != nil {
 			t.Fatal(err)
 		}
 		if left == 0 {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -23,17 +23,17 @@
 
 // CallersSpec is the traffic of one exchange's subscribers.
 type CallersSpec struct {
-	Exchange int
-	Rate     float64 // first tries a second
-	Classes  []CallerClass
-	Weights  []float64 // of destinations, by exchange number
-	Redials  int
-	Backoff  time.Duration // mean wait before a redial
-	Number   func(dest int, rng *rand.Rand) string
-	User     string // registers, if Secret is set
-	Secret   string
-	Fixed    bool                // calls last just Hold
-	Answered func(time.Duration) // told each set-up delay; on the host's goroutine
+	Exchange   int
+	Rate       float64 // first tries a second
+	Classes    []CallerClass
+	Weights    []float64 // of destinations, by exchange number
+	MaxRedials int
+	Backoff    time.Duration // mean wait before a redial
+	Number     func(dest int, rng *rand.Rand) string
+	User       string // registers, if Secret is set
+	Secret     string
+	FixedHold  bool                // calls last just Hold
+	OnAnswer   func(time.Duration) // told each set-up delay; on the host's goroutine
 }
 
 // Callers are the subscribers of one exchange: one socket, many calls.
@@ -58,7 +58,7 @@
 
 // Tally counts by class, as the callers saw it.
 type Tally struct {
-	Calls, Tries, Stood, Refused, Failed, Left, Unanswered int
+	Calls, Tries, Answered, Refused, Failed, Abandoned, Unanswered int
 }
 
 // try is one dial of a call.
@@ -125,17 +125,17 @@
 // Close ends the stand-in.
 func (c *Callers) Close() { c.host.Close() }
 
-// Factor multiplies the rate.
-func (c *Callers) Factor(f float64) { c.host.Do(func() { c.factor = f }) }
+// SetRateFactor multiplies the rate.
+func (c *Callers) SetRateFactor(f float64) { c.host.Do(func() { c.factor = f }) }
 
-// Impatient makes a share of the callers hang up while they wait.
-func (c *Callers) Impatient(share float64) { c.host.Do(func() { c.impatient = share }) }
+// SetHangUpShare makes a share of the callers hang up while they wait.
+func (c *Callers) SetHangUpShare(share float64) { c.host.Do(func() { c.impatient = share }) }
 
 // RedialAtOnce makes callers redial without a wait.
 func (c *Callers) RedialAtOnce(on bool) { c.host.Do(func() { c.again = on }) }
 
-// CutComeAgain makes calls that are cut come again.
-func (c *Callers) CutComeAgain(on bool) { c.host.Do(func() { c.cutAgain = on }) }
+// RedialWhenCut makes calls that are cut come again.
+func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.cutAgain = on }) }
 
 // Registered tells whether the registration was taken.
 func (c *Callers) Registered() (ok bool) {
@@ -154,8 +154,8 @@
 	return out
 }
 
-// Watch begins to count by the second anew.
-func (c *Callers) Watch() { c.host.Do(func() { c.started, c.seconds = c.host.now(), nil }) }
+// RestartSeconds begins to count by the second anew.
+func (c *Callers) RestartSeconds() { c.host.Do(func() { c.started, c.seconds = c.host.now(), nil }) }
 
 // Seconds reads the counters of tries by the second in which they were dialled, since Start or Watch.
 func (c *Callers) Seconds() (out []Tally) {
@@ -265,7 +265,7 @@
 	if c.rng.Float64() < c.impatient {
 		c.host.after(time.Duration(c.rng.Int64N(int64(t.class.Patience)/4)), func() {
 			if !t.answered && !t.over {
-				c.tally[t.class.Name].Left++
+				c.tally[t.class.Name].Abandoned++
 				c.hangUp(d, t)
 			}
 		})
@@ -290,13 +290,13 @@
 	switch e.Kind {
 	case iax2.Answered:
 		t.answered = true
-		count.Stood++
-		c.second(t).Stood++
-		if c.spec.Answered != nil {
-			c.spec.Answered(c.host.now() - t.dialled)
+		count.Answered++
+		c.second(t).Answered++
+		if c.spec.OnAnswer != nil {
+			c.spec.OnAnswer(c.host.now() - t.dialled)
 		}
 		d, hold := e.Dialog, t.class.Hold
-		if !c.spec.Fixed {
+		if !c.spec.FixedHold {
 			hold = time.Duration(c.rng.ExpFloat64() * float64(hold))
 		}
 		c.host.after(hold, func() {
@@ -336,7 +336,7 @@
 	if c.again {
 		wait = 10 * time.Millisecond
 	}
-	if t.redials >= c.spec.Redials || c.host.now()+wait-t.first > t.class.Deadline || !c.running {
+	if t.redials >= c.spec.MaxRedials || c.host.now()+wait-t.first > t.class.Deadline || !c.running {
 		return
 	}
 	next := &try{class: t.class, dest: t.dest, number: t.number, first: t.first, redials: t.redials + 1}
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -64,8 +64,8 @@
 	defer h.mu.Unlock()
 	f()
 	h.settle()
-	h.port.Woken()
-	h.port.Wake(h.now(), true) // timers are looked at again
+	h.port.ClearWake()
+	h.port.SetWake(h.now(), true) // timers are looked at again
 }
 
 // after runs f on the host's state later.
@@ -109,7 +109,7 @@
 	if h.closing {
 		return
 	}
-	if h.tap != nil && !h.net.Taps() {
+	if h.tap != nil && !h.net.RecordsPackets() {
 		h.tap.Datagram(at, h.router, h.me, b)
 	}
 	if !h.deaf {
@@ -125,7 +125,7 @@
 	if h.closing {
 		return
 	}
-	h.port.Woken()
+	h.port.ClearWake()
 	h.work()
 }
 
@@ -147,5 +147,5 @@
 	if at, eok := h.ep.Next(); eok && (!ok || at < next) {
 		next, ok = at, true
 	}
-	h.port.Wake(next, ok)
+	h.port.SetWake(next, ok)
 }
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -246,7 +246,7 @@
 		now := s.now()
 		wait, taken := s.enqueue(now)
 		switch {
-		case s.fallen || s.faults.Silent:
+		case s.fallen || s.faults.Unresponsive:
 		case !taken:
 			s.group.Release(now, e.Call, causeFull)
 		default:
@@ -261,17 +261,17 @@
 	now := s.now()
 	switch {
 	case s.held:
-	case s.rng.Float64() < s.faults.Reject:
+	case s.rng.Float64() < s.faults.RejectRate:
 		s.group.Release(now, k, causeFault)
 	case len(s.calls) >= s.spec.Lines:
 		s.Stats.NoLine++
 		s.group.Release(now, k, causeNoLine)
 	default:
 		s.calls[k] = true
-		s.after(s.spec.RingFor+s.faults.Late, func() {
+		s.after(s.spec.RingTime+s.faults.AnswerDelay, func() {
 			s.Stats.Answered++
 			s.group.Answer(s.now(), k)
-			if s.rng.Float64() < s.faults.HangUpAt {
+			if s.rng.Float64() < s.faults.HangUpRate {
 				s.group.Release(s.now(), k, causeRunning)
 			}
 		})
@@ -281,17 +281,17 @@
 // ISUPCallers make whole calls over a group of circuits at a rate: for measurements.
 type ISUPCallers struct {
 	*ISUPHost
-	rate     float64
-	hold     time.Duration
-	called   string
-	context  string
-	due      time.Duration
-	running  bool
-	calls    map[*isup.Call]*placed
-	answered func(time.Duration)
-	Tries    int
-	Stood    int
-	NoIdle   int // no circuit was idle: not a try
+	rate      float64
+	hold      time.Duration
+	called    string
+	context   string
+	due       time.Duration
+	running   bool
+	calls     map[*isup.Call]*placed
+	answered  func(time.Duration)
+	Tries     int
+	Answered  int
+	NoCircuit int // no circuit was idle: not a try
 }
 
 type placed struct {
@@ -321,7 +321,7 @@
 
 // Count reads the counters.
 func (c *ISUPCallers) Count() (tries, stood, noIdle int) {
-	c.Do(func() { tries, stood, noIdle = c.Tries, c.Stood, c.NoIdle })
+	c.Do(func() { tries, stood, noIdle = c.Tries, c.Answered, c.NoCircuit })
 	return tries, stood, noIdle
 }
 
@@ -336,7 +336,7 @@
 			c.Tries++
 			c.calls[k] = &placed{at: c.now()}
 		} else {
-			c.NoIdle++
+			c.NoCircuit++
 		}
 		c.next()
 	})
@@ -350,7 +350,7 @@
 	switch e.Kind {
 	case isup.Answered:
 		p.stood = true
-		c.Stood++
+		c.Answered++
 		c.answered(c.now() - p.at)
 		c.after(c.hold, func() { c.group.Release(c.now(), e.Call, causeRunning) })
 	case isup.Closed:
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -12,11 +12,11 @@
 
 // LinkFaults are what a link does to datagrams.
 type LinkFaults struct {
-	Delay  time.Duration
-	Jitter time.Duration // on top, evenly
-	Lose   float64
-	Repeat float64
-	Cut    bool
+	Delay         time.Duration
+	Jitter        time.Duration // on top, evenly
+	LossRate      float64
+	DuplicateRate float64
+	Cut           bool
 }
 
 // Link joins two routers by two sockets: what one sends to its end comes out of the other. Each router knows the
@@ -107,9 +107,9 @@
 	f := l.f
 	copies := 1
 	switch {
-	case f.Cut || f.Lose > 0 && l.rng.Float64() < f.Lose:
+	case f.Cut || f.LossRate > 0 && l.rng.Float64() < f.LossRate:
 		copies = 0
-	case f.Repeat > 0 && l.rng.Float64() < f.Repeat:
+	case f.DuplicateRate > 0 && l.rng.Float64() < f.DuplicateRate:
 		copies = 2
 	}
 	var delays [2]time.Duration
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -13,13 +13,13 @@
 type Net interface {
 	Now() time.Duration // monotonic
 	Wall() time.Time
-	Taps() bool // the network records what routers send; else hosts record it as it comes
+	RecordsPackets() bool // the network records what routers send; else hosts record it as it comes
 	// Open takes an address; r gets what comes to it and is told when it is due.
-	Open(at netip.AddrPort, r Hearer) (Port, error)
+	Open(at netip.AddrPort, r PacketHandler) (Port, error)
 }
 
-// Hearer is what a Port brings datagrams to.
-type Hearer interface {
+// PacketHandler is what a Port brings datagrams to.
+type PacketHandler interface {
 	Receive(from iax2.Addr, b []byte)
 	Due()
 }
@@ -29,8 +29,8 @@
 	Addr() netip.AddrPort
 	Run()
 	Send(to iax2.Addr, b []byte)
-	Wake(at time.Duration, any bool) // Due is wanted then, or never; an earlier wish stays
-	Woken()                          // the earlier wish is done
+	SetWake(at time.Duration, any bool) // Due is wanted then, or never; an earlier wish stays
+	ClearWake()                         // the earlier wish is done
 	Close()
 }
 
@@ -46,11 +46,11 @@
 // Wall is the time of day.
 func (s *Sockets) Wall() time.Time { return time.Now() }
 
-// Taps tells that sockets record nothing by themselves.
-func (s *Sockets) Taps() bool { return false }
+// RecordsPackets tells that sockets record nothing by themselves.
+func (s *Sockets) RecordsPackets() bool { return false }
 
 // Open opens a UDP socket.
-func (s *Sockets) Open(at netip.AddrPort, r Hearer) (Port, error) {
+func (s *Sockets) Open(at netip.AddrPort, r PacketHandler) (Port, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 type socketPort struct {
 	net    *Sockets
 	conn   *net.UDPConn
-	to     Hearer
+	to     PacketHandler
 	wakeAt time.Duration // the read's deadline; 0 is none
 	done   chan struct{}
 }
@@ -77,7 +77,7 @@
 	_, _ = p.conn.WriteToUDPAddrPort(b, to.AddrPort()) // a full socket loses it, as a network would
 }
 
-func (p *socketPort) Wake(at time.Duration, any bool) {
+func (p *socketPort) SetWake(at time.Duration, any bool) {
 	switch {
 	case any && (p.wakeAt == 0 || at < p.wakeAt):
 		p.wakeAt = max(at, 1)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (p *socketPort) Woken() { p.wakeAt = 0 }
+func (p *socketPort) ClearWake() { p.wakeAt = 0 }
 
 func (p *socketPort) Close() {
 	p.conn.Close()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -127,8 +127,8 @@
 // Addr is where it listens.
 func (s *PlatformSwitch) Addr() netip.AddrPort { return s.lis.Addr().(*net.TCPAddr).AddrPort() }
 
-// Tell sends a line on every connection.
-func (s *PlatformSwitch) Tell(line string) {
+// Broadcast sends a line on every connection.
+func (s *PlatformSwitch) Broadcast(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p := range s.peers {
@@ -197,8 +197,8 @@
 	c.mu.Unlock()
 }
 
-// Tell adds an event and sends it to all that are connected.
-func (c *PlatformCoordinator) Tell(ev coordinator.Event) {
+// Publish adds an event and sends it to all that are connected.
+func (c *PlatformCoordinator) Publish(ev coordinator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events = append(c.events, ev)
@@ -207,8 +207,8 @@
 	}
 }
 
-// Asked lists the numbers that connections began with.
-func (c *PlatformCoordinator) Asked() []uint64 {
+// RequestedFrom lists the numbers that connections began with.
+func (c *PlatformCoordinator) RequestedFrom() []uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]uint64(nil), c.asked...)
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -31,15 +31,15 @@
 
 // capacity is the part of its rate that it can do now.
 func (p *processor) capacity(now time.Duration) float64 {
-	if p.warm || now-p.started >= p.spec.ColdFor {
+	if p.warm || now-p.started >= p.spec.ColdDuration {
 		return 1
 	}
-	return p.spec.ColdFrom + (1-p.spec.ColdFrom)*(now-p.started).Seconds()/p.spec.ColdFor.Seconds()
+	return p.spec.ColdCapacity + (1-p.spec.ColdCapacity)*(now-p.started).Seconds()/p.spec.ColdDuration.Seconds()
 }
 
 // work is how long it takes for one set-up now.
 func (p *processor) work(now time.Duration) time.Duration {
-	return time.Duration(max(1, p.faults.Slow) / (p.spec.Rate * p.capacity(now)) * float64(time.Second))
+	return time.Duration(max(1, p.faults.SlowFactor) / (p.spec.Rate * p.capacity(now)) * float64(time.Second))
 }
 
 // enqueue takes a set-up into the line and tells when it will have been looked at; false if it is turned away, or
@@ -53,7 +53,7 @@
 	p.freeAt = max(p.freeAt, now)
 	if p.freeAt-now > p.spec.QueueWait {
 		p.freeAt += w / 4 // turning away costs work too
-		p.Stats.Full++
+		p.Stats.QueueFull++
 		return 0, false
 	}
 	p.freeAt += w
@@ -62,17 +62,17 @@
 
 // falls is the processor's end where it is pushed over while cold.
 func (p *processor) falls(now time.Duration) bool {
-	if p.fallen || p.spec.FallMultiple == 0 || p.capacity(now) >= 1 {
+	if p.fallen || p.spec.OverloadMultiple == 0 || p.capacity(now) >= 1 {
 		return p.fallen
 	}
 	p.sent = append(p.sent, now)
-	for len(p.sent) > 0 && p.sent[0] < now-p.spec.FallWindow {
+	for len(p.sent) > 0 && p.sent[0] < now-p.spec.OverloadWindow {
 		p.sent = p.sent[1:]
 	}
-	can := p.spec.Rate * p.capacity(now) * p.spec.FallWindow.Seconds()
-	if float64(len(p.sent)) > p.spec.FallMultiple*can {
+	can := p.spec.Rate * p.capacity(now) * p.spec.OverloadWindow.Seconds()
+	if float64(len(p.sent)) > p.spec.OverloadMultiple*can {
 		p.fallen = true
-		p.Stats.Fell++
+		p.Stats.Collapsed++
 	}
 	return p.fallen
 }
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -19,8 +19,8 @@
 	CutAfter    int // the next PATCH is cut off after this many bytes, which are kept
 	Cuts        int // this many times
 	LoseAnswers int // answers to PATCH that are lost after its bytes were kept
-	LoseMade    int // answers to POST that are lost after the upload was made
-	Late        time.Duration
+	LoseCreated int // answers to POST that are lost after the upload was made
+	Delay       time.Duration
 	Refuse      int // requests answered with 503
 }
 
@@ -35,8 +35,8 @@
 	faults  ReceiverFaults
 	uploads map[string]*upload
 	made    int
-	batches map[string]Received // complete ones, by router and batch
-	again   int                 // batches that came complete more than once
+	batches map[string]Batch // complete ones, by router and batch
+	again   int              // batches that came complete more than once
 	bad     []string
 }
 
@@ -46,8 +46,8 @@
 	data   []byte
 }
 
-// Received is a complete batch.
-type Received struct {
+// Batch is a complete batch.
+type Batch struct {
 	Meta map[string]string
 	Data []byte
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Receiver{ln: ln, uploads: map[string]*upload{}, batches: map[string]Received{}}
+	r := &Receiver{ln: ln, uploads: map[string]*upload{}, batches: map[string]Batch{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /files", r.create)
 	mux.HandleFunc("HEAD /files/{id}", r.offset)
@@ -84,18 +84,18 @@
 	r.mu.Unlock()
 }
 
-// Forget loses all uploads, complete or not; what was taken stays taken.
-func (r *Receiver) Forget() {
+// DropUploads loses all uploads, complete or not; what was taken stays taken.
+func (r *Receiver) DropUploads() {
 	r.mu.Lock()
 	clear(r.uploads)
 	r.mu.Unlock()
 }
 
 // Batches are the complete ones, Again how often a complete one came once more, Bad what broke the protocol.
-func (r *Receiver) Batches() (got map[string]Received, again int, bad []string) {
+func (r *Receiver) Batches() (got map[string]Batch, again int, bad []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	got = map[string]Received{}
+	got = map[string]Batch{}
 	for k, v := range r.batches {
 		got[k] = v
 	}
@@ -105,7 +105,7 @@
 func (r *Receiver) around(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
-		late, refuse := r.faults.Late, r.faults.Refuse > 0
+		late, refuse := r.faults.Delay, r.faults.Refuse > 0
 		if refuse {
 			r.faults.Refuse--
 		}
@@ -157,9 +157,9 @@
 	r.made++
 	id := fmt.Sprintf("u%d", r.made)
 	r.uploads[id] = &upload{length: length, meta: meta}
-	lose := r.faults.LoseMade > 0
+	lose := r.faults.LoseCreated > 0
 	if lose {
-		r.faults.LoseMade--
+		r.faults.LoseCreated--
 	}
 	r.mu.Unlock()
 	if lose {
@@ -258,5 +258,5 @@
 		}
 		return
 	}
-	r.batches[key] = Received{u.meta, u.data}
+	r.batches[key] = Batch{u.meta, u.data}
 }
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -14,8 +14,8 @@
 	"pipitring/internal/capture"
 )
 
-// Line is one exchange as the register lists it.
-type Line struct {
+// ListEntry is one exchange as the register lists it.
+type ListEntry struct {
 	ID       string
 	Exchange int
 	Zone     string
@@ -24,9 +24,9 @@
 	Switch   netip.AddrPort
 }
 
-// Register stands in for the register: the published form of Consul's health API with blocking queries. Each
+// DiscoveryServer stands in for the register: the published form of Consul's health API with blocking queries. Each
 // router has a path of its own (/router/3), since it knows the others by addresses of its own, and can be told late.
-type Register struct {
+type DiscoveryServer struct {
 	srv  *http.Server
 	ln   net.Listener
 	tap  *capture.Writer
@@ -43,19 +43,19 @@
 // view is the list as one router may know it.
 type view struct {
 	index   uint64
-	lines   []Line
+	lines   []ListEntry
 	changed chan struct{}
 	lag     time.Duration
 	last    time.Time // when the newest list becomes known, so that none overtakes another
 }
 
-// NewRegister starts a register; addr tells by which address a router knows an exchange.
-func NewRegister(tap *capture.Writer, addr func(viewer, exchange int) netip.AddrPort) (*Register, error) {
+// NewDiscoveryServer starts a register; addr tells by which address a router knows an exchange.
+func NewDiscoveryServer(tap *capture.Writer, addr func(viewer, exchange int) netip.AddrPort) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Register{ln: ln, tap: tap, addr: addr, views: map[int]*view{}, stopped: make(chan struct{})}
+	r := &DiscoveryServer{ln: ln, tap: tap, addr: addr, views: map[int]*view{}, stopped: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /router/{router}/v1/health/service/exchange", r.serve)
 	r.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -64,18 +64,18 @@
 }
 
 // URL is where a router asks.
-func (r *Register) URL(router int) string {
+func (r *DiscoveryServer) URL(router int) string {
 	return fmt.Sprintf("http://%v/router/%d", r.ln.Addr(), router)
 }
 
 // Close ends the register.
-func (r *Register) Close() {
+func (r *DiscoveryServer) Close() {
 	close(r.stopped)
 	_ = r.srv.Close()
 	r.wg.Wait()
 }
 
-func (r *Register) view(router int) *view {
+func (r *DiscoveryServer) view(router int) *view {
 	v := r.views[router]
 	if v == nil {
 		v = &view{changed: make(chan struct{})}
@@ -85,14 +85,14 @@
 }
 
 // Lag makes a router learn of later changes so much later.
-func (r *Register) Lag(router int, d time.Duration) {
+func (r *DiscoveryServer) Lag(router int, d time.Duration) {
 	r.mu.Lock()
 	r.view(router).lag = d
 	r.mu.Unlock()
 }
 
 // Gone makes the register answer nothing but errors, queries that wait included, or serve again.
-func (r *Register) Gone(on bool) {
+func (r *DiscoveryServer) Gone(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gone = on
@@ -103,7 +103,7 @@
 }
 
 // Publish makes a list known, to each router after its lag.
-func (r *Register) Publish(routers int, lines []Line) {
+func (r *DiscoveryServer) Publish(routers int, lines []ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.index++
@@ -154,7 +154,7 @@
 	Status  string `json:"Status"`
 }
 
-func (r *Register) serve(w http.ResponseWriter, q *http.Request) {
+func (r *DiscoveryServer) serve(w http.ResponseWriter, q *http.Request) {
 	router, err := strconv.Atoi(q.PathValue("router"))
 	if err != nil {
 		http.Error(w, "router: not a number", http.StatusBadRequest)
@@ -192,7 +192,7 @@
 }
 
 // await blocks until the router's view has passed an index.
-func (r *Register) await(ctx context.Context, router int, after uint64, wait time.Duration) (uint64, []Line, bool) {
+func (r *DiscoveryServer) await(ctx context.Context, router int, after uint64, wait time.Duration) (uint64, []ListEntry, bool) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for {
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -12,28 +12,28 @@
 
 // SwitchSpec is what a switch can do.
 type SwitchSpec struct {
-	Exchange  int
-	Rate      float64       // set-ups a second that its processor can do
-	QueueWait time.Duration // it turns set-ups away when they would wait longer
-	Lines     int           // calls at once
-	ColdFrom  float64       // part of Rate right after a start
-	ColdFor   time.Duration
-	// FallMultiple and FallWindow: sent more than this multiple of what it can do for that long while it is cold,
+	Exchange     int
+	Rate         float64       // set-ups a second that its processor can do
+	QueueWait    time.Duration // it turns set-ups away when they would wait longer
+	Lines        int           // calls at once
+	ColdCapacity float64       // part of Rate right after a start
+	ColdDuration time.Duration
+	// OverloadMultiple and FallWindow: sent more than this multiple of what it can do for that long while it is cold,
 	// it falls over and stays down. 0 is never.
-	FallMultiple float64
-	FallWindow   time.Duration
-	RingFor      time.Duration // from the set-up to the answer
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	RingTime         time.Duration // from the set-up to the answer
 }
 
 // Faults are how a switch misbehaves while they are set.
 type Faults struct {
-	Silent   bool          // takes set-ups and answers none
-	Slow     float64       // times slower; 0 is not
-	Late     time.Duration // answers later by this
-	Lose     float64       // share of its datagrams that are lost
-	Repeat   float64       // share that are sent twice
-	Reject   float64       // share of set-ups rejected with cause 41
-	HangUpAt float64       // share of calls that it hangs up right after their answer
+	Unresponsive  bool          // takes set-ups and answers none
+	SlowFactor    float64       // times slower; 0 is not
+	AnswerDelay   time.Duration // answers later by this
+	LossRate      float64       // share of its datagrams that are lost
+	DuplicateRate float64       // share that are sent twice
+	RejectRate    float64       // share of set-ups rejected with cause 41
+	HangUpRate    float64       // share of calls that it hangs up right after their answer
 }
 
 // Causes that a switch gives (Q.850).
@@ -57,7 +57,7 @@
 
 // SwitchStats count since the first start.
 type SwitchStats struct {
-	SetUps, Answered, Full, NoLine, Fell int
+	SetUps, Answered, QueueFull, NoLine, Collapsed int
 }
 
 // NewSwitch starts a switch that has long been warm.
@@ -95,7 +95,7 @@
 func (s *Switch) Set(f Faults) {
 	s.host.Do(func() {
 		s.faults = f
-		s.host.deaf = f.Silent || s.down || s.fallen
+		s.host.deaf = f.Unresponsive || s.down || s.fallen
 	})
 }
 
@@ -152,7 +152,7 @@
 		s.calls = map[*iax2.Dialog]bool{}
 		s.down = false
 		s.restart(s.host.now())
-		s.host.deaf = s.faults.Silent
+		s.host.deaf = s.faults.Unresponsive
 		noteStart(s.host.tap, s.host.net.Wall(), &s.spec, s.life)
 	})
 	return s.id
@@ -186,14 +186,14 @@
 	now := s.host.now()
 	switch {
 	case d.Over() || s.down || s.fallen:
-	case s.rng.Float64() < s.faults.Reject:
+	case s.rng.Float64() < s.faults.RejectRate:
 		d.Release(now, causeFault, "rejected")
 	case len(s.calls) >= s.spec.Lines:
 		s.Stats.NoLine++
 		d.Release(now, causeNoLine, "no line")
 	default:
 		s.calls[d] = true
-		s.host.after(s.spec.RingFor+s.faults.Late, func() { s.answer(d) })
+		s.host.after(s.spec.RingTime+s.faults.AnswerDelay, func() { s.answer(d) })
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 	s.Stats.Answered++
 	d.Answer(s.host.now())
-	if s.rng.Float64() < s.faults.HangUpAt {
+	if s.rng.Float64() < s.faults.HangUpRate {
 		delete(s.calls, d)
 		d.Release(s.host.now(), causeRunning, "hung up")
 	}
@@ -212,11 +212,11 @@
 // copies loses and repeats outgoing datagrams as the faults say.
 func (s *Switch) copies([]byte) int {
 	switch {
-	case s.down || s.fallen || s.faults.Silent:
+	case s.down || s.fallen || s.faults.Unresponsive:
 		return 0
-	case s.faults.Lose > 0 && s.rng.Float64() < s.faults.Lose:
+	case s.faults.LossRate > 0 && s.rng.Float64() < s.faults.LossRate:
 		return 0
-	case s.faults.Repeat > 0 && s.rng.Float64() < s.faults.Repeat:
+	case s.faults.DuplicateRate > 0 && s.rng.Float64() < s.faults.DuplicateRate:
 		return 2
 	}
 	return 1
@@ -229,6 +229,6 @@
 func noteStart(tap *capture.Writer, at time.Time, spec *SwitchSpec, life int) {
 	if tap != nil {
 		tap.Notice(at, capture.Notice{Started: &capture.Started{Exchange: spec.Exchange, ID: switchID(spec.Exchange, life),
-			Rate: spec.Rate, From: spec.ColdFrom, Warm: spec.ColdFor}})
+			Rate: spec.Rate, ColdCapacity: spec.ColdCapacity, ColdDuration: spec.ColdDuration}})
 	}
 }
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -19,8 +19,8 @@
 	changed bool
 }
 
-// Far is the number of the exchange at the other end.
-func (g *Group) Far() int { return g.far }
+// Neighbour is the number of the exchange at the other end.
+func (g *Group) Neighbour() int { return g.far }
 
 // Size is the number of circuits in service.
 func (g *Group) Size() int { return g.size }
@@ -62,24 +62,24 @@
 	g.changed = true
 }
 
-// Book holds the groups of one router.
-type Book struct {
+// GroupTable holds the groups of one router.
+type GroupTable struct {
 	groups map[int]*Group
 	order  []int
 }
 
-// NewBook makes groups of the given sizes, by the number of the exchange at the other end.
-func NewBook(sizes map[int]int) *Book {
-	b := &Book{groups: map[int]*Group{}}
+// NewGroupTable makes groups of the given sizes, by the number of the exchange at the other end.
+func NewGroupTable(sizes map[int]int) *GroupTable {
+	b := &GroupTable{groups: map[int]*Group{}}
 	b.Resize(sizes)
 	return b
 }
 
 // Group finds the group toward an exchange; nil if there is none.
-func (b *Book) Group(far int) *Group { return b.groups[far] }
+func (b *GroupTable) Group(far int) *Group { return b.groups[far] }
 
 // All lists the groups by exchange number.
-func (b *Book) All() []*Group {
+func (b *GroupTable) All() []*Group {
 	var all []*Group
 	for _, far := range b.order {
 		all = append(all, b.groups[far])
@@ -89,7 +89,7 @@
 
 // Resize takes new sizes. Calls keep their circuits; a group that is no longer named keeps size 0 and goes
 // when its last call does.
-func (b *Book) Resize(sizes map[int]int) {
+func (b *GroupTable) Resize(sizes map[int]int) {
 	for far, g := range b.groups {
 		if _, ok := sizes[far]; !ok && g.size != 0 {
 			g.size, g.changed = 0, true
@@ -108,8 +108,8 @@
 	b.order = slices.Sorted(maps.Keys(b.groups))
 }
 
-// Changed calls f for each group whose circuits changed since the last time, by exchange number.
-func (b *Book) Changed(f func(*Group)) {
+// ForEachChanged calls f for each group whose circuits changed since the last time, by exchange number.
+func (b *GroupTable) ForEachChanged(f func(*Group)) {
 	for _, far := range b.order {
 		if g := b.groups[far]; g.changed {
 			g.changed = false
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -10,7 +10,7 @@
 func TestGroupCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 12).Draw(t, "size")
-		b := NewBook(map[int]int{3: size})
+		b := NewGroupTable(map[int]int{3: size})
 		g := b.Group(3)
 		type held struct{ width, in int }
 		var calls []held
@@ -55,7 +55,7 @@
 }
 
 func TestFreeingWhatWasNotTakenPanics(t *testing.T) {
-	g := NewBook(map[int]int{1: 5}).Group(1)
+	g := NewGroupTable(map[int]int{1: 5}).Group(1)
 	g.Seize(2)
 	defer func() {
 		if recover() == nil {
@@ -66,9 +66,9 @@
 }
 
 func TestChangedTellsOnce(t *testing.T) {
-	b := NewBook(map[int]int{2: 5, 1: 4})
+	b := NewGroupTable(map[int]int{2: 5, 1: 4})
 	told := func() (far []int) {
-		b.Changed(func(g *Group) { far = append(far, g.Far()) })
+		b.ForEachChanged(func(g *Group) { far = append(far, g.Neighbour()) })
 		return far
 	}
 	if got := told(); len(got) != 2 || got[0] != 1 {
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -93,7 +93,7 @@
 			}
 		}},
 		{Name: "set-ups are not withdrawn when the grace ends", Breaks: "rule 3", Settings: func(s *node.Settings) { s.Core.DrainGrace = time.Hour }},
-		{Name: "the answer comes after the caller's patience", Breaks: "rule 1", Settings: func(s *node.Settings) { s.Core.Margin = -300 * time.Millisecond }},
+		{Name: "the answer comes after the caller's patience", Breaks: "rule 1", Settings: func(s *node.Settings) { s.Core.AnswerMargin = -300 * time.Millisecond }},
 		{Name: "one in ten answers is not sent", Breaks: "rule 1 or left over", Drop: func(f *iax2.Frame, n int) bool {
 			return f.Type == iax2.FrameControl && f.Subclass == iax2.ControlAnswer && tenth(n)
 		}},
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -41,8 +41,8 @@
 	drift  float64 // its clock runs so much faster
 	port   standin.Port
 	wake   timers.Entry[func()]
-	conns  map[isupfront.Conn]*End
-	last   isupfront.Conn
+	conns  map[isupfront.ConnID]*End
+	last   isupfront.ConnID
 	disk   *Disk
 	ledger *cdr.Ledger
 	clock  cdr.Clock
@@ -60,12 +60,12 @@
 
 // Start starts the router of an exchange.
 func (w *World) Start(x int, set *config.Settings, o RouterOptions) (*Router, error) {
-	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.Conn]*End{}, disk: o.Disk, Mutate: o.Mutate,
+	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*End{}, disk: o.Disk, Mutate: o.Mutate,
 		rng: w.Rand(fmt.Sprintf("router %d life %d", x, o.Life))}
 	r.wake.Value = r.due
-	ns := set.Node(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.Serves(number) })
+	ns := set.Node(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
 	if r.disk != nil {
-		ns.Core.Prove = set.Records.AnswerWait
+		ns.Core.DurableTimeout = set.Records.AnswerWait
 		if err := r.openRecords(); err != nil {
 			return nil, err
 		}
@@ -195,11 +195,11 @@
 		}
 	}
 	out.Reset()
-	r.node.ISUP().Outgoing(func(id isupfront.Conn, b []byte) {
+	r.node.ISUP().Outgoing(func(id isupfront.ConnID, b []byte) {
 		if e := r.conns[id]; e != nil {
 			e.Write(b)
 		}
-	}, func(id isupfront.Conn) {
+	}, func(id isupfront.ConnID) {
 		if e := r.conns[id]; e != nil {
 			e.Close()
 		}
@@ -223,16 +223,16 @@
 	}
 	items := make([]cdr.Item, 0, len(made))
 	for i := range made {
-		items = append(items, cdr.Item{Open: made[i].Kind == call.Began, Record: r.set.Record(&r.clock, r.ledger.ID(made[i].Seq), &made[i])})
+		items = append(items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: r.set.Record(&r.clock, r.ledger.ID(made[i].CallSeq), &made[i])})
 	}
 	items = r.Mutate.items(items)
-	ticket := made[len(made)-1].Ticket
+	ticket := made[len(made)-1].RecordSeq
 	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Put(b, items) }, func() {
 		if r.dead {
 			return
 		}
 		now := r.now()
-		r.node.Durable(now, ticket)
+		r.node.MarkDurable(now, ticket)
 		r.settle(now)
 	})
 }
@@ -265,7 +265,7 @@
 		return err
 	}
 	return r.Do(func(n *node.Node, now time.Duration) {
-		n.Core.Reset(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
+		n.Core.Reconfigure(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
 	})
 }
 
@@ -295,7 +295,7 @@
 	r.w.queue.Stop(&r.wake)
 	r.port.Close()
 	r.w.Accept(RouterAddr(r.x), nil)
-	for id := isupfront.Conn(1); id <= r.last; id++ { // in order: map order would differ from run to run
+	for id := isupfront.ConnID(1); id <= r.last; id++ { // in order: map order would differ from run to run
 		if e := r.conns[id]; e != nil {
 			e.Gone = nil
 			e.Close()
--- a/internal/vnet/stream.go
+++ b/internal/vnet/stream.go
@@ -93,7 +93,7 @@
 	}
 	// What TCP has to send again comes a round trip later, and all behind it.
 	d := l.delay()
-	if l.f.Lose > 0 && l.rng.Float64() < l.f.Lose {
+	if l.f.LossRate > 0 && l.rng.Float64() < l.f.LossRate {
 		d += 2*l.f.Delay + 200*time.Millisecond
 	}
 	e.arrive = max(e.arrive, l.w.now+d)
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -160,9 +160,9 @@
 	f := &l.f
 	copies := 1
 	switch {
-	case f.Cut, f.HalfCut, f.Lose > 0 && l.rng.Float64() < f.Lose:
+	case f.Cut, f.HalfCut, f.LossRate > 0 && l.rng.Float64() < f.LossRate:
 		copies = 0
-	case f.Repeat > 0 && l.rng.Float64() < f.Repeat:
+	case f.DuplicateRate > 0 && l.rng.Float64() < f.DuplicateRate:
 		copies = 2
 	}
 	for range copies {
@@ -204,8 +204,8 @@
 	return capture.Party{Kind: [...]capture.Kind{capture.Router, capture.Switch, capture.Callers}[min(a.IP[1], 2)], Exchange: exchangeOf(a)}
 }
 
-// Taps tells that the network records what routers send, at the moment of sending.
-func (w *World) Taps() bool { return true }
+// RecordsPackets tells that the network records what routers send, at the moment of sending.
+func (w *World) RecordsPackets() bool { return true }
 
 func isRouter(a iax2.Addr) bool { return a.IP[1] == 0 }
 
@@ -213,7 +213,7 @@
 type Port struct {
 	w    *World
 	addr iax2.Addr
-	to   standin.Hearer
+	to   standin.PacketHandler
 	wake timers.Entry[func()]
 	gone bool
 }
@@ -222,7 +222,7 @@
 var ErrTaken = errors.New("vnet: the address is in use")
 
 // Open takes an address.
-func (w *World) Open(at netip.AddrPort, to standin.Hearer) (standin.Port, error) {
+func (w *World) Open(at netip.AddrPort, to standin.PacketHandler) (standin.Port, error) {
 	a, ok := iax2.AddrFrom(at)
 	if !ok || w.ports[a] != nil {
 		return nil, ErrTaken
@@ -264,15 +264,15 @@
 	w.Link(a, z).pass(deliver)
 }
 
-// Wake wants Due at a time; an earlier wish stays.
-func (p *Port) Wake(at time.Duration, any bool) {
+// SetWake wants Due at a time; an earlier wish stays.
+func (p *Port) SetWake(at time.Duration, any bool) {
 	if any && (!p.wake.Running() || at < p.wake.At()) {
 		p.w.queue.Set(&p.wake, max(at, p.w.now))
 	}
 }
 
-// Woken forgets the earlier wish.
-func (p *Port) Woken() { p.w.queue.Stop(&p.wake) }
+// ClearWake forgets the earlier wish.
+func (p *Port) ClearWake() { p.w.queue.Stop(&p.wake) }
 
 // Close lets the address go: what is on its way to it is lost.
 func (p *Port) Close() {
