--- a/cmd/pipitring/cdr.go
+++ b/cmd/pipitring/cdr.go
@@ -280,7 +280,7 @@
 		}
 		o := records.ExportOptions{Dir: to, Timeout: 30 * time.Second, ExportSettings: cdr.ExportSettings{Target: name, Router: router,
 			Format: form, MaxRecords: 10000, MinRecords: 1, KeepBatches: 1000}}
-		if (&config.Export{To: to}).Address() {
+		if (&config.Export{To: to}).IsURL() {
 			o.Dir, o.URL = "", to
 		}
 		return []records.ExportOptions{o}, nil
@@ -288,7 +288,7 @@
 	if f.set == nil {
 		return nil, errors.New("where to is needed: -c SETTINGS with [[records.export]], or --to")
 	}
-	all, err := runtime.Exports(f.set)
+	all, err := runtime.ExportOptions(f.set)
 	if err != nil || name == "" {
 		return all, err
 	}
@@ -307,7 +307,7 @@
 		return 0, err
 	}
 	var n uint32
-	if _, err := fmt.Sscanf(owner, records.Owner(0)[:len(records.Owner(0))-1]+"%d", &n); err != nil {
+	if _, err := fmt.Sscanf(owner, records.OwnerName(0)[:len(records.OwnerName(0))-1]+"%d", &n); err != nil {
 		return 0, fmt.Errorf("the store belongs to %q, which is no router", owner)
 	}
 	return n, nil
@@ -361,7 +361,7 @@
 				}
 				if f.set != nil {
 					for _, e := range f.set.Records.Export {
-						if !e.Address() {
+						if !e.IsURL() {
 							dirs = append(dirs, e.To)
 						}
 					}
@@ -497,7 +497,7 @@
 				return fmt.Errorf("--zone: %w", err)
 			}
 			if file != "" {
-				if err := plots.Known(file); err != nil {
+				if err := plots.CheckFormat(file); err != nil {
 					return err
 				}
 			}
--- a/cmd/pipitring/cdr_test.go
+++ b/cmd/pipitring/cdr_test.go
@@ -39,7 +39,7 @@
 func TestCDRCommands(t *testing.T) {
 	dir := t.TempDir()
 	kept := filepath.Join(dir, "records")
-	rec, err := records.Open(records.Options{Dir: kept, Router: 4, MaxBatch: 8, Alive: time.Hour,
+	rec, err := records.Open(records.Options{Dir: kept, Router: 4, MaxBatch: 8, HeartbeatInterval: time.Hour,
 		Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 100}})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pipitring/serve.go
+++ b/cmd/pipitring/serve.go
@@ -76,7 +76,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%s: good: exchange %d, %d classes, %d groups\n", args[0], set.Router.Exchange, len(set.Class), len(set.Sizes))
+			fmt.Printf("%s: good: exchange %d, %d classes, %d groups\n", args[0], set.Router.Exchange, len(set.Class), len(set.GroupSizes))
 			return nil
 		}}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -22,7 +22,7 @@
 	s.checkRest(d)
 	s.checkRecords(d)
 	if len(d.Problems) == 0 {
-		if err := s.Decide().Validate(); err != nil {
+		if err := s.DecideSettings().Validate(); err != nil {
 			d.Report("", "%v", err)
 		}
 	}
@@ -69,14 +69,14 @@
 		d.Report("rules.drain_grace", "%v is under four times iax.accept_delay (%v): set-ups that arrived could not be told "+
 			"from lost ones before it ends", r.DrainGrace, s.IAX.AcceptDelay)
 	}
-	if r.ColdFrom <= 0 || r.ColdFrom > 1 {
-		d.Report("rules.cold_from", "%v is not a share above 0, up to 1", r.ColdFrom)
+	if r.ColdCapacity <= 0 || r.ColdCapacity > 1 {
+		d.Report("rules.cold_from", "%v is not a share above 0, up to 1", r.ColdCapacity)
 	}
-	if r.ColdFor < 0 {
-		d.Report("rules.cold_for", "%v is negative", r.ColdFor)
+	if r.ColdDuration < 0 {
+		d.Report("rules.cold_for", "%v is negative", r.ColdDuration)
 	}
-	if r.FallMultiple < 1 {
-		d.Report("rules.fall_multiple", "%v is under 1", r.FallMultiple)
+	if r.OverloadMultiple < 1 {
+		d.Report("rules.fall_multiple", "%v is under 1", r.OverloadMultiple)
 	}
 	if r.ClockDrift < 0 || r.ClockDrift > 0.1 {
 		d.Report("rules.clock_drift", "%v is not a part from 0 to 0.1", r.ClockDrift)
@@ -133,8 +133,8 @@
 		if c.Width < 1 {
 			d.Report(key+".width", "%d circuits", c.Width)
 		}
-		positive(d, key+".hold", c.Hold)
-		positive(d, key+".aim", c.Aim)
+		positive(d, key+".hold", c.HoldTime)
+		positive(d, key+".aim", c.SetupTarget)
 		positive(d, key+".deadline", c.Deadline)
 		if c.Patience == 0 {
 			c.Patience = c.Deadline
@@ -145,11 +145,11 @@
 			d.Report(key+".patience", "%v leaves no time beside twice the router's answer_margin of %v", c.Patience,
 				s.Router.AnswerMargin)
 		}
-		if c.Worth <= 0 {
-			d.Report(key+".worth", "%v must be above zero", c.Worth)
+		if c.Value <= 0 {
+			d.Report(key+".worth", "%v must be above zero", c.Value)
 		}
-		if c.LateWorth < 0 || c.LateWorth > 1 {
-			d.Report(key+".late_worth", "%v is not a share from 0 to 1", c.LateWorth)
+		if c.LateValue < 0 || c.LateValue > 1 {
+			d.Report(key+".late_worth", "%v is not a share from 0 to 1", c.LateValue)
 		}
 		s.entries(d, key, c.Users, c.Contexts, c.Prefixes, i, s.Plan.AddClass, s.Plan.AddClassPrefix)
 		if c.Name == s.Router.DefaultClass {
@@ -201,10 +201,10 @@
 	for _, x := range s.Exchange {
 		known[x.Number] = true
 	}
-	s.Sizes = map[int]int{}
+	s.GroupSizes = map[int]int{}
 	for i, g := range s.Group {
 		key := fmt.Sprintf("group[%d]", i+1)
-		switch _, twice := s.Sizes[g.To]; {
+		switch _, twice := s.GroupSizes[g.To]; {
 		case g.To == s.Router.Exchange:
 			d.Report(key+".to", "a group to the own exchange")
 		case !known[g.To]:
@@ -218,7 +218,7 @@
 		if g.Peer.IsValid() && !g.Peer.Addr().Is4() {
 			d.Report(key+".peer", "%v is not an IPv4 address", g.Peer)
 		}
-		s.Sizes[g.To] = g.Circuits
+		s.GroupSizes[g.To] = g.Circuits
 	}
 	s.checkISUP(d)
 }
@@ -286,13 +286,13 @@
 		if m.Mode != "override" && m.Mode != "loadshare" {
 			d.Report("m3ua.mode", "%q is none of override, loadshare", m.Mode)
 		}
-		positive(d, "m3ua.ack_wait", m.AckWait)
-		positive(d, "m3ua.beat", m.Beat)
-		if m.Retries < 1 {
-			d.Report("m3ua.retries", "%d repeats", m.Retries)
+		positive(d, "m3ua.ack_wait", m.AckTimeout)
+		positive(d, "m3ua.beat", m.HeartbeatInterval)
+		if m.MaxRetries < 1 {
+			d.Report("m3ua.retries", "%d repeats", m.MaxRetries)
 		}
-		if m.MaxOut < 4096 {
-			d.Report("m3ua.max_out", "%d bytes are under 4096", m.MaxOut)
+		if m.MaxUnsentBytes < 4096 {
+			d.Report("m3ua.max_out", "%d bytes are under 4096", m.MaxUnsentBytes)
 		}
 	}
 	t := &s.ISUP
@@ -308,31 +308,31 @@
 
 func (s *Settings) checkRest(d *tomlbind.Doc) {
 	switch l := &s.List; {
-	case l.File == "" && l.Register == "":
+	case l.File == "" && l.DiscoveryURL == "":
 		d.Report("list", "either file or register is needed")
-	case l.File != "" && l.Register != "":
+	case l.File != "" && l.DiscoveryURL != "":
 		d.Report("list.register", "file and register are both given")
-	case l.Register != "":
-		u, err := url.Parse(l.Register)
+	case l.DiscoveryURL != "":
+		u, err := url.Parse(l.DiscoveryURL)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			d.Report("list.register", "%q is no address such as \"http://127.0.0.1:8500\"", l.Register)
+			d.Report("list.register", "%q is no address such as \"http://127.0.0.1:8500\"", l.DiscoveryURL)
 		}
 		positive(d, "list.wait", l.Wait)
 	}
 	x := &s.IAX
-	positive(d, "iax.retry_first", x.RetryFirst)
+	positive(d, "iax.retry_first", x.RetransmitInterval)
 	positive(d, "iax.linger", x.Linger)
-	if x.RetryMax < x.RetryFirst {
-		d.Report("iax.retry_max", "%v is under retry_first (%v)", x.RetryMax, x.RetryFirst)
+	if x.MaxRetransmitInterval < x.RetransmitInterval {
+		d.Report("iax.retry_max", "%v is under retry_first (%v)", x.MaxRetransmitInterval, x.RetransmitInterval)
 	}
-	if x.Retries < 1 {
-		d.Report("iax.retries", "%d repeats", x.Retries)
+	if x.MaxRetransmits < 1 {
+		d.Report("iax.retries", "%d repeats", x.MaxRetransmits)
 	}
-	if x.AckDelay < 0 || x.AckDelay > x.RetryFirst/2 {
-		d.Report("iax.ack_delay", "%v is not from 0 to half of retry_first (%v)", x.AckDelay, x.RetryFirst)
+	if x.AckDelay < 0 || x.AckDelay > x.RetransmitInterval/2 {
+		d.Report("iax.ack_delay", "%v is not from 0 to half of retry_first (%v)", x.AckDelay, x.RetransmitInterval)
 	}
-	if x.AcceptDelay < 0 || x.AcceptDelay > x.RetryFirst/2 {
-		d.Report("iax.accept_delay", "%v is not from 0 to half of retry_first (%v)", x.AcceptDelay, x.RetryFirst)
+	if x.AcceptDelay < 0 || x.AcceptDelay > x.RetransmitInterval/2 {
+		d.Report("iax.accept_delay", "%v is not from 0 to half of retry_first (%v)", x.AcceptDelay, x.RetransmitInterval)
 	}
 	if x.MaxDialogs < 1 || x.MaxDialogs > 32766 {
 		d.Report("iax.max_dialogs", "%d is not from 1 to 32766", x.MaxDialogs)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,22 +20,22 @@
 
 // File is a router's settings as they are written.
 type File struct {
-	Router    Router     `toml:"router"`
-	Rules     Rules      `toml:"rules"`
-	Class     []Class    `toml:"class"`
-	Tenant    []Tenant   `toml:"tenant"`
-	Exchange  []Exchange `toml:"exchange"`
-	Group     []Group    `toml:"group"`
-	List      List       `toml:"list"`
-	IAX       IAX        `toml:"iax"`
-	User      []User     `toml:"user"`
-	Switch    Switch     `toml:"switch"`
-	M3UA      M3UA       `toml:"m3ua"`
-	ISUP      ISUP       `toml:"isup"`
-	Records   Records    `toml:"records"`
-	HTTP      HTTP       `toml:"http"`
-	Log       Log        `toml:"log"`
-	OverShare float64    `toml:"over_share_worth"`
+	Router         Router     `toml:"router"`
+	Rules          Rules      `toml:"rules"`
+	Class          []Class    `toml:"class"`
+	Tenant         []Tenant   `toml:"tenant"`
+	Exchange       []Exchange `toml:"exchange"`
+	Group          []Group    `toml:"group"`
+	List           List       `toml:"list"`
+	IAX            IAX        `toml:"iax"`
+	User           []User     `toml:"user"`
+	Switch         Switch     `toml:"switch"`
+	M3UA           M3UA       `toml:"m3ua"`
+	ISUP           ISUP       `toml:"isup"`
+	Records        Records    `toml:"records"`
+	HTTP           HTTP       `toml:"http"`
+	Log            Log        `toml:"log"`
+	OverShareValue float64    `toml:"over_share_worth"`
 }
 
 // Router is the [router] table.
@@ -53,29 +53,29 @@
 
 // Rules are the figures of the five rules.
 type Rules struct {
-	ReleaseWait  time.Duration `toml:"release_wait"`
-	DrainGrace   time.Duration `toml:"drain_grace"`
-	ColdFrom     float64       `toml:"cold_from"`
-	ColdFor      time.Duration `toml:"cold_for"`
-	FallMultiple float64       `toml:"fall_multiple"`
-	MaxAttempts  int           `toml:"max_attempts"`
-	MaxStayAway  time.Duration `toml:"max_stay_away"`
-	ClockDrift   float64       `toml:"clock_drift"`
+	ReleaseWait      time.Duration `toml:"release_wait"`
+	DrainGrace       time.Duration `toml:"drain_grace"`
+	ColdCapacity     float64       `toml:"cold_from"`
+	ColdDuration     time.Duration `toml:"cold_for"`
+	OverloadMultiple float64       `toml:"fall_multiple"`
+	MaxAttempts      int           `toml:"max_attempts"`
+	MaxRetryAfter    time.Duration `toml:"max_stay_away"`
+	ClockDrift       float64       `toml:"clock_drift"`
 }
 
 // Class is one class of call.
 type Class struct {
-	Name      string        `toml:"name"`
-	Hold      time.Duration `toml:"hold"`
-	Width     int           `toml:"width"`
-	Aim       time.Duration `toml:"aim"`
-	Deadline  time.Duration `toml:"deadline"`
-	Patience  time.Duration `toml:"patience"`
-	Worth     float64       `toml:"worth"`
-	LateWorth float64       `toml:"late_worth"`
-	Users     []string      `toml:"users"`
-	Contexts  []string      `toml:"contexts"`
-	Prefixes  []string      `toml:"prefixes"`
+	Name        string        `toml:"name"`
+	HoldTime    time.Duration `toml:"hold"`
+	Width       int           `toml:"width"`
+	SetupTarget time.Duration `toml:"aim"`
+	Deadline    time.Duration `toml:"deadline"`
+	Patience    time.Duration `toml:"patience"`
+	Value       float64       `toml:"worth"`
+	LateValue   float64       `toml:"late_worth"`
+	Users       []string      `toml:"users"`
+	Contexts    []string      `toml:"contexts"`
+	Prefixes    []string      `toml:"prefixes"`
 }
 
 // Tenant is one owner of traffic.
@@ -125,37 +125,37 @@
 
 // List tells where the exchange list comes from.
 type List struct {
-	File     string        `toml:"file"`
-	Register string        `toml:"register"`
-	Service  string        `toml:"service"`
-	Wait     time.Duration `toml:"wait"`
+	File         string        `toml:"file"`
+	DiscoveryURL string        `toml:"register"`
+	Service      string        `toml:"service"`
+	Wait         time.Duration `toml:"wait"`
 }
 
 // IAX sets the IAX2 front.
 type IAX struct {
-	RetryFirst  time.Duration `toml:"retry_first"`
-	RetryMax    time.Duration `toml:"retry_max"`
-	Retries     int           `toml:"retries"`
-	AckDelay    time.Duration `toml:"ack_delay"`
-	AcceptDelay time.Duration `toml:"accept_delay"`
-	Linger      time.Duration `toml:"linger"`
-	PingEvery   time.Duration `toml:"ping_every"`
-	Refresh     time.Duration `toml:"refresh"`
-	MaxDialogs  int           `toml:"max_dialogs"`
-	MaxPerHost  int           `toml:"max_per_host"`
-	CallTokens  bool          `toml:"call_tokens"`
-	Challenge   bool          `toml:"challenge"`
+	RetransmitInterval    time.Duration `toml:"retry_first"`
+	MaxRetransmitInterval time.Duration `toml:"retry_max"`
+	MaxRetransmits        int           `toml:"retries"`
+	AckDelay              time.Duration `toml:"ack_delay"`
+	AcceptDelay           time.Duration `toml:"accept_delay"`
+	Linger                time.Duration `toml:"linger"`
+	PingInterval          time.Duration `toml:"ping_every"`
+	MaxRefresh            time.Duration `toml:"refresh"`
+	MaxDialogs            int           `toml:"max_dialogs"`
+	MaxPerHost            int           `toml:"max_per_host"`
+	CallTokens            bool          `toml:"call_tokens"`
+	Challenge             bool          `toml:"challenge"`
 }
 
 // M3UA sets the associations of groups with front = "isup", over TCP.
 type M3UA struct {
-	Listen  netip.AddrPort `toml:"listen"`
-	Mode    string         `toml:"mode"`
-	Context uint32         `toml:"routing_context"`
-	AckWait time.Duration  `toml:"ack_wait"`
-	Retries int            `toml:"retries"`
-	Beat    time.Duration  `toml:"beat"`
-	MaxOut  int            `toml:"max_out"`
+	Listen            netip.AddrPort `toml:"listen"`
+	Mode              string         `toml:"mode"`
+	RoutingContext    uint32         `toml:"routing_context"`
+	AckTimeout        time.Duration  `toml:"ack_wait"`
+	MaxRetries        int            `toml:"retries"`
+	HeartbeatInterval time.Duration  `toml:"beat"`
+	MaxUnsentBytes    int            `toml:"max_out"`
 }
 
 // ISUP sets the circuits' timers (Q.764, annex A).
@@ -191,13 +191,13 @@
 func Defaults() File {
 	return File{
 		Router: Router{AnswerMargin: 60 * time.Millisecond, DrainLimit: 30 * time.Second, MaxCalls: 20000},
-		Rules: Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, ColdFrom: 0.3,
-			ColdFor: 15 * time.Second, FallMultiple: 3, MaxAttempts: 5, MaxStayAway: 2 * time.Second, ClockDrift: 0.01},
+		Rules: Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, ColdCapacity: 0.3,
+			ColdDuration: 15 * time.Second, OverloadMultiple: 3, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, ClockDrift: 0.01},
 		List: List{Service: "exchange", Wait: 30 * time.Second},
-		IAX: IAX{RetryFirst: 500 * time.Millisecond, RetryMax: 4 * time.Second, Retries: 4,
+		IAX: IAX{RetransmitInterval: 500 * time.Millisecond, MaxRetransmitInterval: 4 * time.Second, MaxRetransmits: 4,
 			AckDelay: 20 * time.Millisecond, AcceptDelay: 150 * time.Millisecond, Linger: 3 * time.Second,
-			PingEvery: 20 * time.Second, Refresh: time.Minute, MaxDialogs: 32000, MaxPerHost: 2000, CallTokens: true},
-		M3UA: M3UA{Mode: "override", AckWait: 2 * time.Second, Retries: 4, Beat: 5 * time.Second, MaxOut: 256 << 10},
+			PingInterval: 20 * time.Second, MaxRefresh: time.Minute, MaxDialogs: 32000, MaxPerHost: 2000, CallTokens: true},
+		M3UA: M3UA{Mode: "override", AckTimeout: 2 * time.Second, MaxRetries: 4, HeartbeatInterval: 5 * time.Second, MaxUnsentBytes: 256 << 10},
 		ISUP: ISUP{T1: 15 * time.Second, T5: 5 * time.Minute, T7: 20 * time.Second, T9: 90 * time.Second,
 			T12: 15 * time.Second, T13: 5 * time.Minute, T16: 15 * time.Second, T17: 5 * time.Minute},
 		Records: DefaultRecords(),
@@ -208,11 +208,11 @@
 // Settings are a router's checked settings.
 type Settings struct {
 	File
-	Path    string
-	Tariffs *cdr.Tariffs // nil: records are kept unrated
-	Plan    *call.Plan
-	Sizes   map[int]int // circuits by exchange number
-	Zones   []string
+	Path       string
+	Tariffs    *cdr.Tariffs // nil: records are kept unrated
+	Plan       *call.Plan
+	GroupSizes map[int]int // circuits by exchange number
+	Zones      []string
 }
 
 // Load reads and checks a file.
@@ -235,15 +235,15 @@
 	return s, nil
 }
 
-// Decide puts the settings in the module's terms.
-func (s *Settings) Decide() decide.Settings {
-	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers, OverShareValue: s.OverShare,
-		MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.Rules.MaxStayAway,
-		ReleaseGuard: s.atLeast(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetryFirst, ColdCapacity: s.Rules.ColdFrom,
-		ColdDuration: s.Rules.ColdFor, OverloadMultiple: s.Rules.FallMultiple}
+// DecideSettings puts the settings in the module's terms.
+func (s *Settings) DecideSettings() decide.Settings {
+	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers, OverShareValue: s.OverShareValue,
+		MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.Rules.MaxRetryAfter,
+		ReleaseGuard: s.atLeast(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity,
+		ColdDuration: s.Rules.ColdDuration, OverloadMultiple: s.Rules.OverloadMultiple}
 	for _, c := range s.Class {
-		d.Classes = append(d.Classes, decide.Class{HoldTime: c.Hold, Width: c.Width, SetupTarget: c.Aim, Deadline: c.Deadline,
-			Value: c.Worth, LateValue: c.LateWorth})
+		d.Classes = append(d.Classes, decide.Class{HoldTime: c.HoldTime, Width: c.Width, SetupTarget: c.SetupTarget, Deadline: c.Deadline,
+			Value: c.Value, LateValue: c.LateValue})
 	}
 	for _, t := range s.Tenant {
 		d.Tenants = append(d.Tenants, decide.Tenant{Quota: t.Quota})
@@ -258,18 +258,18 @@
 		return s.Switch.Circuits
 	}
 	n := 0
-	for _, size := range s.Sizes {
+	for _, size := range s.GroupSizes {
 		n += size
 	}
 	return n
 }
 
-// Core puts them in the call core's terms; seed replaces a seed of 0.
-func (s *Settings) Core(seed uint64) call.Settings {
+// CallSettings puts them in the call core's terms; seed replaces a seed of 0.
+func (s *Settings) CallSettings(seed uint64) call.Settings {
 	if s.Router.Seed != 0 {
 		seed = s.Router.Seed
 	}
-	c := call.Settings{Decide: s.Decide(), Seed: seed, Groups: s.Sizes, OwnCircuits: s.OwnCircuits(), Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin,
+	c := call.Settings{Decide: s.DecideSettings(), Seed: seed, Groups: s.GroupSizes, OwnCircuits: s.OwnCircuits(), Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin,
 		DrainGrace: s.atMost(s.Rules.DrainGrace), MaxCalls: s.Router.MaxCalls}
 	if s.Records.Dir != "" && s.Records.Answer == AnswerDurable {
 		c.DurableTimeout = s.Records.AnswerWait
@@ -297,15 +297,15 @@
 		FirstCIC: w.FirstCIC, Connect: w.Connect})
 }
 
-// Front puts the groups with front = "isup" in their front's terms.
-func (s *Settings) Front() isupfront.Config {
+// ISUPConfig puts the groups with front = "isup" in their front's terms.
+func (s *Settings) ISUPConfig() isupfront.Config {
 	t := isup.Timers(s.ISUP)
 	c := isupfront.Config{Mode: m3ua.TrafficOverride, Own: s.Router.Exchange}
 	if s.M3UA.Mode == "loadshare" {
 		c.Mode = m3ua.TrafficShare
 	}
-	c.Link = m3ua.Config{Context: s.M3UA.Context, Mode: c.Mode, AckWait: s.M3UA.AckWait, Retries: s.M3UA.Retries,
-		BeatEvery: s.M3UA.Beat, MaxOut: s.M3UA.MaxOut}
+	c.Link = m3ua.Config{Context: s.M3UA.RoutingContext, Mode: c.Mode, AckWait: s.M3UA.AckTimeout, Retries: s.M3UA.MaxRetries,
+		BeatEvery: s.M3UA.HeartbeatInterval, MaxOut: s.M3UA.MaxUnsentBytes}
 	for _, g := range s.ISUPGroups() {
 		if g.Front == FrontISUP {
 			c.Groups = append(c.Groups, isupfront.GroupConfig{Exchange: g.To, Circuits: isup.Config{First: isup.CIC(g.FirstCIC),
@@ -325,8 +325,8 @@
 	return "", false
 }
 
-// SameKind reports what of next cannot be taken over while the router runs.
-func (s *Settings) SameKind(next *Settings) error {
+// CheckReload reports what of next cannot be taken over while the router runs.
+func (s *Settings) CheckReload(next *Settings) error {
 	if !s.Records.same(&next.Records) {
 		return fmt.Errorf("%s: [records] changes only with a restart", next.Path)
 	}
@@ -334,7 +334,7 @@
 	if s.Router.Exchange != next.Router.Exchange || moved {
 		return fmt.Errorf("%s: exchange and listen change only with a restart", next.Path)
 	}
-	if !slices.EqualFunc(s.Front().Groups, next.Front().Groups, func(a, b isupfront.GroupConfig) bool { return a == b }) {
+	if !slices.EqualFunc(s.ISUPConfig().Groups, next.ISUPConfig().Groups, func(a, b isupfront.GroupConfig) bool { return a == b }) {
 		return fmt.Errorf("%s: groups with front = \"isup\" change only with a restart", next.Path)
 	}
 	if len(s.Class) != len(next.Class) || len(s.Tenant) != len(next.Tenant) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,7 +20,7 @@
 	if class != 1 || tenant != 0 || dest != 2 || !ok {
 		t.Errorf("an alarm to 6295: class %d, tenant %d, exchange %d, %v", class, tenant, dest, ok)
 	}
-	if s.Sizes[1] != 60 || s.Class[1].Width != 1 || s.Rules.DrainGrace != time.Second || len(s.Zones) != 3 {
+	if s.GroupSizes[1] != 60 || s.Class[1].Width != 1 || s.Rules.DrainGrace != time.Second || len(s.Zones) != 3 {
 		t.Errorf("got %+v", s)
 	}
 	if secret, ok := s.Secret("handheld"); !ok || secret != "change me" {
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatalf("%q: %v", to, err)
 		}
-		if err := s.SameKind(next); (err == nil) != ok {
+		if err := s.CheckReload(next); (err == nil) != ok {
 			t.Errorf("%q: %v", to, err)
 		}
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -10,17 +10,17 @@
 	"pipitring/internal/node"
 )
 
-// Node puts the settings in a router's terms. seed replaces a seed of 0, random is where call numbers and challenges
+// NodeSettings puts the settings in a router's terms. seed replaces a seed of 0, random is where call numbers and challenges
 // come from, serves tells whether a called number is known.
-func (s *Settings) Node(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
+func (s *Settings) NodeSettings(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
 	x := &s.IAX
-	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetryFirst: x.RetryFirst,
-		RetryMax: x.RetryMax, Retries: x.Retries, AckDelay: x.AckDelay, AcceptDelay: x.AcceptDelay, Linger: x.Linger,
-		PingEvery: x.PingEvery, Refresh: x.Refresh, Tokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
+	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetryFirst: x.RetransmitInterval,
+		RetryMax: x.MaxRetransmitInterval, Retries: x.MaxRetransmits, AckDelay: x.AckDelay, AcceptDelay: x.AcceptDelay, Linger: x.Linger,
+		PingEvery: x.PingInterval, Refresh: x.MaxRefresh, Tokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
-	n := node.Settings{Core: s.Core(seed), IAX: iax, Zones: s.Zones, Peers: map[iax2.Addr]int{}, ISUP: s.Front()}
+	n := node.Settings{Core: s.CallSettings(seed), IAX: iax, Zones: s.Zones, Peers: map[iax2.Addr]int{}, ISUP: s.ISUPConfig()}
 	for _, g := range s.Group {
 		if a, ok := iax2.AddrFrom(g.Peer); ok {
 			n.Peers[a] = g.To
@@ -44,8 +44,8 @@
 		call.EndedByTimer: cdr.EndedByTimer}
 )
 
-// Record puts a core's record in the form that is kept; clock tells what its moments were on the wall.
-func (s *Settings) Record(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
+// CallRecord puts a core's record in the form that is kept; clock tells what its moments were on the wall.
+func (s *Settings) CallRecord(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
 	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), EndSource: knowns[r.EndSource], Class: s.Class[r.Class].Name,
 		Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context, Front: r.Bearer.Front, Circuit: r.Bearer.Circuit,
 		Origin: r.Origin, Dest: r.Dest, Transit: r.Transit, Width: r.Width, Offered: clock.At(r.Offered)}
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -17,34 +17,34 @@
 
 // Records is the [records] table: call detail records. Without a dir none are kept.
 type Records struct {
-	Dir        string        `toml:"dir"`
-	Answer     string        `toml:"answer"`
-	AnswerWait time.Duration `toml:"answer_wait"`
-	OnSlow     string        `toml:"on_slow"`
-	OnFull     string        `toml:"on_full"`
-	OnFailed   string        `toml:"on_failed"`
-	SlowAfter  time.Duration `toml:"slow_after"`
-	Queue      int           `toml:"queue"`
-	Batch      int           `toml:"batch"`
-	Gather     time.Duration `toml:"gather"`
-	Alive      time.Duration `toml:"alive"`
-	Keep       time.Duration `toml:"keep"`
-	DiskLimit  int           `toml:"disk_limit"`
-	Tariffs    string        `toml:"tariffs"`
-	Export     []Export      `toml:"export"`
+	Dir               string        `toml:"dir"`
+	Answer            string        `toml:"answer"`
+	AnswerWait        time.Duration `toml:"answer_wait"`
+	OnSlow            string        `toml:"on_slow"`
+	OnFull            string        `toml:"on_full"`
+	OnFailed          string        `toml:"on_failed"`
+	SlowAfter         time.Duration `toml:"slow_after"`
+	Queue             int           `toml:"queue"`
+	Batch             int           `toml:"batch"`
+	BatchDelay        time.Duration `toml:"gather"`
+	HeartbeatInterval time.Duration `toml:"alive"`
+	Retention         time.Duration `toml:"keep"`
+	DiskLimit         int           `toml:"disk_limit"`
+	Tariffs           string        `toml:"tariffs"`
+	Export            []Export      `toml:"export"`
 }
 
 // Export is one [[records.export]].
 type Export struct {
-	Name    string        `toml:"name"`
-	To      string        `toml:"to"`
-	Format  string        `toml:"format"`
-	Most    int           `toml:"most"`
-	Least   int           `toml:"least"`
-	Wait    time.Duration `toml:"wait"`
-	Token   string        `toml:"token_file"`
-	Part    int           `toml:"part"`
-	Timeout time.Duration `toml:"timeout"`
+	Name       string        `toml:"name"`
+	To         string        `toml:"to"`
+	Format     string        `toml:"format"`
+	MaxRecords int           `toml:"most"`
+	MinRecords int           `toml:"least"`
+	MaxWait    time.Duration `toml:"wait"`
+	TokenFile  string        `toml:"token_file"`
+	ChunkSize  int           `toml:"part"`
+	Timeout    time.Duration `toml:"timeout"`
 }
 
 // Values of records.answer.
@@ -56,15 +56,15 @@
 // DefaultRecords are the records' settings where a file says nothing.
 func DefaultRecords() Records {
 	return Records{Answer: AnswerDurable, AnswerWait: 25 * time.Millisecond, OnSlow: "go_on", OnFull: "refuse", OnFailed: "refuse",
-		SlowAfter: 2 * time.Second, Queue: 65536, Batch: 4096, Alive: time.Second, Keep: 30 * 24 * time.Hour}
+		SlowAfter: 2 * time.Second, Queue: 65536, Batch: 4096, HeartbeatInterval: time.Second, Retention: 30 * 24 * time.Hour}
 }
 
 func (r *Records) same(o *Records) bool { return reflect.DeepEqual(r, o) }
 
-var answers = map[string]store.Answer{"go_on": store.GoOn, "refuse": store.Refuse}
+var answers = map[string]store.Policy{"go_on": store.AcceptCalls, "refuse": store.RejectCalls}
 
-// Gate puts the answers to a disk in trouble in the store's terms.
-func (r *Records) Gate() store.GateSettings {
+// GateSettings puts the answers to a disk in trouble in the store's terms.
+func (r *Records) GateSettings() store.GateSettings {
 	return store.GateSettings{OnSlow: answers[r.OnSlow], OnFull: answers[r.OnFull], OnFailed: answers[r.OnFailed],
 		SlowAfter: r.SlowAfter, MaxQueue: r.Queue}
 }
@@ -89,18 +89,18 @@
 		}
 	}
 	positive(d, "records.slow_after", r.SlowAfter)
-	positive(d, "records.alive", r.Alive)
+	positive(d, "records.alive", r.HeartbeatInterval)
 	if r.Queue < 16 {
 		d.Report("records.queue", "%d records are under 16", r.Queue)
 	}
 	if r.Batch < 1 {
 		d.Report("records.batch", "%d records", r.Batch)
 	}
-	if r.Gather < 0 || r.Gather > r.AnswerWait {
-		d.Report("records.gather", "%v is not from 0 to answer_wait (%v)", r.Gather, r.AnswerWait)
+	if r.BatchDelay < 0 || r.BatchDelay > r.AnswerWait {
+		d.Report("records.gather", "%v is not from 0 to answer_wait (%v)", r.BatchDelay, r.AnswerWait)
 	}
-	if r.Keep < 0 {
-		d.Report("records.keep", "%v is negative", r.Keep)
+	if r.Retention < 0 {
+		d.Report("records.keep", "%v is negative", r.Retention)
 	}
 	if r.DiskLimit < 0 {
 		d.Report("records.disk_limit", "%d bytes", r.DiskLimit)
@@ -139,12 +139,12 @@
 		if _, err := cdr.ParseFormat(e.Format); err != nil {
 			d.Report(key+".format", "%v", err)
 		}
-		if e.Address() {
+		if e.IsURL() {
 			if u, err := url.Parse(e.To); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
 				d.Report(key+".to", "%q is no address such as \"http://127.0.0.1:8080/files\"", e.To)
 			}
 		}
-		for key, v := range map[string]*int{key + ".most": &e.Most, key + ".least": &e.Least, key + ".part": &e.Part} {
+		for key, v := range map[string]*int{key + ".most": &e.MaxRecords, key + ".least": &e.MinRecords, key + ".part": &e.ChunkSize} {
 			if *v < 0 {
 				d.Report(key, "%d is negative", *v)
 			}
@@ -154,31 +154,31 @@
 				*v = otherwise
 			}
 		}
-		def(&e.Most, 10000)
-		def(&e.Least, 1000)
-		if e.Wait == 0 {
-			e.Wait = time.Minute
+		def(&e.MaxRecords, 10000)
+		def(&e.MinRecords, 1000)
+		if e.MaxWait == 0 {
+			e.MaxWait = time.Minute
 		}
 		if e.Timeout == 0 {
 			e.Timeout = 30 * time.Second
 		}
-		positive(d, key+".wait", e.Wait)
+		positive(d, key+".wait", e.MaxWait)
 		positive(d, key+".timeout", e.Timeout)
-		if e.Least > e.Most {
-			d.Report(key+".least", "%d are more than the most of a batch (%d)", e.Least, e.Most)
+		if e.MinRecords > e.MaxRecords {
+			d.Report(key+".least", "%d are more than the most of a batch (%d)", e.MinRecords, e.MaxRecords)
 		}
 	}
 }
 
-// Address tells whether an export goes to a receiver's address; else it goes to a directory.
-func (e *Export) Address() bool { return strings.Contains(e.To, "://") }
+// IsURL tells whether an export goes to a receiver's address; else it goes to a directory.
+func (e *Export) IsURL() bool { return strings.Contains(e.To, "://") }
 
-// Bearer reads an export's token; "" where it needs none.
-func (e *Export) Bearer() (string, error) {
-	if e.Token == "" {
+// ReadToken reads an export's token; "" where it needs none.
+func (e *Export) ReadToken() (string, error) {
+	if e.TokenFile == "" {
 		return "", nil
 	}
-	b, err := os.ReadFile(e.Token)
+	b, err := os.ReadFile(e.TokenFile)
 	return strings.TrimSpace(string(b)), err
 }
 
--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -32,8 +32,8 @@
 
 func over(mem *vfs.MemFS) *FS { return &FS{FS: mem, mem: mem} }
 
-// Hook sets what is called at each point, on the goroutine that makes the change; nil is nothing.
-func (f *FS) Hook(h func(Point) error) {
+// SetHook sets what is called at each point, on the goroutine that makes the change; nil is nothing.
+func (f *FS) SetHook(h func(Point) error) {
 	f.mu.Lock()
 	f.hook = h
 	f.mu.Unlock()
@@ -48,8 +48,8 @@
 	return over(f.mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rand.New(rand.NewPCG(seed, 5))}))
 }
 
-// Flip changes one bit of a file.
-func (f *FS) Flip(name string, bit int64) error {
+// FlipBit changes one bit of a file.
+func (f *FS) FlipBit(name string, bit int64) error {
 	b, err := f.mem.UnsafeGetFileDataBuffer(name)
 	if err != nil {
 		return err
--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -42,7 +42,7 @@
 
 // OpenDirectory takes a directory, which is made if need be, for one exporter; of two the second gets ErrTaken.
 func OpenDirectory(fs vfs.FS, dir string) (*Directory, error) {
-	if err := store.MakeDir(fs, dir, 0o750); err != nil {
+	if err := store.MkdirAllSync(fs, dir, 0o750); err != nil {
 		return nil, err
 	}
 	lock, err := fs.Lock(fs.PathJoin(dir, lockName))
@@ -62,10 +62,10 @@
 
 // Send writes the file and its manifest.
 func (d *Directory) Send(_ context.Context, s *cdr.Delivery, content []byte) error {
-	if err := store.WriteWhole(d.fs, d.fs.PathJoin(d.dir, s.File), content); err != nil {
+	if err := store.WriteFileAtomic(d.fs, d.fs.PathJoin(d.dir, s.File), content); err != nil {
 		return err
 	}
-	return store.WriteWhole(d.fs, d.fs.PathJoin(d.dir, cdr.ManifestName(s.Router, s.Batch)), s.Manifest.Encode())
+	return store.WriteFileAtomic(d.fs, d.fs.PathJoin(d.dir, cdr.ManifestName(s.Router, s.Batch)), s.Manifest.Encode())
 }
 
 // Files reads a directory's files.
--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -317,7 +317,7 @@
 	}
 	caller, far, here := iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 1}, iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 2},
 		iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 3}
-	n := node.New(node.Settings{Core: set.Core(1)})
+	n := node.New(node.Settings{Core: set.CallSettings(1)})
 	n.SetList(0, time.Unix(0, 0), callsList(far.AddrPort()))
 	before := heapInUse()
 	ends := map[iax2.Addr]*iax2.Endpoint{caller: iax2.NewEndpoint(iax2.Config{}), far: iax2.NewEndpoint(iax2.Config{})}
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -88,7 +88,7 @@
 	var wall time.Duration
 	var mu sync.Mutex
 	return records.Options{Dir: crashDir, FS: fs, Router: 7, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20},
-		MaxBatch: 16, Alive: time.Hour, Memory: 64 << 10, Rater: crashTariffs(),
+		MaxBatch: 16, HeartbeatInterval: time.Hour, MemTableSize: 64 << 10, Rater: crashTariffs(),
 		Wall: func() time.Time {
 			mu.Lock()
 			defer mu.Unlock()
@@ -136,7 +136,7 @@
 			}
 		})
 	}
-	run.fs.Hook(func(p crashfs.Point) error {
+	run.fs.SetHook(func(p crashfs.Point) error {
 		// First what has been told, then the disk: what was told before is on it. What was taken, after.
 		run.mu.Lock()
 		told := make(map[uint64]bool, len(run.told))
@@ -152,7 +152,7 @@
 		return nil
 	})
 	err := run.play(ctx, o.Calls)
-	run.fs.Hook(nil)
+	run.fs.SetHook(nil)
 	close(disks)
 	judges.Wait()
 	if err != nil {
@@ -187,7 +187,7 @@
 // only once their record is durable, as the router has it.
 func (c *crashRun) play(ctx context.Context, calls int) error {
 	opt := crashOptions(c.fs)
-	opt.Done = c.done
+	opt.OnDurable = c.done
 	opt.Exports = []records.ExportOptions{crashExport()}
 	var err error
 	if c.rec, err = records.Open(opt); err != nil {
@@ -303,12 +303,12 @@
 	res := &CrashResult{PointsTried: 1, PointsByOp: map[string]int{d.point.Op: 1}}
 	var inner []*crashfs.FS
 	if nested > 0 && d.point.N%uint64(nested) == 0 {
-		d.fs.Hook(func(p crashfs.Point) error {
+		d.fs.SetHook(func(p crashfs.Point) error {
 			inner = append(inner, d.fs.Crash(int(p.N%3)*50, d.seed+p.N))
 			return nil
 		})
 	}
-	d.audit(res, d.fs, func() { d.fs.Hook(nil) })
+	d.audit(res, d.fs, func() { d.fs.SetHook(nil) })
 	for _, fs := range inner {
 		res.PointsTried++
 		res.PointsNested++
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -79,7 +79,7 @@
 
 // audit opens the records once more, which closes what the last kill left open, and looks for every call.
 func (r *KillResult) audit(dir string, rep *rules.Report) error {
-	rec, err := records.Open(records.Options{Dir: dir, Router: 0, MaxBatch: 1, Alive: time.Second})
+	rec, err := records.Open(records.Options{Dir: dir, Router: 0, MaxBatch: 1, HeartbeatInterval: time.Second})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -93,7 +93,7 @@
 }
 
 func costOptions(dir string, done func(uint64)) records.Options {
-	return records.Options{Dir: dir, Router: 1, Rater: crashTariffs(), MaxBatch: 4096, Alive: time.Second, Done: done,
+	return records.Options{Dir: dir, Router: 1, Rater: crashTariffs(), MaxBatch: 4096, HeartbeatInterval: time.Second, OnDurable: done,
 		Gate: store.GateSettings{SlowAfter: time.Minute, MaxQueue: 1 << 16}}
 }
 
@@ -195,14 +195,14 @@
 		}
 	}
 	<-done
-	rec.Abandon()
+	rec.Abort()
 	if rec, err = records.Open(costOptions(dir, nil)); err != nil {
 		return err
 	}
 	st := rec.Status()
-	if st.Closed != open {
-		err = fmt.Errorf("%d of %d calls closed by recovery", st.Closed, open)
+	if st.RecoveredCalls != open {
+		err = fmt.Errorf("%d of %d calls closed by recovery", st.RecoveredCalls, open)
 	}
-	r.RecoveryMS[fmt.Sprint(open)] = float64(st.Recovery.Microseconds()) / 1000
+	r.RecoveryMS[fmt.Sprint(open)] = float64(st.RecoveryTime.Microseconds()) / 1000
 	return errors.Join(err, rec.Close())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 	isup  *isupfront.Front
 	set   Settings
 	list  registry.List
-	start registry.Starts
+	start registry.StartTimes
 	known bool              // a list has come
 	peers map[int]iax2.Addr // where each exchange's router was last known to be
 }
@@ -59,7 +59,7 @@
 func (n *Node) Dialogs() int { return n.front.Dialogs() }
 
 // DistrustedStarts counts starts on the list that no clock could have stamped rightly.
-func (n *Node) DistrustedStarts() uint64 { return n.start.Mistrusted }
+func (n *Node) DistrustedStarts() uint64 { return n.start.Distrusted }
 
 // List is the exchange list as this router last learnt it.
 func (n *Node) List() registry.List { return n.list }
@@ -108,7 +108,7 @@
 		news, kind = n.list.Changes(&l), decide.ListChanges
 	}
 	n.list, n.known = l, true
-	n.start.Learn(now, wall, n.set.Core.Decide.ColdDuration, &l)
+	n.start.Update(now, wall, n.set.Core.Decide.ColdDuration, &l)
 	n.learnPeers()
 	event := decide.ListUpdate{Kind: kind}
 	for _, e := range news {
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -22,8 +22,8 @@
 var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{213, 94, 0, 255}}
 
-// Known tells whether a file's ending is one that can be written.
-func Known(file string) error {
+// CheckFormat tells whether a file's ending is one that can be written.
+func CheckFormat(file string) error {
 	switch strings.ToLower(filepath.Ext(file)) {
 	case ".svg", ".png":
 		return nil
@@ -32,7 +32,7 @@
 }
 
 func save(p *plot.Plot, file string) error {
-	if err := Known(file); err != nil {
+	if err := CheckFormat(file); err != nil {
 		return err
 	}
 	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -23,39 +23,39 @@
 // Schema is the form of the store.
 func Schema() store.Schema { return store.Schema{Version: Version} }
 
-// Owner names a router in its store.
-func Owner(router uint32) string { return fmt.Sprintf("pipitring router %d", router) }
+// OwnerName names a router in its store.
+func OwnerName(router uint32) string { return fmt.Sprintf("pipitring router %d", router) }
 
 // ExportOptions set one export.
 type ExportOptions struct {
 	cdr.ExportSettings
-	Dir     string // a directory, or:
-	URL     string // a receiver that speaks tus 1.0
-	Token   string
-	Part    int           // bytes of one request
-	Timeout time.Duration // of one request
+	Dir       string // a directory, or:
+	URL       string // a receiver that speaks tus 1.0
+	Token     string
+	ChunkSize int           // bytes of one request
+	Timeout   time.Duration // of one request
 }
 
 // Options set a Recorder.
 type Options struct {
-	Dir       string
-	FS        vfs.FS // nil is the disk
-	Router    uint32
-	Rater     cdr.Rater
-	Gate      store.GateSettings
-	MaxBatch  int
-	Gather    time.Duration
-	Alive     time.Duration // between marks that this life runs
-	FullWait  time.Duration // between tries while the disk is full
-	Memory    uint64        // see store.Options
-	Exports   []ExportOptions
-	Keep      time.Duration // records that every export has confirmed are kept for so long
-	DiskLimit uint64        // over this the oldest confirmed go before; 0 is none
-	TrimEvery time.Duration
-	Done      func(ticket uint64) // told when what was submitted up to a ticket is durable; on the writer's goroutine
-	Log       func(level Level, text string, err error)
-	Now       func() time.Duration // monotonic; nil is since Open
-	Wall      func() time.Time
+	Dir               string
+	FS                vfs.FS // nil is the disk
+	Router            uint32
+	Rater             cdr.Rater
+	Gate              store.GateSettings
+	MaxBatch          int
+	BatchDelay        time.Duration
+	HeartbeatInterval time.Duration // between marks that this life runs
+	FullRetryInterval time.Duration // between tries while the disk is full
+	MemTableSize      uint64        // see store.Options
+	Exports           []ExportOptions
+	Retention         time.Duration // records that every export has confirmed are kept for so long
+	DiskLimit         uint64        // over this the oldest confirmed go before; 0 is none
+	TrimInterval      time.Duration
+	OnDurable         func(ticket uint64) // told when what was submitted up to a ticket is durable; on the writer's goroutine
+	Log               func(level Level, text string, err error)
+	Now               func() time.Duration // monotonic; nil is since Open
+	Wall              func() time.Time
 }
 
 // Level is how bad what is logged is.
@@ -90,11 +90,11 @@
 
 // ExportStatus is how one export does.
 type ExportStatus struct {
-	Target  string
-	Done    uint64 // the last number that it has confirmed
-	Batches uint64
-	Fails   uint64
-	Err     string // of the last try, if it failed
+	Target        string
+	LastConfirmed uint64 // the last number that it has confirmed
+	Batches       uint64
+	Failures      uint64
+	Err           string // of the last try, if it failed
 }
 
 const recoverBatch = 2000
@@ -116,8 +116,8 @@
 	}
 	r := &Recorder{opt: o}
 	var err error
-	r.store, err = store.Open(store.Options{Dir: o.Dir, FS: o.FS, Owner: Owner(o.Router), Schema: Schema(), FullWait: o.FullWait,
-		Memory: o.Memory, Damage: func(text string) { o.Log(Error, "records: "+text, nil) }, Full: r.diskFull, Broken: r.diskFailed})
+	r.store, err = store.Open(store.Options{Dir: o.Dir, FS: o.FS, Owner: OwnerName(o.Router), Schema: Schema(), FullRetryInterval: o.FullRetryInterval,
+		MemTableSize: o.MemTableSize, OnDamage: func(text string) { o.Log(Error, "records: "+text, nil) }, OnFull: r.diskFull, OnFailure: r.diskFailed})
 	if err != nil {
 		return nil, err
 	}
@@ -128,13 +128,13 @@
 	r.took = o.Now()
 	r.last.Store(r.ledger.LastNumber())
 	r.built = r.ledger.LastNumber()
-	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch), Gather: o.Gather,
-		Build: r.build, Done: r.durable, Idle: r.idle, IdleEvery: o.Alive, Now: o.Now})
+	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch), BatchDelay: o.BatchDelay,
+		Build: r.build, OnDurable: r.durable, OnIdle: r.idle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
 	r.mu.Lock()
 	r.writer = w
-	w.Full(r.full)
+	w.SetFull(r.full)
 	if r.failed != nil {
-		w.Fail(r.failed)
+		w.SetFailed(r.failed)
 	}
 	r.mu.Unlock()
 	var ctx context.Context
@@ -182,7 +182,7 @@
 	r.mu.Lock()
 	r.full = full
 	if r.writer != nil {
-		r.writer.Full(full)
+		r.writer.SetFull(full)
 	}
 	r.mu.Unlock()
 	if full {
@@ -196,7 +196,7 @@
 	r.mu.Lock()
 	r.failed = err
 	if r.writer != nil {
-		r.writer.Fail(err)
+		r.writer.SetFailed(err)
 	}
 	r.mu.Unlock()
 	r.opt.Log(Error, "records: the disk has failed: nothing is kept until a restart", err)
@@ -212,8 +212,8 @@
 
 func (r *Recorder) durable(upTo uint64) {
 	r.last.Store(r.built)
-	if r.opt.Done != nil {
-		r.opt.Done(upTo)
+	if r.opt.OnDurable != nil {
+		r.opt.OnDurable(upTo)
 	}
 }
 
@@ -225,23 +225,23 @@
 	return r.writer.Submit(items...)
 }
 
-// Overdue counts answers that went out before their record was durable.
-func (r *Recorder) Overdue(n int) { r.writer.Overdue(n) }
+// AddOverdue counts answers that went out before their record was durable.
+func (r *Recorder) AddOverdue(n int) { r.writer.AddOverdue(n) }
 
 // Status is how the records do.
 type Status struct {
 	store.Status
-	Last     uint64 // number of the newest durable record
-	Life     uint32
-	Closed   int           // calls closed by recovery at the start,
-	Recovery time.Duration // and how long that took, with opening the store
-	Bytes    uint64        // on disk
-	Exports  []ExportStatus
+	Last           uint64 // number of the newest durable record
+	Incarnation    uint32
+	RecoveredCalls int           // calls closed by recovery at the start,
+	RecoveryTime   time.Duration // and how long that took, with opening the store
+	Bytes          uint64        // on disk
+	Exports        []ExportStatus
 }
 
 // Status looks at the records.
 func (r *Recorder) Status() Status {
-	s := Status{Status: r.Disk(), Last: r.last.Load(), Life: r.ledger.Incarnation(), Closed: r.closed, Recovery: r.took}
+	s := Status{Status: r.DiskStatus(), Last: r.last.Load(), Incarnation: r.ledger.Incarnation(), RecoveredCalls: r.closed, RecoveryTime: r.took}
 	if s.State != store.Failed {
 		s.Bytes = r.store.Size()
 	}
@@ -251,8 +251,8 @@
 	return s
 }
 
-// Disk is how the records' disk does: as Status, without its size, which costs more to tell.
-func (r *Recorder) Disk() store.Status { return r.writer.Status() }
+// DiskStatus is how the records' disk does: as Status, without its size, which costs more to tell.
+func (r *Recorder) DiskStatus() store.Status { return r.writer.Status() }
 
 // Store reads what is kept.
 func (r *Recorder) Store() *store.Store { return r.store }
@@ -264,10 +264,10 @@
 	return errors.Join(err, r.store.Close())
 }
 
-// Abandon ends as a kill would: what waits is lost.
-func (r *Recorder) Abandon() {
+// Abort ends as a kill would: what waits is lost.
+func (r *Recorder) Abort() {
 	r.stopSide()
-	r.writer.Abandon()
+	r.writer.Abort()
 	_ = r.store.Close()
 }
 
@@ -289,16 +289,16 @@
 		if err != nil {
 			// The records go on without this export: they are kept until it can be had again.
 			r.opt.Log(Error, "export "+o.Target+" gives way", err)
-			r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.LastConfirmed(), Batches: e.BatchCount(), Err: err.Error()})
+			r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(), Batches: e.BatchCount(), Err: err.Error()})
 			r.nudge = append(r.nudge, nil)
 			continue
 		}
-		r.exports = append(r.exports, ExportStatus{Target: o.Target, Done: e.LastConfirmed(), Batches: e.BatchCount()})
+		r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(), Batches: e.BatchCount()})
 		wake := make(chan struct{}, 1)
 		r.nudge = append(r.nudge, wake)
 		r.side.Go(func() { r.export(ctx, i, e, t, wake) })
 	}
-	if r.opt.TrimEvery > 0 && len(r.opt.Exports) > 0 {
+	if r.opt.TrimInterval > 0 && len(r.opt.Exports) > 0 {
 		r.side.Go(func() { r.trim(ctx) })
 	}
 	return nil
@@ -307,7 +307,7 @@
 // OpenTarget opens what an export goes to.
 func OpenTarget(fs vfs.FS, o *ExportOptions) (export.Target, error) {
 	if o.URL != "" {
-		return export.NewTus(o.URL, o.Token, o.Part, o.Timeout), nil
+		return export.NewTus(o.URL, o.Token, o.ChunkSize, o.Timeout), nil
 	}
 	return export.OpenDirectory(fs, o.Dir)
 }
@@ -342,7 +342,7 @@
 		}
 		r.mu.Lock()
 		st := &r.exports[i]
-		st.Done, st.Batches, st.Fails, st.Err = e.LastConfirmed(), e.BatchCount(), e.Failures, ""
+		st.LastConfirmed, st.Batches, st.Failures, st.Err = e.LastConfirmed(), e.BatchCount(), e.Failures, ""
 		if err != nil {
 			st.Err = err.Error()
 		}
@@ -376,9 +376,9 @@
 	if len(r.exports) == 0 {
 		return 0
 	}
-	least := r.exports[0].Done
+	least := r.exports[0].LastConfirmed
 	for _, e := range r.exports {
-		least = min(least, e.Done)
+		least = min(least, e.LastConfirmed)
 	}
 	return least
 }
@@ -387,7 +387,7 @@
 
 // trim deletes what every export has confirmed, when it is old enough or the disk limit asks for it.
 func (r *Recorder) trim(ctx context.Context) {
-	tick := time.NewTicker(r.opt.TrimEvery)
+	tick := time.NewTicker(r.opt.TrimInterval)
 	defer tick.Stop()
 	over := false
 	for {
@@ -396,7 +396,7 @@
 			return
 		case <-tick.C:
 		}
-		before := r.opt.Wall().Add(-r.opt.Keep)
+		before := r.opt.Wall().Add(-r.opt.Retention)
 		if limit := r.opt.DiskLimit; limit > 0 && r.store.Size() > limit {
 			before = r.opt.Wall()
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -36,7 +36,7 @@
 func newBed(t *testing.T, fs vfs.FS) *bed {
 	b := &bed{t: t, wall: day, more: make(chan struct{}, 1)}
 	b.opt = Options{Dir: "records", FS: fs, Router: 3, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20}, MaxBatch: 64,
-		Alive: time.Hour, FullWait: time.Millisecond, Done: func(upTo uint64) {
+		HeartbeatInterval: time.Hour, FullRetryInterval: time.Millisecond, OnDurable: func(upTo uint64) {
 			b.mu.Lock()
 			b.done = upTo
 			b.mu.Unlock()
@@ -120,10 +120,10 @@
 		stood, ended := b.rec.ID(1), b.rec.ID(2)
 		b.put(cdr.Item{Open: true, Record: b.record(1, 0, day)}, cdr.Item{Open: true, Record: b.record(2, 0, day)},
 			cdr.Item{Record: b.record(2, cdr.Answered, day)})
-		b.rec.Abandon()
+		b.rec.Abort()
 		b.set(day.Add(time.Hour + back))
 		b.open()
-		if b.rec.Status().Closed != 1 || b.rec.Status().Life != 2 {
+		if b.rec.Status().RecoveredCalls != 1 || b.rec.Status().Incarnation != 2 {
 			t.Errorf("%+v", b.rec.Status())
 		}
 		got := b.versions(stood)
@@ -133,9 +133,9 @@
 		if got := b.versions(ended); len(got) != 1 || got[0].EndSource == cdr.EndedByRecovery {
 			t.Errorf("ended as %+v", got)
 		}
-		b.rec.Abandon()
+		b.rec.Abort()
 		b.open()
-		if a := b.audit(); !a.Good() || a.Records != 2 || a.Open != 0 || b.rec.Status().Closed != 0 {
+		if a := b.audit(); !a.Good() || a.Records != 2 || a.Open != 0 || b.rec.Status().RecoveredCalls != 0 {
 			t.Errorf("after one more life: %+v", a)
 		}
 		if err := b.rec.Close(); err != nil {
@@ -322,7 +322,7 @@
 			t.Errorf("up to %d before %v: %+v", c.upTo, c.before, a)
 		}
 	}
-	b.rec.Abandon()
+	b.rec.Abort()
 	b.open() // numbers go on where they were, though no record is left
 	b.put(cdr.Item{Record: b.record(1, cdr.Refused, time.Time{})})
 	if a := b.audit(); a.First != 31 || a.Last != 31 || !a.Good() {
@@ -338,13 +338,13 @@
 func TestFlippedBits(t *testing.T) {
 	fs := crashfs.New()
 	b := newBed(t, fs)
-	b.opt.Memory = 32 << 10
+	b.opt.MemTableSize = 32 << 10
 	b.open()
 	const calls = 200
 	for call := range uint64(calls) {
 		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
 	}
-	b.rec.Abandon()
+	b.rec.Abort()
 	names, err := fs.List("records")
 	if err != nil {
 		t.Fatal(err)
@@ -357,11 +357,11 @@
 		}
 		for k := range int64(24) {
 			copied := fs.Crash(100, uint64(k))
-			if err := copied.Flip("records/"+name, k*info.Size()*8/24+k%8); err != nil {
+			if err := copied.FlipBit("records/"+name, k*info.Size()*8/24+k%8); err != nil {
 				t.Fatal(err)
 			}
 			told := ""
-			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(), Damage: func(text string) { told = text }})
+			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(), OnDamage: func(text string) { told = text }})
 			if err != nil {
 				refused++
 				continue
@@ -411,7 +411,7 @@
 		}
 		b.put(items...)
 	}
-	b.rec.Abandon()
+	b.rec.Abort()
 	b.opt.Log = func(level Level, text string, err error) {
 		if level > Info {
 			t.Errorf("%s, %v", text, err)
--- a/internal/registry/file.go
+++ b/internal/registry/file.go
@@ -110,11 +110,11 @@
 	return append(b, '\n')
 }
 
-// File is a list in a file that is watched.
-type File struct{ Path string }
+// FileSource is a list in a file that is watched.
+type FileSource struct{ Path string }
 
 // Run reads the file, and again whenever it changes. A file that does not parse changes nothing.
-func (f File) Run(ctx context.Context, told func(List), fault func(error)) {
+func (f FileSource) Run(ctx context.Context, told func(List), fault func(error)) {
 	var last []byte
 	index := uint64(0)
 	read := func() {
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -17,12 +17,12 @@
 	"pipitring/decide"
 )
 
-// Register asks a register for the list by blocking queries, in the form of Consul's health API: GET
+// DiscoveryClient asks a register for the list by blocking queries, in the form of Consul's health API: GET
 // /v1/health/service/NAME?index=N&wait=W answers when its index has passed N, with X-Consul-Index.
 //
 // An instance's metadata hold what Consul has no field for: number, zone, started (RFC 3339) and switch. Its
 // phase is gone while a check is critical, draining while one warns or it is under maintenance, else ready.
-type Register struct {
+type DiscoveryClient struct {
 	URL     string // such as http://127.0.0.1:8500
 	Service string
 	Wait    time.Duration // of one query
@@ -36,7 +36,7 @@
 )
 
 // Run asks until ctx ends.
-func (r Register) Run(ctx context.Context, told func(List), fault func(error)) {
+func (r DiscoveryClient) Run(ctx context.Context, told func(List), fault func(error)) {
 	client := r.Client
 	if client == nil {
 		t := &http.Transport{MaxIdleConns: 1, IdleConnTimeout: time.Minute}
@@ -49,7 +49,7 @@
 		if err != nil && ctx.Err() != nil {
 			return
 		}
-		tell, wait := p.Answer(l, err, rand.N[time.Duration])
+		tell, wait := p.HandleAnswer(l, err, rand.N[time.Duration])
 		if err != nil {
 			fault(err)
 		}
@@ -71,9 +71,9 @@
 // Index is what the next query blocks on; 0 is none.
 func (p *Poller) Index() uint64 { return p.index }
 
-// Answer takes the answer to a query, or its failure. It tells whether the list is news, and how long to wait before the
+// HandleAnswer takes the answer to a query, or its failure. It tells whether the list is news, and how long to wait before the
 // next query; random draws a time below another.
-func (p *Poller) Answer(l List, err error, random func(time.Duration) time.Duration) (tell bool, wait time.Duration) {
+func (p *Poller) HandleAnswer(l List, err error, random func(time.Duration) time.Duration) (tell bool, wait time.Duration) {
 	if err != nil {
 		p.pause = min(max(2*p.pause, firstPause), longestWait)
 		return false, p.pause/2 + random(p.pause)
@@ -113,7 +113,7 @@
 	} `json:"Checks"`
 }
 
-func (r Register) ask(ctx context.Context, client *http.Client, index uint64) (List, error) {
+func (r DiscoveryClient) ask(ctx context.Context, client *http.Client, index uint64) (List, error) {
 	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {r.Wait.String()}}
 	u := strings.TrimSuffix(r.URL, "/") + "/v1/health/service/" + url.PathEscape(r.Service) + "?" + q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -123,7 +123,7 @@
 		}
 	}
 	write(FormatJSON(List{Entries: []Entry{entry("a", 0, decide.Ready)}}))
-	c := run(t, File{path})
+	c := run(t, FileSource{path})
 	if l := c.next(t); len(l.Entries) != 1 {
 		t.Errorf("first: %+v", l)
 	}
@@ -155,7 +155,7 @@
 			w.Header().Set("X-Consul-Index", "7")
 			fmt.Fprintf(w, health, c.check, c.status)
 		}))
-		l, err := Register{URL: srv.URL, Service: "exchange", Wait: time.Second}.ask(context.Background(), srv.Client(), 0)
+		l, err := DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second}.ask(context.Background(), srv.Client(), 0)
 		srv.Close()
 		if err != nil || l.Index != 7 || l.Entries[0].Phase != c.want || l.Entries[0].Switch.Port() != 5000 {
 			t.Errorf("%s %s: %+v %v", c.check, c.status, l, err)
@@ -194,7 +194,7 @@
 		fmt.Fprint(w, answers[i].body)
 	}))
 	defer srv.Close()
-	c := run(t, Register{URL: srv.URL, Service: "exchange", Wait: time.Second})
+	c := run(t, DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second})
 	var got []string
 	for range 4 {
 		l := c.next(t)
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -12,7 +12,7 @@
 // forgetAfter is how long a processor that has left the list is still known when it comes back.
 const forgetAfter = time.Hour
 
-// Starts tells how long ago each processor on the list started, from the stamps on it and from what this router saw
+// StartTimes tells how long ago each processor on the list started, from the stamps on it and from what this router saw
 // itself. Stamps are by other machines' clocks: they may be ahead or behind by hours, so a stamp is believed only
 // where it does not contradict what was seen:
 //
@@ -25,11 +25,11 @@
 //   - A stamp that moves back is old news and changes nothing, unless the processor was gone in between.
 //
 // The zero value knows no processor.
-type Starts struct {
+type StartTimes struct {
 	known map[string]*start
 	told  bool // a list with entries has come
-	// Mistrusted counts stamps that could not be believed.
-	Mistrusted uint64
+	// Distrusted counts stamps that could not be believed.
+	Distrusted uint64
 }
 
 // start is what is known of one processor's start, on the router's clock.
@@ -41,9 +41,9 @@
 	left  time.Duration // when it left the list; 0 is not
 }
 
-// Learn takes a list that was told at now, wall by the clock on the wall. coldFor is how long a processor takes to be
+// Update takes a list that was told at now, wall by the clock on the wall. coldFor is how long a processor takes to be
 // warm.
-func (s *Starts) Learn(now time.Duration, wall time.Time, coldFor time.Duration, l *List) {
+func (s *StartTimes) Update(now time.Duration, wall time.Time, coldFor time.Duration, l *List) {
 	if s.known == nil {
 		s.known = map[string]*start{}
 	}
@@ -78,27 +78,27 @@
 }
 
 // judge sets a start from its stamp; seen tells that this router saw it happen.
-func (s *Starts) judge(x *start, now time.Duration, wall time.Time, coldFor time.Duration, stamp time.Time, seen bool) {
+func (s *StartTimes) judge(x *start, now time.Duration, wall time.Time, coldFor time.Duration, stamp time.Time, seen bool) {
 	age := wall.Sub(stamp)
 	x.at, x.long = now, false
 	switch {
 	case stamp.IsZero():
 		x.long = !seen
 	case age < -coldFor:
-		s.Mistrusted++
+		s.Distrusted++
 		x.long = !seen
 	case age < 0:
 	case age < coldFor:
 		x.at = now - age
 	case seen:
-		s.Mistrusted++
+		s.Distrusted++
 	default:
 		x.long = true
 	}
 }
 
 // Age is how long before now a processor started; LongAgo for one that has long been warm or that no list has named.
-func (s *Starts) Age(now time.Duration, id string) time.Duration {
+func (s *StartTimes) Age(now time.Duration, id string) time.Duration {
 	x := s.known[id]
 	if x == nil || x.long {
 		return LongAgo
--- a/internal/registry/starts_test.go
+++ b/internal/registry/starts_test.go
@@ -29,8 +29,8 @@
 		{"in the year 1", time.Time{}.Add(time.Hour), LongAgo},
 		{"far ahead", wall0.AddDate(400, 0, 0), LongAgo},
 	} {
-		var s Starts
-		s.Learn(time.Second, wall0, coldFor, listOf(Entry{ID: "a", Started: c.stamp}))
+		var s StartTimes
+		s.Update(time.Second, wall0, coldFor, listOf(Entry{ID: "a", Started: c.stamp}))
 		if got := s.Age(time.Second, "a"); got != c.want {
 			t.Errorf("%s: age %v, want %v", c.name, got, c.want)
 		}
@@ -50,10 +50,10 @@
 		{"clock ahead by hours", wall0.Add(3 * time.Hour), 0},
 		{"told late", wall0.Add(9*time.Minute + 56*time.Second), 4 * time.Second},
 	} {
-		var s Starts
-		s.Learn(time.Second, wall0, coldFor, listOf(old))
+		var s StartTimes
+		s.Update(time.Second, wall0, coldFor, listOf(old))
 		now := time.Second + 10*time.Minute
-		s.Learn(now, wall0.Add(10*time.Minute), coldFor, listOf(old, Entry{ID: "new", Started: c.stamp}))
+		s.Update(now, wall0.Add(10*time.Minute), coldFor, listOf(old, Entry{ID: "new", Started: c.stamp}))
 		if got := s.Age(now, "new"); got != c.want {
 			t.Errorf("%s: age %v, want %v", c.name, got, c.want)
 		}
@@ -65,9 +65,9 @@
 
 // A processor keeps its id over a restart: a stamp that moves forward is one, one that moves back is old news.
 func TestStartsOfOneProcessor(t *testing.T) {
-	var s Starts
+	var s StartTimes
 	at := func(after time.Duration, phase decide.Phase, stamp time.Time) time.Duration {
-		s.Learn(time.Second+after, wall0.Add(after), coldFor, listOf(Entry{ID: "a", Phase: phase, Started: stamp}))
+		s.Update(time.Second+after, wall0.Add(after), coldFor, listOf(Entry{ID: "a", Phase: phase, Started: stamp}))
 		return s.Age(time.Second+after, "a")
 	}
 	first := wall0.Add(-time.Hour)
@@ -86,8 +86,8 @@
 	if got := at(11*time.Minute, decide.Ready, wall0.Add(-2*time.Hour)); got != 0 {
 		t.Errorf("back from being gone with a clock set back: %v", got)
 	}
-	s.Learn(time.Hour, wall0.Add(time.Hour), coldFor, listOf())
-	s.Learn(3*time.Hour, wall0.Add(3*time.Hour), coldFor, listOf())
+	s.Update(time.Hour, wall0.Add(time.Hour), coldFor, listOf())
+	s.Update(3*time.Hour, wall0.Add(3*time.Hour), coldFor, listOf())
 	if len(s.known) != 0 {
 		t.Errorf("%d processors are remembered for ever", len(s.known))
 	}
@@ -95,9 +95,9 @@
 
 // An empty first list is no list: what comes with the next was there before.
 func TestStartsAfterEmptyList(t *testing.T) {
-	var s Starts
-	s.Learn(time.Second, wall0, coldFor, listOf())
-	s.Learn(2*time.Second, wall0.Add(time.Second), coldFor, listOf(Entry{ID: "a", Started: wall0.Add(-time.Hour)}))
+	var s StartTimes
+	s.Update(time.Second, wall0, coldFor, listOf())
+	s.Update(2*time.Second, wall0.Add(time.Second), coldFor, listOf(Entry{ID: "a", Started: wall0.Add(-time.Hour)}))
 	if got := s.Age(2*time.Second, "a"); got != LongAgo {
 		t.Errorf("age %v", got)
 	}
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -164,8 +164,8 @@
 	count(descRecSyncs, st.Commits)
 	gauge(descRecBytes, float64(st.Bytes))
 	for _, e := range st.Exports {
-		gauge(descRecDone, float64(e.Done), e.Target)
-		count(descRecFails, e.Fails, e.Target)
+		gauge(descRecDone, float64(e.LastConfirmed), e.Target)
+		count(descRecFails, e.Failures, e.Target)
 	}
 }
 
@@ -222,7 +222,7 @@
 	h := health{Draining: s.draining.Load()}
 	err := s.Do(func(n *node.Node, now time.Duration) { h.Calls, h.ListAge = n.Core.OpenCalls(), s.listAge(now) })
 	if s.keep != nil {
-		st := s.keep.rec.Disk()
+		st := s.keep.rec.DiskStatus()
 		h.Records, h.AtRisk = st.State.String(), st.Waiting
 	}
 	switch {
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -46,8 +46,8 @@
 		return nil
 	}
 	k := &keeping{s: s}
-	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.Gate(), MaxBatch: set.Batch, Gather: set.Gather,
-		Alive: set.Alive, Keep: set.Keep, DiskLimit: uint64(set.DiskLimit), TrimEvery: time.Minute, Done: k.done, Now: s.now,
+	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.GateSettings(), MaxBatch: set.Batch, BatchDelay: set.BatchDelay,
+		HeartbeatInterval: set.HeartbeatInterval, Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute, OnDurable: k.done, Now: s.now,
 		Log: func(level records.Level, text string, err error) {
 			[...]func(string, ...zap.Field){s.log.Info, s.log.Warn, s.log.Error}[level](text, zap.Error(err))
 		}}
@@ -55,7 +55,7 @@
 		o.Rater = s.set.Tariffs
 	}
 	var err error
-	if o.Exports, err = Exports(s.set); err != nil {
+	if o.Exports, err = ExportOptions(s.set); err != nil {
 		return err
 	}
 	if k.rec, err = records.Open(o); err != nil {
@@ -63,23 +63,23 @@
 	}
 	s.keep = k
 	st := k.rec.Status()
-	s.log.Info("records opened", zap.String("dir", set.Dir), zap.Uint32("life", st.Life), zap.Uint64("last", st.Last),
-		zap.Int("closed", st.Closed), zap.Duration("took", st.Recovery))
+	s.log.Info("records opened", zap.String("dir", set.Dir), zap.Uint32("life", st.Incarnation), zap.Uint64("last", st.Last),
+		zap.Int("closed", st.RecoveredCalls), zap.Duration("took", st.RecoveryTime))
 	return nil
 }
 
-// Exports puts the exports of settings in the records' terms.
-func Exports(set *config.Settings) (out []records.ExportOptions, err error) {
+// ExportOptions puts the exports of settings in the records' terms.
+func ExportOptions(set *config.Settings) (out []records.ExportOptions, err error) {
 	for i := range set.Records.Export {
 		e := &set.Records.Export[i]
 		x := records.ExportOptions{ExportSettings: cdr.ExportSettings{Target: e.Name, Router: uint32(set.Router.Exchange),
-			Format: cdr.Format(e.Format), MaxRecords: e.Most, MinRecords: e.Least, MaxWait: e.Wait, MinRetryDelay: time.Second, MaxRetryDelay: time.Minute,
-			KeepBatches: 1000}, Part: e.Part, Timeout: e.Timeout}
-		if x.Token, err = e.Bearer(); err != nil {
+			Format: cdr.Format(e.Format), MaxRecords: e.MaxRecords, MinRecords: e.MinRecords, MaxWait: e.MaxWait, MinRetryDelay: time.Second, MaxRetryDelay: time.Minute,
+			KeepBatches: 1000}, ChunkSize: e.ChunkSize, Timeout: e.Timeout}
+		if x.Token, err = e.ReadToken(); err != nil {
 			return nil, fmt.Errorf("records.export %q: %w", e.Name, err)
 		}
 		x.Dir = e.To
-		if e.Address() {
+		if e.IsURL() {
 			x.Dir, x.URL = "", e.To
 		}
 		out = append(out, x)
@@ -91,21 +91,21 @@
 func (k *keeping) watch(ctx context.Context) {
 	t := time.NewTicker(look)
 	defer t.Stop()
-	state, open := k.rec.Disk().State, true
+	state, open := k.rec.DiskStatus().State, true
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		st := k.rec.Disk()
+		st := k.rec.DiskStatus()
 		// An error says that the loop has ended, or is behind: then the next look tells it.
-		if st.Open != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Open) }) == nil {
-			open = st.Open
+		if st.Accepting != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Accepting) }) == nil {
+			open = st.Accepting
 		}
 		if st.State != state {
 			k.s.log.Warn("records: the disk's state has changed", zap.Stringer("from", state), zap.Stringer("to", st.State),
-				zap.Bool("new_calls", st.Open), zap.Int("at_risk", st.Waiting), zap.Uint64("lost", st.Lost))
+				zap.Bool("new_calls", st.Accepting), zap.Int("at_risk", st.Waiting), zap.Uint64("lost", st.Lost))
 			state = st.State
 		}
 	}
@@ -115,7 +115,7 @@
 func (k *keeping) take(now time.Duration, made []call.Record) {
 	k.clock.Observe(now, time.Now())
 	if unproven := k.s.node.Core.Stats.AnsweredNotDurable; unproven != k.proven {
-		k.rec.Overdue(int(unproven - k.proven))
+		k.rec.AddOverdue(int(unproven - k.proven))
 		k.proven = unproven
 	}
 	if len(made) == 0 {
@@ -123,7 +123,7 @@
 	}
 	k.items = k.items[:0]
 	for i := range made {
-		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: k.s.set.Record(&k.clock, k.rec.ID(made[i].CallSeq), &made[i])})
+		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: k.s.set.CallRecord(&k.clock, k.rec.ID(made[i].CallSeq), &made[i])})
 	}
 	last := made[len(made)-1].RecordSeq
 	k.mu.Lock()
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -76,7 +76,7 @@
 	if err := free(set.Router.Listen); err != nil {
 		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, err)
 	}
-	s.node = node.New(set.Node(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.HasRoute(number) }))
+	s.node = node.New(set.NodeSettings(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.HasRoute(number) }))
 	if err := s.openRecords(); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	log.Info("router started", zap.Stringer("listen", s.addr), zap.Int("exchange", set.Router.Exchange),
-		zap.Int("groups", len(set.Sizes)))
+		zap.Int("groups", len(set.GroupSizes)))
 	return s, nil
 }
 
@@ -148,9 +148,9 @@
 
 func (s *Server) source() registry.Source {
 	if s.set.List.File != "" {
-		return registry.File{Path: s.set.List.File}
+		return registry.FileSource{Path: s.set.List.File}
 	}
-	return registry.Register{URL: s.set.List.Register, Service: s.set.List.Service, Wait: s.set.List.Wait}
+	return registry.DiscoveryClient{URL: s.set.List.DiscoveryURL, Service: s.set.List.Service, Wait: s.set.List.Wait}
 }
 
 // Addr is the socket's address.
@@ -307,11 +307,11 @@
 
 // Reload takes new settings over for calls that come from now on.
 func (s *Server) Reload(next *config.Settings) error {
-	if err := s.set.SameKind(next); err != nil {
+	if err := s.set.CheckReload(next); err != nil {
 		return err
 	}
 	return s.Do(func(n *node.Node, now time.Duration) {
-		n.Core.Reconfigure(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
+		n.Core.Reconfigure(now, next.Plan, next.GroupSizes, next.OwnCircuits(), next.Router.MaxCalls)
 		s.log.Info("settings reloaded", zap.String("file", next.Path))
 	})
 }
@@ -358,7 +358,7 @@
 	case s.keep == nil:
 		return nil
 	case drop:
-		s.keep.rec.Abandon()
+		s.keep.rec.Abort()
 		return nil
 	}
 	return s.keep.rec.Close()
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -259,7 +259,7 @@
 func TestReload(t *testing.T) {
 	s := start(t, settings(t, listOf(newPeer(t).addr()), ""))
 	next := settings(t, "", "")
-	next.Sizes = map[int]int{1: 4}
+	next.GroupSizes = map[int]int{1: 4}
 	if err := s.Reload(next); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -15,18 +15,18 @@
 
 func (s State) String() string { return [...]string{"healthy", "slow", "full", "failed"}[s] }
 
-// Answer is what is done with new calls while the disk is not healthy.
-type Answer uint8
+// Policy is what is done with new calls while the disk is not healthy.
+type Policy uint8
 
 // Answers.
 const (
-	GoOn   Answer = iota // take them, and count those whose records are at risk
-	Refuse               // turn them away
+	AcceptCalls Policy = iota // take them, and count those whose records are at risk
+	RejectCalls               // turn them away
 )
 
 // GateSettings set a Gate.
 type GateSettings struct {
-	OnSlow, OnFull, OnFailed Answer
+	OnSlow, OnFull, OnFailed Policy
 	SlowAfter                time.Duration // the oldest that waits may wait this long
 	MaxQueue                 int           // items that may wait
 }
@@ -34,28 +34,28 @@
 // Gate decides what a slow, full or failed disk means for new calls and for what waits. It does no I/O and is told the
 // time.
 type Gate struct {
-	set      GateSettings
-	full     bool
-	failed   bool
-	waiting  int
-	oldest   time.Duration // when the oldest that waits came
-	since    time.Duration // of the present state
-	state    State
-	Lost     uint64 // items given up because too much waited
-	OverTime uint64 // items that had to be taken for granted before they were durable
+	set     GateSettings
+	full    bool
+	failed  bool
+	waiting int
+	oldest  time.Duration // when the oldest that waits came
+	since   time.Duration // of the present state
+	state   State
+	Lost    uint64 // items given up because too much waited
+	Overdue uint64 // items that had to be taken for granted before they were durable
 }
 
 // NewGate returns a gate before a healthy disk.
 func NewGate(s GateSettings) *Gate { return &Gate{set: s} }
 
-// Full tells that the disk filled up, or has room again.
-func (g *Gate) Full(now time.Duration, full bool) { g.full = full; g.look(now) }
+// SetFull tells that the disk filled up, or has room again.
+func (g *Gate) SetFull(now time.Duration, full bool) { g.full = full; g.look(now) }
 
-// Fail tells that the disk has failed for good.
-func (g *Gate) Fail(now time.Duration) { g.failed = true; g.look(now) }
+// SetFailed tells that the disk has failed for good.
+func (g *Gate) SetFailed(now time.Duration) { g.failed = true; g.look(now) }
 
-// Waiting tells how much waits, and since when the oldest does.
-func (g *Gate) Waiting(now time.Duration, n int, oldest time.Duration) {
+// SetWaiting tells how much waits, and since when the oldest does.
+func (g *Gate) SetWaiting(now time.Duration, n int, oldest time.Duration) {
 	g.waiting, g.oldest = n, oldest
 	g.look(now)
 }
@@ -79,15 +79,15 @@
 // State is the disk's, and since when it is.
 func (g *Gate) State() (State, time.Duration) { return g.state, g.since }
 
-// Open tells whether new calls are taken.
-func (g *Gate) Open() bool {
+// Accepting tells whether new calls are taken.
+func (g *Gate) Accepting() bool {
 	switch g.state {
 	case Slow:
-		return g.set.OnSlow == GoOn
+		return g.set.OnSlow == AcceptCalls
 	case Full:
-		return g.set.OnFull == GoOn
+		return g.set.OnFull == AcceptCalls
 	case Failed:
-		return g.set.OnFailed == GoOn
+		return g.set.OnFailed == AcceptCalls
 	}
 	return true
 }
--- a/internal/store/holdfs.go
+++ b/internal/store/holdfs.go
@@ -95,8 +95,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// MakeDir makes a directory, and those above it that are missing, and makes their entries durable.
-func MakeDir(fs vfs.FS, dir string, perm os.FileMode) error {
+// MkdirAllSync makes a directory, and those above it that are missing, and makes their entries durable.
+func MkdirAllSync(fs vfs.FS, dir string, perm os.FileMode) error {
 	var above []string // directories that get a new entry
 	for at := dir; ; at = fs.PathDir(at) {
 		if _, err := fs.Stat(at); err == nil || fs.PathDir(at) == at {
--- a/internal/store/salvage.go
+++ b/internal/store/salvage.go
@@ -114,9 +114,9 @@
 	return io.ReadAll(f)
 }
 
-// WriteWhole lets a file appear whole, in place of what had its name: under another one first, synced, then renamed, and
+// WriteFileAtomic lets a file appear whole, in place of what had its name: under another one first, synced, then renamed, and
 // the directory synced.
-func WriteWhole(fs vfs.FS, name string, content []byte) error {
+func WriteFileAtomic(fs vfs.FS, name string, content []byte) error {
 	part := fs.PathJoin(fs.PathDir(name), "."+fs.PathBase(name)+".part")
 	f, err := fs.Create(part, vfs.WriteCategoryUnspecified)
 	if err != nil {
@@ -170,10 +170,10 @@
 			return fmt.Errorf("%w: %s: opening it for writing puts them back", ErrDamaged, text)
 		}
 		told(text)
-		if err := WriteWhole(fs, fs.PathJoin(dir, rescuePrefix+name), log); err != nil {
+		if err := WriteFileAtomic(fs, fs.PathJoin(dir, rescuePrefix+name), log); err != nil {
 			return err
 		}
-		if err := WriteWhole(fs, path, log[:bad]); err != nil {
+		if err := WriteFileAtomic(fs, path, log[:bad]); err != nil {
 			return err
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -18,11 +18,11 @@
 
 // Errors of Open.
 var (
-	ErrInUse   = errors.New("in use by another process")
-	ErrNewer   = errors.New("written by a newer version")
-	ErrDamaged = errors.New("damaged")
-	ErrOwner   = errors.New("belongs to another router")
-	ErrMissing = errors.New("no store there")
+	ErrInUse       = errors.New("in use by another process")
+	ErrNewerFormat = errors.New("written by a newer version")
+	ErrDamaged     = errors.New("damaged")
+	ErrWrongOwner  = errors.New("belongs to another router")
+	ErrNotExist    = errors.New("no store there")
 )
 
 // Keys of the store's own; users' keys do not begin with a zero byte.
@@ -41,17 +41,17 @@
 
 // Options set a store.
 type Options struct {
-	Dir      string
-	FS       vfs.FS // nil is the disk
-	Owner    string // "" takes whoever's
-	Schema   Schema
-	ReadOnly bool // nothing is written, not even a recovery's
-	Cache    int64
-	Memory   uint64          // bytes gathered before they are sorted into a file; 0 is 8 MiB
-	FullWait time.Duration   // between tries while the disk is full
-	Full     func(full bool) // told when the disk fills up, and when it has room again; on any goroutine
-	Damage   func(string)    // told of damage that was found in opening and gone round
-	Broken   func(error)     // told, once, when the disk fails for good; on any goroutine
+	Dir               string
+	FS                vfs.FS // nil is the disk
+	Owner             string // "" takes whoever's
+	Schema            Schema
+	ReadOnly          bool // nothing is written, not even a recovery's
+	Cache             int64
+	MemTableSize      uint64          // bytes gathered before they are sorted into a file; 0 is 8 MiB
+	FullRetryInterval time.Duration   // between tries while the disk is full
+	OnFull            func(full bool) // told when the disk fills up, and when it has room again; on any goroutine
+	OnDamage          func(string)    // told of damage that was found in opening and gone round
+	OnFailure         func(error)     // told, once, when the disk fails for good; on any goroutine
 }
 
 // Store is an open store.
@@ -85,8 +85,8 @@
 }
 
 func (s *Store) fail(err error) {
-	if !s.broken.Swap(true) && s.opt.Broken != nil {
-		s.opt.Broken(err)
+	if !s.broken.Swap(true) && s.opt.OnFailure != nil {
+		s.opt.OnFailure(err)
 	}
 }
 
@@ -95,21 +95,21 @@
 	if o.FS == nil {
 		o.FS = vfs.Default
 	}
-	if o.FullWait <= 0 {
-		o.FullWait = 100 * time.Millisecond
+	if o.FullRetryInterval <= 0 {
+		o.FullRetryInterval = 100 * time.Millisecond
 	}
-	if o.Full == nil {
-		o.Full = func(bool) {}
+	if o.OnFull == nil {
+		o.OnFull = func(bool) {}
 	}
-	if o.Damage == nil {
-		o.Damage = func(string) {}
+	if o.OnDamage == nil {
+		o.OnDamage = func(string) {}
 	}
-	s := &Store{opt: o, hold: newHoldFS(o.FS, o.FullWait, o.Full)}
+	s := &Store{opt: o, hold: newHoldFS(o.FS, o.FullRetryInterval, o.OnFull)}
 	_, err := o.FS.Stat(o.Dir)
 	if err != nil && o.ReadOnly {
-		return nil, fmt.Errorf("%s: %w", o.Dir, ErrMissing)
+		return nil, fmt.Errorf("%s: %w", o.Dir, ErrNotExist)
 	}
-	if err := checkLogs(o.FS, o.Dir, o.ReadOnly, o.Damage); err != nil {
+	if err := checkLogs(o.FS, o.Dir, o.ReadOnly, o.OnDamage); err != nil {
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
 	fs := vfs.FS(s.hold)
@@ -117,7 +117,7 @@
 	opt := &pebble.Options{FS: fs, Logger: words{s}, ReadOnly: o.ReadOnly, FormatMajorVersion: pebble.FormatNewest,
 		// Damage is the reader's to hear of, who goes on with the rest; by default it ends the process.
 		EventListener: &pebble.EventListener{DataCorruption: func(pebble.DataCorruptionInfo) {}},
-		MemTableSize:  cmp.Or(o.Memory, 8<<20), CacheSize: cmp.Or(o.Cache, 32<<20)}
+		MemTableSize:  cmp.Or(o.MemTableSize, 8<<20), CacheSize: cmp.Or(o.Cache, 32<<20)}
 	for i := range opt.Levels {
 		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that are asked for singly are not there
 	}
@@ -168,7 +168,7 @@
 	b := s.Batch()
 	if !found {
 		if s.opt.ReadOnly {
-			return ErrMissing
+			return ErrNotExist
 		}
 		b.Set(keyFormat, binary.BigEndian.AppendUint32(nil, s.opt.Schema.Version))
 		b.Set(keyOwner, []byte(s.opt.Owner))
@@ -182,7 +182,7 @@
 		return err
 	}
 	if s.opt.Owner != "" && string(owner) != "" && string(owner) != s.opt.Owner {
-		return fmt.Errorf("%w: %q, not %q", ErrOwner, owner, s.opt.Owner)
+		return fmt.Errorf("%w: %q, not %q", ErrWrongOwner, owner, s.opt.Owner)
 	}
 	return s.upgrade(binary.BigEndian.Uint32(format))
 }
@@ -190,7 +190,7 @@
 // upgrade brings an older store to the schema's version, one version after the other.
 func (s *Store) upgrade(from uint32) error {
 	if from > s.opt.Schema.Version {
-		return fmt.Errorf("%w: format %d, this program knows %d", ErrNewer, from, s.opt.Schema.Version)
+		return fmt.Errorf("%w: format %d, this program knows %d", ErrNewerFormat, from, s.opt.Schema.Version)
 	}
 	for v := from; v < s.opt.Schema.Version; v++ {
 		up := s.opt.Schema.Upgrade[v]
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -44,7 +44,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(Options{Dir: "d", FS: fs, Owner: "b", Schema: Schema{Version: 1}}); !errors.Is(err, ErrOwner) {
+	if _, err := Open(Options{Dir: "d", FS: fs, Owner: "b", Schema: Schema{Version: 1}}); !errors.Is(err, ErrWrongOwner) {
 		t.Errorf("another's: %v", err)
 	}
 	next := old
@@ -63,10 +63,10 @@
 		}
 	}
 	_ = s.Close()
-	if _, err := Open(old); !errors.Is(err, ErrNewer) {
+	if _, err := Open(old); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("newer: %v", err)
 	}
-	if _, err := Open(Options{Dir: "nowhere", FS: fs, ReadOnly: true}); !errors.Is(err, ErrMissing) {
+	if _, err := Open(Options{Dir: "nowhere", FS: fs, ReadOnly: true}); !errors.Is(err, ErrNotExist) {
 		t.Errorf("missing: %v", err)
 	}
 }
@@ -86,11 +86,11 @@
 		return nil
 	}}}}
 	var after []*crashfs.FS
-	fs.Hook(func(p crashfs.Point) error { after = append(after, fs.Crash(int(p.N%3)*50, p.N)); return nil })
+	fs.SetHook(func(p crashfs.Point) error { after = append(after, fs.Crash(int(p.N%3)*50, p.N)); return nil })
 	up := o
 	up.FS = fs
 	_ = open(t, up).Close()
-	fs.Hook(nil)
+	fs.SetHook(nil)
 	if len(after) < 5 {
 		t.Fatalf("%d points", len(after))
 	}
@@ -128,18 +128,18 @@
 			f(w)
 		}
 	}
-	r.s = open(t, Options{Dir: "d", FS: r.fs, FullWait: time.Millisecond,
-		Full:   func(full bool) { with(func(w *Writer[uint64]) { w.Full(full) }) },
-		Broken: func(err error) { with(func(w *Writer[uint64]) { w.Fail(err) }) }})
+	r.s = open(t, Options{Dir: "d", FS: r.fs, FullRetryInterval: time.Millisecond,
+		OnFull:    func(full bool) { with(func(w *Writer[uint64]) { w.SetFull(full) }) },
+		OnFailure: func(err error) { with(func(w *Writer[uint64]) { w.SetFailed(err) }) }})
 	mu.Lock()
-	w = NewWriter(r.s, WriterOptions[uint64]{Gate: g, MaxBatch: 8, IdleEvery: time.Hour, Now: func() time.Duration { return time.Since(began) },
+	w = NewWriter(r.s, WriterOptions[uint64]{Gate: g, MaxBatch: 8, IdleInterval: time.Hour, Now: func() time.Duration { return time.Since(began) },
 		Build: func(b *Batch, items []uint64) error {
 			for _, i := range items {
 				b.Set(binary.BigEndian.AppendUint64([]byte("n"), i), []byte("v"))
 			}
 			return nil
 		},
-		Done: func(upTo uint64) {
+		OnDurable: func(upTo uint64) {
 			r.mu.Lock()
 			r.upTo = upTo
 			r.mu.Unlock()
@@ -186,10 +186,10 @@
 // The disk fills up under load and has room again: new calls are refused meanwhile, what was taken waits, and nothing
 // of it is lost.
 func TestDiskFullForAWhile(t *testing.T) {
-	r := newRig(t, GateSettings{OnFull: Refuse, SlowAfter: time.Hour, MaxQueue: 1000})
+	r := newRig(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	r.w.Submit(1, 2, 3)
 	r.await(t, 3)
-	r.fs.Hook(func(p crashfs.Point) error {
+	r.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "write" || p.Op == "create" {
 			return syscall.ENOSPC
 		}
@@ -200,12 +200,12 @@
 			t.Fatalf("%d is not taken", i)
 		}
 	}
-	if st := r.state(t, Full); st.Open || st.Waiting != 497 || st.Lost != 0 {
+	if st := r.state(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
 		t.Errorf("full: %+v", st)
 	}
-	r.fs.Hook(nil)
+	r.fs.SetHook(nil)
 	r.await(t, 500)
-	if st := r.state(t, Healthy); !st.Open || st.Waiting != 0 {
+	if st := r.state(t, Healthy); !st.Accepting || st.Waiting != 0 {
 		t.Errorf("room again: %+v", st)
 	}
 	if err := r.w.Close(); err != nil {
@@ -222,8 +222,8 @@
 
 // More than may wait is lost, and counted.
 func TestQueueBound(t *testing.T) {
-	r := newRig(t, GateSettings{OnSlow: Refuse, OnFull: GoOn, SlowAfter: time.Hour, MaxQueue: 10})
-	r.fs.Hook(func(p crashfs.Point) error {
+	r := newRig(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
+	r.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "write" {
 			return syscall.ENOSPC
 		}
@@ -238,7 +238,7 @@
 	if st := r.w.Status(); taken != 10 || st.Lost != 20 {
 		t.Errorf("%d taken, %+v", taken, st)
 	}
-	r.fs.Hook(nil)
+	r.fs.SetHook(nil)
 	r.await(t, 10)
 	_ = r.w.Close()
 	_ = r.s.Close()
@@ -246,23 +246,23 @@
 
 // A disk that fails for good ends the writer: it says so, and takes nothing more.
 func TestDiskFails(t *testing.T) {
-	r := newRig(t, GateSettings{OnFailed: Refuse, SlowAfter: time.Hour, MaxQueue: 1000})
+	r := newRig(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	r.w.Submit(1)
 	r.await(t, 1)
-	r.fs.Hook(func(p crashfs.Point) error {
+	r.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	})
 	r.w.Submit(2)
-	if st := r.state(t, Failed); st.Open {
+	if st := r.state(t, Failed); st.Accepting {
 		t.Errorf("%+v", st)
 	}
 	if _, ok := r.w.Submit(3); ok {
 		t.Error("a record was taken by a disk that has failed")
 	}
-	r.fs.Hook(nil)
+	r.fs.SetHook(nil)
 	if err := r.w.Close(); err == nil {
 		t.Error("closed without an error")
 	}
@@ -273,8 +273,8 @@
 // opens again when all is well.
 func TestGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := GateSettings{OnSlow: Answer(rapid.IntRange(0, 1).Draw(t, "slow")), OnFull: Answer(rapid.IntRange(0, 1).Draw(t, "full")),
-			OnFailed: Refuse, SlowAfter: time.Second, MaxQueue: rapid.IntRange(4, 40).Draw(t, "queue")}
+		set := GateSettings{OnSlow: Policy(rapid.IntRange(0, 1).Draw(t, "slow")), OnFull: Policy(rapid.IntRange(0, 1).Draw(t, "full")),
+			OnFailed: RejectCalls, SlowAfter: time.Second, MaxQueue: rapid.IntRange(4, 40).Draw(t, "queue")}
 		g, now, waiting, turned := NewGate(set), time.Duration(0), 0, uint64(0)
 		since := time.Duration(0)
 		full := false
@@ -295,23 +295,23 @@
 				waiting, since = rapid.IntRange(0, waiting).Draw(t, "left"), now
 			case 2:
 				full = !full
-				g.Full(now, full)
+				g.SetFull(now, full)
 			}
-			g.Waiting(now, waiting, since)
+			g.SetWaiting(now, waiting, since)
 			if waiting > set.MaxQueue || g.Lost != turned || g.AtRisk() != waiting {
 				t.Fatalf("%d of %d wait, %d lost of %d turned away", waiting, set.MaxQueue, g.Lost, turned)
 			}
-			if state, _ := g.State(); full != (state == Full) || full && g.Open() != (set.OnFull == GoOn) {
-				t.Fatalf("full %v, state %v, open %v", full, state, g.Open())
+			if state, _ := g.State(); full != (state == Full) || full && g.Accepting() != (set.OnFull == AcceptCalls) {
+				t.Fatalf("full %v, state %v, open %v", full, state, g.Accepting())
 			}
 		}
-		g.Full(now, false)
-		g.Waiting(now, 0, now)
-		if state, _ := g.State(); state != Healthy || !g.Open() {
+		g.SetFull(now, false)
+		g.SetWaiting(now, 0, now)
+		if state, _ := g.State(); state != Healthy || !g.Accepting() {
 			t.Fatalf("all well, and %v", state)
 		}
-		g.Fail(now)
-		if g.Open() || g.Admit(1) {
+		g.SetFailed(now)
+		if g.Accepting() || g.Admit(1) {
 			t.Fatal("a failed disk takes records")
 		}
 	})
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -10,17 +10,17 @@
 	Gate GateSettings
 	// MaxBatch is the most items of one commit.
 	MaxBatch int
-	// Gather is how long a commit waits for more items to come together; 0 is not at all: while one commit is on its
+	// BatchDelay is how long a commit waits for more items to come together; 0 is not at all: while one commit is on its
 	// way, what comes gathers for the next.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Build puts items into a batch, in order; it is called on the writer's goroutine only.
 	Build func(b *Batch, items []T) error
-	// Done is told how many items were durable in all after each commit; on the writer's goroutine.
-	Done func(upTo uint64)
-	// Idle is called when nothing has come for a while; what it puts into the batch is committed.
-	Idle      func(b *Batch)
-	IdleEvery time.Duration
-	Now       func() time.Duration // a monotonic clock
+	// OnDurable is told how many items were durable in all after each commit; on the writer's goroutine.
+	OnDurable func(upTo uint64)
+	// OnIdle is called when nothing has come for a while; what it puts into the batch is committed.
+	OnIdle       func(b *Batch)
+	IdleInterval time.Duration
+	Now          func() time.Duration // a monotonic clock
 }
 
 // Writer commits items in batches beside its users, who never wait for the disk.
@@ -83,40 +83,40 @@
 	case len(w.came) > 0:
 		oldest = w.came[0]
 	}
-	w.gate.Waiting(now, len(w.queue)+w.out, oldest)
+	w.gate.SetWaiting(now, len(w.queue)+w.out, oldest)
 }
 
-// Full hands on that the disk filled up or has room again.
-func (w *Writer[T]) Full(full bool) {
+// SetFull hands on that the disk filled up or has room again.
+func (w *Writer[T]) SetFull(full bool) {
 	w.mu.Lock()
-	w.gate.Full(w.opt.Now(), full)
+	w.gate.SetFull(w.opt.Now(), full)
 	w.mu.Unlock()
 }
 
-// Fail hands on that the disk has failed.
-func (w *Writer[T]) Fail(error) {
+// SetFailed hands on that the disk has failed.
+func (w *Writer[T]) SetFailed(error) {
 	w.mu.Lock()
-	w.gate.Fail(w.opt.Now())
+	w.gate.SetFailed(w.opt.Now())
 	w.mu.Unlock()
 }
 
-// Overdue counts items that were taken for granted before they were durable.
-func (w *Writer[T]) Overdue(n int) {
+// AddOverdue counts items that were taken for granted before they were durable.
+func (w *Writer[T]) AddOverdue(n int) {
 	w.mu.Lock()
-	w.gate.OverTime += uint64(n)
+	w.gate.Overdue += uint64(n)
 	w.mu.Unlock()
 }
 
 // Status is how a Writer does.
 type Status struct {
-	State   State
-	Open    bool // new calls are taken
-	Waiting int  // items that a crash now would lose
-	Lost    uint64
-	Overdue uint64
-	Taken   uint64
-	Commits uint64
-	Err     error
+	State     State
+	Accepting bool // new calls are taken
+	Waiting   int  // items that a crash now would lose
+	Lost      uint64
+	Overdue   uint64
+	Taken     uint64
+	Commits   uint64
+	Err       error
 }
 
 // Status looks at the writer.
@@ -125,14 +125,14 @@
 	defer w.mu.Unlock()
 	w.look(w.opt.Now())
 	state, _ := w.gate.State()
-	return Status{state, w.gate.Open(), w.gate.AtRisk(), w.gate.Lost, w.gate.OverTime, w.taken, w.commit, w.err}
+	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.taken, w.commit, w.err}
 }
 
 // Close commits what waits, if the disk takes it, and ends the writer.
 func (w *Writer[T]) Close() error { return w.end(false) }
 
-// Abandon ends the writer as a crash would: what waits is lost.
-func (w *Writer[T]) Abandon() { _ = w.end(true) }
+// Abort ends the writer as a crash would: what waits is lost.
+func (w *Writer[T]) Abort() { _ = w.end(true) }
 
 func (w *Writer[T]) end(drop bool) error {
 	w.mu.Lock()
@@ -167,7 +167,7 @@
 
 func (w *Writer[T]) run() {
 	defer close(w.done)
-	idle := time.NewTicker(max(w.opt.IdleEvery, time.Millisecond))
+	idle := time.NewTicker(max(w.opt.IdleInterval, time.Millisecond))
 	defer idle.Stop()
 	committed := uint64(0)
 	for {
@@ -178,11 +178,11 @@
 		if len(items) == 0 {
 			select {
 			case <-w.wake:
-				if w.opt.Gather > 0 {
-					time.Sleep(w.opt.Gather)
+				if w.opt.BatchDelay > 0 {
+					time.Sleep(w.opt.BatchDelay)
 				}
 			case <-idle.C:
-				if w.opt.Idle != nil && !w.write(func(b *Batch) error { w.opt.Idle(b); return nil }) {
+				if w.opt.OnIdle != nil && !w.write(func(b *Batch) error { w.opt.OnIdle(b); return nil }) {
 					return
 				}
 			}
@@ -196,8 +196,8 @@
 		w.out = 0
 		w.commit++
 		w.mu.Unlock()
-		if w.opt.Done != nil {
-			w.opt.Done(committed)
+		if w.opt.OnDurable != nil {
+			w.opt.OnDurable(committed)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	}
 	w.mu.Lock()
 	w.err = err
-	w.gate.Fail(w.opt.Now())
+	w.gate.SetFailed(w.opt.Now())
 	w.ended = true
 	w.mu.Unlock()
 	return false
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -63,7 +63,7 @@
 	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*End{}, disk: o.Disk, Mutate: o.Mutate,
 		rng: w.Rand(fmt.Sprintf("router %d life %d", x, o.Life))}
 	r.wake.Value = r.due
-	ns := set.Node(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
+	ns := set.NodeSettings(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
 	if r.disk != nil {
 		ns.Core.DurableTimeout = set.Records.AnswerWait
 		if err := r.openRecords(); err != nil {
@@ -223,7 +223,7 @@
 	}
 	items := make([]cdr.Item, 0, len(made))
 	for i := range made {
-		items = append(items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: r.set.Record(&r.clock, r.ledger.ID(made[i].CallSeq), &made[i])})
+		items = append(items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: r.set.CallRecord(&r.clock, r.ledger.ID(made[i].CallSeq), &made[i])})
 	}
 	items = r.Mutate.items(items)
 	ticket := made[len(made)-1].RecordSeq
@@ -261,11 +261,11 @@
 
 // Reload takes new settings over.
 func (r *Router) Reload(next *config.Settings) error {
-	if err := r.set.SameKind(next); err != nil {
+	if err := r.set.CheckReload(next); err != nil {
 		return err
 	}
 	return r.Do(func(n *node.Node, now time.Duration) {
-		n.Core.Reconfigure(now, next.Plan, next.Sizes, next.OwnCircuits(), next.Router.MaxCalls)
+		n.Core.Reconfigure(now, next.Plan, next.GroupSizes, next.OwnCircuits(), next.Router.MaxCalls)
 	})
 }
 
