--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -304,12 +304,12 @@
 	if s.M3UA.Mode == "loadshare" {
 		c.Mode = m3ua.TrafficShare
 	}
-	c.Link = m3ua.Config{Context: s.M3UA.RoutingContext, Mode: c.Mode, AckWait: s.M3UA.AckTimeout, Retries: s.M3UA.MaxRetries,
-		BeatEvery: s.M3UA.HeartbeatInterval, MaxOut: s.M3UA.MaxUnsentBytes}
+	c.Link = m3ua.Config{Context: s.M3UA.RoutingContext, Mode: c.Mode, AckTimeout: s.M3UA.AckTimeout, Retries: s.M3UA.MaxRetries,
+		HeartbeatInterval: s.M3UA.HeartbeatInterval, MaxUnsentBytes: s.M3UA.MaxUnsentBytes}
 	for _, g := range s.ISUPGroups() {
 		if g.Front == FrontISUP {
 			c.Groups = append(c.Groups, isupfront.GroupConfig{Exchange: g.To, Circuits: isup.Config{First: isup.CIC(g.FirstCIC),
-				Circuits: g.Circuits, Own: s.Router.PointCode, Far: g.PointCode, Timers: t}})
+				Circuits: g.Circuits, OwnPointCode: s.Router.PointCode, FarPointCode: g.PointCode, Timers: t}})
 		}
 	}
 	return c
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -14,9 +14,9 @@
 // come from, serves tells whether a called number is known.
 func (s *Settings) NodeSettings(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
 	x := &s.IAX
-	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetryFirst: x.RetransmitInterval,
-		RetryMax: x.MaxRetransmitInterval, Retries: x.MaxRetransmits, AckDelay: x.AckDelay, AcceptDelay: x.AcceptDelay, Linger: x.Linger,
-		PingEvery: x.PingInterval, Refresh: x.MaxRefresh, Tokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
+	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
+		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay, AcceptDelay: x.AcceptDelay, Linger: x.Linger,
+		PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh, RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -81,7 +81,7 @@
 	exchange int
 	isup     *isup.Group
 	own      uint32
-	server   m3ua.Server
+	server   m3ua.ApplicationServer
 	legs     map[*isup.Call]*leg
 	reset    bool // since the start; before, the other end may hold calls of an earlier life
 }
@@ -108,10 +108,10 @@
 	f := &Front{core: core, cfg: c, byPC: map[uint32]*group{}, conns: map[ConnID]*conn{}, legs: map[call.LegID]*leg{},
 		routes: map[decide.ExchangeID]*group{}}
 	for _, gc := range c.Groups {
-		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), own: gc.Circuits.Own, legs: map[*isup.Call]*leg{},
-			server: m3ua.Server{Mode: c.Mode}}
+		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), own: gc.Circuits.OwnPointCode, legs: map[*isup.Call]*leg{},
+			server: m3ua.ApplicationServer{Mode: c.Mode}}
 		f.groups = append(f.groups, g)
-		f.byPC[gc.Circuits.Far] = g
+		f.byPC[gc.Circuits.FarPointCode] = g
 	}
 	slices.SortFunc(f.groups, func(a, b *group) int { return a.exchange - b.exchange })
 	return f
@@ -259,7 +259,7 @@
 func (f *Front) sendOut(g *group) {
 	for i := range g.isup.Out {
 		o := &g.isup.Out[i]
-		if !g.server.Send(m3ua.Data{OPC: g.own, DPC: g.isup.Far(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
+		if !g.server.Send(m3ua.Data{OPC: g.own, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
 			f.Stats.Unsent++
 		}
 	}
@@ -268,7 +268,7 @@
 
 func (f *Front) linkEvent(now time.Duration, k *conn, e m3ua.Event) {
 	switch e.Kind {
-	case m3ua.Up:
+	case m3ua.Activated:
 		if k.group == nil {
 			k.group = f.byPC[k.link.PeerASP()]
 		}
@@ -277,17 +277,17 @@
 			k.dead = true
 			return
 		}
-		k.group.server.Activated(k.link)
+		k.group.server.Add(k.link)
 		switch {
 		case !k.group.reset:
 			k.group.reset = true
-			k.group.isup.Restart(now)
+			k.group.isup.ResetAll(now)
 		case k.group.server.Active() == 1:
-			k.group.isup.Resume(now)
+			k.group.isup.RetransmitPending(now)
 		}
-	case m3ua.NotActive:
+	case m3ua.Deactivated:
 		f.inactive(now, k)
-	case m3ua.Broken:
+	case m3ua.AssociationDown:
 		k.dead = true
 		f.inactive(now, k)
 	case m3ua.Received:
@@ -308,7 +308,7 @@
 		return
 	}
 	was := g.server.Active()
-	g.server.Deactivated(k.link)
+	g.server.Remove(k.link)
 	if was == 0 || g.server.Active() > 0 {
 		return
 	}
--- a/internal/iax2/config.go
+++ b/internal/iax2/config.go
@@ -10,20 +10,20 @@
 	MaxDialogs int // at once, 32,000
 	MaxPerHost int // incoming ones of one untrusted IP address; 0 is no limit
 
-	RetryFirst time.Duration // gap before a frame is sent again, then doubling; 500 ms (RFC 5456, 7.2.1)
-	RetryMax   time.Duration // the longest gap; 10 s
-	Retries    int           // repeats without an ACK before the peer is held to be gone; 4
-
-	AckDelay    time.Duration // an ACK waits this long for a frame to ride on; 0 is not at all
-	AcceptDelay time.Duration // an offered call is accepted by itself after this; 0 is at once
-	Linger      time.Duration // a closed dialog's call number stays taken; 3 s
-	AuthWait    time.Duration // for the answer to a challenge; 5 s
-	PingEvery   time.Duration // on dialogs that stand; 0 is never
-	TokenLife   time.Duration // of a call token; 10 s
-	Refresh     time.Duration // longest registration granted; 60 s
-
-	Formats uint32 // media formats taken; ulaw and alaw
-	Tokens  bool   // NEW and REGREQ of untrusted hosts need a call token
+	RetransmitInterval    time.Duration // gap before a frame is sent again, then doubling; 500 ms (RFC 5456, 7.2.1)
+	MaxRetransmitInterval time.Duration // the longest gap; 10 s
+	MaxRetransmits        int           // repeats without an ACK before the peer is held to be gone; 4
+
+	AckDelay      time.Duration // an ACK waits this long for a frame to ride on; 0 is not at all
+	AcceptDelay   time.Duration // an offered call is accepted by itself after this; 0 is at once
+	Linger        time.Duration // a closed dialog's call number stays taken; 3 s
+	AuthTimeout   time.Duration // for the answer to a challenge; 5 s
+	PingInterval  time.Duration // on dialogs that stand; 0 is never
+	TokenLifetime time.Duration // of a call token; 10 s
+	MaxRefresh    time.Duration // longest registration granted; 60 s
+
+	Formats       uint32 // media formats taken; ulaw and alaw
+	RequireTokens bool   // NEW and REGREQ of untrusted hosts need a call token
 	// Trusted hosts are exempt from tokens, challenges and MaxPerHost; nil trusts none.
 	Trusted func(Addr) bool
 	// Secret finds a user's secret; nil lets anybody call and nobody register.
@@ -41,13 +41,13 @@
 
 func (c Config) withDefaults() Config {
 	c.MaxDialogs = min(cmp.Or(c.MaxDialogs, 32000), MaxCallNumber-1)
-	c.RetryFirst = cmp.Or(c.RetryFirst, 500*time.Millisecond)
-	c.RetryMax = cmp.Or(c.RetryMax, 10*time.Second)
-	c.Retries = cmp.Or(c.Retries, 4)
+	c.RetransmitInterval = cmp.Or(c.RetransmitInterval, 500*time.Millisecond)
+	c.MaxRetransmitInterval = cmp.Or(c.MaxRetransmitInterval, 10*time.Second)
+	c.MaxRetransmits = cmp.Or(c.MaxRetransmits, 4)
 	c.Linger = cmp.Or(c.Linger, 3*time.Second)
-	c.AuthWait = cmp.Or(c.AuthWait, 5*time.Second)
-	c.TokenLife = cmp.Or(c.TokenLife, 10*time.Second)
-	c.Refresh = cmp.Or(c.Refresh, time.Minute)
+	c.AuthTimeout = cmp.Or(c.AuthTimeout, 5*time.Second)
+	c.TokenLifetime = cmp.Or(c.TokenLifetime, 10*time.Second)
+	c.MaxRefresh = cmp.Or(c.MaxRefresh, time.Minute)
 	c.Formats = cmp.Or(c.Formats, defaultFormats)
 	if c.Trusted == nil {
 		c.Trusted = func(Addr) bool { return false }
@@ -87,8 +87,8 @@
 	Closed                     // nothing of the dialog is left at either end
 	Registered                 // a user registered here: User, From and Refresh are set
 	Unregistered
-	RegisterDone    // our own registration was taken: Refresh is set
-	RegisterRefused // or not: Cause is set
+	RegisterDone     // our own registration was taken: Refresh is set
+	RegisterRejected // or not: Cause is set
 )
 
 // Reason tells why a dialog was lost.
--- a/internal/iax2/dialog.go
+++ b/internal/iax2/dialog.go
@@ -85,8 +85,8 @@
 // Request is what NEW said.
 func (d *Dialog) Request() Request { return d.request }
 
-// Over tells that nothing more can be said on the dialog.
-func (d *Dialog) Over() bool { return d.state >= releasing }
+// Ended tells that nothing more can be said on the dialog.
+func (d *Dialog) Ended() bool { return d.state >= releasing }
 
 func (d *Dialog) learnRemote(n uint16) {
 	d.remote = n
@@ -137,7 +137,7 @@
 // be guessed.
 func (d *Dialog) challengeCall(now time.Duration) {
 	d.state, d.challenge = challenged, challengeText(d.ep.cfg.Random())
-	d.giveUpAt = now + d.ep.cfg.AuthWait
+	d.giveUpAt = now + d.ep.cfg.AuthTimeout
 	ies := AppendUint(d.ep.ies[:0], AuthMethods, authMD5)
 	ies = AppendText(ies, Challenge, d.challenge)
 	d.sendIAX(now, AuthReq, AppendText(ies, Username, d.request.User))
@@ -178,8 +178,8 @@
 
 func (d *Dialog) stand(now time.Duration) {
 	d.state = up
-	if d.ep.cfg.PingEvery > 0 {
-		d.pingAt = now + d.ep.cfg.PingEvery
+	if d.ep.cfg.PingInterval > 0 {
+		d.pingAt = now + d.ep.cfg.PingInterval
 		d.schedule()
 	}
 }
@@ -428,7 +428,7 @@
 	}
 	ies := AppendText(d.ep.ies[:0], CalledNumber, number)
 	ies = AppendUint(ies, DPStatus, status)
-	d.sendIAX(now, DPRep, AppendUint(ies, Refresh, uint32(d.ep.cfg.Refresh/time.Second)))
+	d.sendIAX(now, DPRep, AppendUint(ies, Refresh, uint32(d.ep.cfg.MaxRefresh/time.Second)))
 }
 
 // relayMini passes a media frame on under the other dialog's call number.
@@ -523,7 +523,7 @@
 	f.Source, f.Dest, f.OSeq, f.ISeq = d.local, d.remote, d.oseq, d.iseq
 	s := d.ep.spare()
 	s.buf = AppendFull(s.buf[:0], f)
-	s.oseq, s.opens, s.tries, s.gap = d.oseq, opens, 0, d.ep.cfg.RetryFirst
+	s.oseq, s.opens, s.tries, s.gap = d.oseq, opens, 0, d.ep.cfg.RetransmitInterval
 	s.nextAt = now + s.gap
 	d.oseq++
 	d.ackOwed = false
@@ -658,7 +658,7 @@
 		d.accept(now)
 	}
 	if d.pingAt != 0 && d.pingAt <= now {
-		d.pingAt = now + d.ep.cfg.PingEvery
+		d.pingAt = now + d.ep.cfg.PingInterval
 		if d.state == up {
 			d.sendIAX(now, Ping, nil)
 		}
@@ -667,12 +667,12 @@
 		if s.nextAt > now {
 			continue
 		}
-		if s.tries >= d.ep.cfg.Retries {
+		if s.tries >= d.ep.cfg.MaxRetransmits {
 			d.lose(now, NoReply)
 			return
 		}
 		s.tries++
-		s.gap = min(2*s.gap, d.ep.cfg.RetryMax)
+		s.gap = min(2*s.gap, d.ep.cfg.MaxRetransmitInterval)
 		s.nextAt = now + s.gap
 		d.repeat(s)
 	}
--- a/internal/iax2/dialog_test.go
+++ b/internal/iax2/dialog_test.go
@@ -167,7 +167,7 @@
 	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
 		t.Errorf("called saw %v", got)
 	}
-	if n := w.ends[addrA].Open() + w.ends[addrB].Open(); n != 0 {
+	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 	if len(w.log) > 8 {
@@ -216,7 +216,7 @@
 
 // The far end is silent: repeats at doubling gaps, then one Lost.
 func TestSilentPeer(t *testing.T) {
-	w := newWire(Config{RetryFirst: 500 * ms, Retries: 3}, Config{})
+	w := newWire(Config{RetransmitInterval: 500 * ms, MaxRetransmits: 3}, Config{})
 	w.drop = func(*Frame) bool { return true }
 	w.call(t, Request{Called: "1"})
 	w.run(time.Minute)
@@ -245,7 +245,7 @@
 			t.Errorf("NEW was sent again: %v", w.log)
 		}
 	}
-	if w.ends[addrB].Open() != 0 {
+	if w.ends[addrB].DialogCount() != 0 {
 		t.Error("the far end holds a dialog")
 	}
 }
@@ -268,7 +268,7 @@
 
 // INVAL in mid-call ends the call at once.
 func TestInvalMidCall(t *testing.T) {
-	w := newWire(Config{PingEvery: time.Second}, Config{})
+	w := newWire(Config{PingInterval: time.Second}, Config{})
 	w.answering()
 	w.call(t, Request{Called: "1"})
 	w.run(500 * ms)
@@ -314,13 +314,13 @@
 	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Closed}) {
 		t.Errorf("caller saw %v", got)
 	}
-	if n := w.ends[addrA].Open() + w.ends[addrB].Open(); n != 0 {
+	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 }
 
 func TestCallTokens(t *testing.T) {
-	w := newWire(Config{}, Config{Tokens: true})
+	w := newWire(Config{}, Config{RequireTokens: true})
 	w.answering()
 	w.call(t, Request{Called: "1"})
 	w.run(time.Second)
@@ -329,25 +329,25 @@
 	}
 	// Spoofed sources cost nothing: no dialog, no memory that grows.
 	ep := w.ends[addrB]
-	before, hosts := ep.Open(), len(ep.hosts)
+	before, hosts := ep.DialogCount(), len(ep.hosts)
 	f := Frame{Source: 9, Type: FrameIAX, Subclass: New, Payload: AppendText(nil, CallTokenIE, "")}
 	for i := range 5000 {
 		ep.Receive(w.now, Addr{[4]byte{127, 1, byte(i >> 8), byte(i)}, 5}, AppendFull(nil, &f))
 	}
-	if ep.Open() != before || len(ep.hosts) != hosts {
-		t.Errorf("%d dialogs and %d hosts after a flood", ep.Open(), len(ep.hosts))
+	if ep.DialogCount() != before || len(ep.hosts) != hosts {
+		t.Errorf("%d dialogs and %d hosts after a flood", ep.DialogCount(), len(ep.hosts))
 	}
 	// A token of one address is worth nothing at another.
 	f.Payload = AppendText(nil, CallTokenIE, ep.tokens.mint(w.now, addrA))
 	ep.Receive(w.now, Addr{[4]byte{127, 9, 9, 9}, 5}, AppendFull(nil, &f))
-	if ep.Open() != before {
+	if ep.DialogCount() != before {
 		t.Error("a stolen token opened a dialog")
 	}
 }
 
 // The request for a token comes twice: the call is opened with it once.
 func TestCallTokenRepeated(t *testing.T) {
-	w := newWire(Config{}, Config{Tokens: true})
+	w := newWire(Config{}, Config{RequireTokens: true})
 	w.call(t, Request{Called: "1"})
 	_, opening := w.ends[addrA].Out.At(0)
 	again := slices.Clone(opening)
@@ -365,11 +365,11 @@
 		f := Frame{Source: 100 + i, Type: FrameIAX, Subclass: New}
 		ep.Receive(0, addrA, AppendFull(nil, &f))
 	}
-	if ep.Open() != 3 || ep.Stats.Rejected != 7 {
-		t.Errorf("%d dialogs, %d rejected", ep.Open(), ep.Stats.Rejected)
+	if ep.DialogCount() != 3 || ep.Stats.Rejected != 7 {
+		t.Errorf("%d dialogs, %d rejected", ep.DialogCount(), ep.Stats.Rejected)
 	}
 	ep.Receive(0, addrB, AppendFull(nil, &Frame{Source: 5, Type: FrameIAX, Subclass: New}))
-	if ep.Open() != 4 {
+	if ep.DialogCount() != 4 {
 		t.Error("another host was refused")
 	}
 }
@@ -397,7 +397,7 @@
 }
 
 func TestRegistration(t *testing.T) {
-	w := newWire(Config{}, Config{Secret: secrets, Tokens: true, Refresh: 30 * time.Second})
+	w := newWire(Config{}, Config{Secret: secrets, RequireTokens: true, MaxRefresh: 30 * time.Second})
 	register := func(secret string, refresh time.Duration) Event {
 		t.Helper()
 		if _, err := w.ends[addrA].Register(w.now, addrB, "lift", secret, refresh); err != nil {
@@ -411,7 +411,7 @@
 		w.events[addrA] = nil
 		return got[len(got)-1]
 	}
-	if e := register("bad", time.Hour); e.Kind != RegisterRefused {
+	if e := register("bad", time.Hour); e.Kind != RegisterRejected {
 		t.Errorf("wrong secret: %+v", e)
 	}
 	if e := register("s3cret", time.Hour); e.Kind != RegisterDone || e.Refresh != 30*time.Second {
@@ -430,7 +430,7 @@
 		t.Error("still registered after REGREL")
 	}
 	w.run(w.now + 20*time.Second)
-	if n := w.ends[addrA].Open() + w.ends[addrB].Open(); n != 0 {
+	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 }
@@ -578,8 +578,8 @@
 			}
 		}
 		for a, ep := range w.ends {
-			if ep.Open() != 0 || len(ep.byPeer) != 0 || len(ep.hosts) != 0 || ep.queue.Len() != 0 {
-				t.Fatalf("%v: left: %d dialogs, %d peers, %d hosts, %d timers", a, ep.Open(), len(ep.byPeer),
+			if ep.DialogCount() != 0 || len(ep.byPeer) != 0 || len(ep.hosts) != 0 || ep.queue.Len() != 0 {
+				t.Fatalf("%v: left: %d dialogs, %d peers, %d hosts, %d timers", a, ep.DialogCount(), len(ep.byPeer),
 					len(ep.hosts), ep.queue.Len())
 			}
 		}
--- a/internal/iax2/endpoint.go
+++ b/internal/iax2/endpoint.go
@@ -11,8 +11,8 @@
 // placeholder is the source call number of answers that belong to no dialog; no dialog gets it.
 const placeholder = 1
 
-// ErrNumbers is returned by Call and Register when no call number is free.
-var ErrNumbers = errors.New("iax2: all call numbers are taken")
+// ErrNoCallNumber is returned by Call and Register when no call number is free.
+var ErrNoCallNumber = errors.New("iax2: all call numbers are taken")
 
 // Endpoint speaks IAX2 for one socket. It is not safe for concurrent use.
 type Endpoint struct {
@@ -54,8 +54,8 @@
 	return ep
 }
 
-// Open is the number of dialogs that hold a call number, closed ones that linger included.
-func (ep *Endpoint) Open() int { return ep.open }
+// DialogCount is the number of dialogs that hold a call number, closed ones that linger included.
+func (ep *Endpoint) DialogCount() int { return ep.open }
 
 // Next is when Advance has something to do; ok is false if never.
 func (ep *Endpoint) Next() (at time.Duration, ok bool) {
@@ -74,7 +74,7 @@
 		ep.Stats.Malformed++
 		return
 	}
-	switch f.Shape {
+	switch f.Layout {
 	case Meta:
 		ep.Stats.Meta++
 	case Mini:
@@ -229,7 +229,7 @@
 	if ep.cfg.Trusted(from) {
 		return true
 	}
-	if ep.cfg.Tokens {
+	if ep.cfg.RequireTokens {
 		token := ep.elems.Bytes(CallTokenIE)
 		switch {
 		case !ep.elems.Has(CallTokenIE):
@@ -297,7 +297,7 @@
 func (ep *Endpoint) Call(now time.Duration, to Addr, r Request) (*Dialog, error) {
 	d := ep.newDialog(now, to)
 	if d == nil {
-		return nil, ErrNumbers
+		return nil, ErrNoCallNumber
 	}
 	d.request, d.state = r, calling
 	d.sendNew(now, nil)
--- a/internal/iax2/frame.go
+++ b/internal/iax2/frame.go
@@ -121,36 +121,36 @@
 	ControlAnswer: "ANSWER", ControlBusy: "BUSY", ControlCongestion: "CONGESTION", ControlProgress: "PROGRESS",
 	ControlProceeding: "PROCEEDING"}
 
-// Shape tells the three layouts of a datagram apart (8.1).
-type Shape uint8
+// Layout tells the three layouts of a datagram apart (8.1).
+type Layout uint8
 
 // Shapes of datagrams.
 const (
-	Full Shape = iota
+	Full Layout = iota
 	Mini
 	Meta // recognised, not carried: its content is not a call's signalling
 )
 
 // Frame is one parsed datagram. Payload refers to the datagram's bytes.
 type Frame struct {
-	Shape     Shape
-	Source    uint16 // the sender's call number
-	Dest      uint16 // the receiver's, 0 before it is known
-	Repeat    bool   // sent again
-	Timestamp uint32 // milliseconds of the dialog; 16 bits in mini frames
-	OSeq      uint8
-	ISeq      uint8
-	Type      FrameType
-	Subclass  uint32
-	Payload   []byte // information elements of IAX frames, else media
+	Layout        Layout
+	Source        uint16 // the sender's call number
+	Dest          uint16 // the receiver's, 0 before it is known
+	Retransmitted bool   // sent again
+	Timestamp     uint32 // milliseconds of the dialog; 16 bits in mini frames
+	OSeq          uint8
+	ISeq          uint8
+	Type          FrameType
+	Subclass      uint32
+	Payload       []byte // information elements of IAX frames, else media
 }
 
 // Name is the frame's name as the RFC has it.
 func (f *Frame) Name() string {
 	switch {
-	case f.Shape == Mini:
+	case f.Layout == Mini:
 		return "mini"
-	case f.Shape == Meta:
+	case f.Layout == Meta:
 		return "meta"
 	case f.Type == FrameIAX && iaxNames[f.Subclass] != "":
 		return iaxNames[f.Subclass]
@@ -162,12 +162,12 @@
 
 // Is tells whether the frame is an IAX frame of this subclass.
 func (f *Frame) Is(subclass uint32) bool {
-	return f.Shape == Full && f.Type == FrameIAX && f.Subclass == subclass
+	return f.Layout == Full && f.Type == FrameIAX && f.Subclass == subclass
 }
 
 // IsControl tells whether the frame is a control frame of this subclass.
 func (f *Frame) IsControl(subclass uint32) bool {
-	return f.Shape == Full && f.Type == FrameControl && f.Subclass == subclass
+	return f.Layout == Full && f.Type == FrameControl && f.Subclass == subclass
 }
 
 // Errors of parsing.
@@ -193,9 +193,9 @@
 	if first&0x8000 == 0 {
 		f.Timestamp = uint32(binary.BigEndian.Uint16(b[2:]))
 		f.Payload = b[miniHeader:]
-		f.Shape = Mini
+		f.Layout = Mini
 		if f.Source == 0 {
-			f.Shape = Meta
+			f.Layout = Meta
 		}
 		return nil
 	}
@@ -206,7 +206,7 @@
 		return ErrZero
 	}
 	dest := binary.BigEndian.Uint16(b[2:])
-	f.Dest, f.Repeat = dest&MaxCallNumber, dest&0x8000 != 0
+	f.Dest, f.Retransmitted = dest&MaxCallNumber, dest&0x8000 != 0
 	f.Timestamp = binary.BigEndian.Uint32(b[4:])
 	f.OSeq, f.ISeq, f.Type = b[8], b[9], FrameType(b[10])
 	f.Subclass = uint32(b[11] & 0x7f)
@@ -232,7 +232,7 @@
 // AppendFull appends a full frame's header and payload.
 func AppendFull(b []byte, f *Frame) []byte {
 	dest := f.Dest & MaxCallNumber
-	if f.Repeat {
+	if f.Retransmitted {
 		dest |= 0x8000
 	}
 	b = binary.BigEndian.AppendUint16(b, f.Source|0x8000)
--- a/internal/iax2/frame_test.go
+++ b/internal/iax2/frame_test.go
@@ -11,7 +11,7 @@
 func TestFullFrameRoundTrip(t *testing.T) {
 	for _, f := range []Frame{
 		{Source: 1, Dest: 0, Type: FrameIAX, Subclass: New, Payload: []byte{1, 1, '5'}},
-		{Source: MaxCallNumber, Dest: MaxCallNumber, Repeat: true, Timestamp: 1<<32 - 1, OSeq: 255, ISeq: 254,
+		{Source: MaxCallNumber, Dest: MaxCallNumber, Retransmitted: true, Timestamp: 1<<32 - 1, OSeq: 255, ISeq: 254,
 			Type: FrameControl, Subclass: ControlAnswer},
 		{Source: 7, Dest: 9, Type: FrameVoice, Subclass: 1 << 20, Payload: bytes.Repeat([]byte{3}, 160)},
 	} {
@@ -23,7 +23,7 @@
 		if again := AppendFull(nil, &got); !bytes.Equal(b, again) {
 			t.Errorf("%s: %x became %x", f.Name(), b, again)
 		}
-		if got.Subclass != f.Subclass || got.Dest != f.Dest || got.Repeat != f.Repeat {
+		if got.Subclass != f.Subclass || got.Dest != f.Dest || got.Retransmitted != f.Retransmitted {
 			t.Errorf("%s: got %+v", f.Name(), got)
 		}
 	}
@@ -125,7 +125,7 @@
 				if err := ParseFrame(out, &fr); err != nil {
 					t.Fatalf("sent %x: %v", out, err)
 				}
-				if fr.Shape == Full && fr.Type == FrameIAX {
+				if fr.Layout == Full && fr.Type == FrameIAX {
 					if err := e.Parse(fr.Payload); err != nil {
 						t.Fatalf("sent %x: %v", out, err)
 					}
@@ -133,8 +133,8 @@
 			}
 			ep.Out.Reset()
 		}
-		if ep.Open() > 8 {
-			t.Fatalf("%d dialogs", ep.Open())
+		if ep.DialogCount() > 8 {
+			t.Fatalf("%d dialogs", ep.DialogCount())
 		}
 	})
 }
--- a/internal/iax2/register.go
+++ b/internal/iax2/register.go
@@ -63,7 +63,7 @@
 
 func (d *Dialog) askRegisterProof(now time.Duration) {
 	d.state, d.challenge = challenged, challengeText(d.ep.cfg.Random())
-	d.giveUpAt = now + d.ep.cfg.AuthWait
+	d.giveUpAt = now + d.ep.cfg.AuthTimeout
 	ies := AppendUint(d.ep.ies[:0], AuthMethods, authMD5)
 	ies = AppendText(ies, Challenge, d.challenge)
 	d.sendIAX(now, RegAuth, AppendText(ies, Username, d.reg.user))
@@ -86,8 +86,8 @@
 		d.finishRegister(now, RegAck, AppendText(d.ep.ies[:0], Username, user))
 		return
 	}
-	refresh := min(time.Duration(d.ep.elems.Uint(Refresh))*time.Second, d.ep.cfg.Refresh)
-	refresh = cmp.Or(refresh, d.ep.cfg.Refresh)
+	refresh := min(time.Duration(d.ep.elems.Uint(Refresh))*time.Second, d.ep.cfg.MaxRefresh)
+	refresh = cmp.Or(refresh, d.ep.cfg.MaxRefresh)
 	d.ep.users[user] = &registration{d.peer, now + refresh}
 	d.tell(Event{Kind: Registered, User: user, From: d.peer, Refresh: refresh})
 	ies := AppendText(d.ep.ies[:0], Username, user)
@@ -109,7 +109,7 @@
 func (ep *Endpoint) Register(now time.Duration, to Addr, user, secret string, refresh time.Duration) (*Dialog, error) {
 	d := ep.newDialog(now, to)
 	if d == nil {
-		return nil, ErrNumbers
+		return nil, ErrNoCallNumber
 	}
 	d.state = registering
 	d.reg = &registerAsk{user: user, secret: secret, refresh: refresh, release: refresh == 0}
@@ -160,7 +160,7 @@
 func (d *Dialog) registered(now time.Duration, refresh time.Duration, cause uint8) {
 	kind := RegisterDone
 	if cause != 0 {
-		kind = RegisterRefused
+		kind = RegisterRejected
 	}
 	d.tell(Event{Kind: kind, Dialog: d, User: d.reg.user, Refresh: refresh, Cause: cause})
 	d.state = releasing // its end is told: nothing else is
--- a/internal/iax2/token.go
+++ b/internal/iax2/token.go
@@ -21,7 +21,7 @@
 )
 
 func (m *tokenMint) init(c Config) {
-	m.life = c.TokenLife
+	m.life = c.TokenLifetime
 	for i := 0; i < len(m.key); i += 8 {
 		binary.LittleEndian.PutUint64(m.key[i:], c.Random())
 	}
--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -34,10 +34,10 @@
 
 // Config sets one end of a group.
 type Config struct {
-	First    CIC
-	Circuits int
-	Own, Far uint32 // point codes
-	Timers   Timers
+	First                      CIC
+	Circuits                   int
+	OwnPointCode, FarPointCode uint32 // point codes
+	Timers                     Timers
 }
 
 // state of a circuit.
@@ -115,14 +115,14 @@
 	User    string // user-to-user information
 }
 
-// Out is a message to send.
-type Out struct {
+// OutMessage is a message to send.
+type OutMessage struct {
 	CIC  CIC
 	Data []byte
 }
 
 // SLS is the signalling link selection of a circuit's messages: by the CIC, so that they stay in order (Q.704).
-func (o *Out) SLS() uint8 { return uint8(o.CIC & 0xf) }
+func (o *OutMessage) SLS() uint8 { return uint8(o.CIC & 0xf) }
 
 // Stats count since the group began.
 type Stats struct {
@@ -131,7 +131,7 @@
 
 // Group is one end of a group of circuits.
 type Group struct {
-	Out    []Out // messages to send, in order; the user takes them and resets the slice
+	Out    []OutMessage // messages to send, in order; the user takes them and resets the slice
 	Events []Event
 	Stats  Stats
 
@@ -162,7 +162,9 @@
 
 // controls tells whether this end wins a dual seizure of a circuit: the end with the higher point code controls the
 // even circuits (Q.764, 2.9.1.4).
-func (g *Group) controls(c *circuit) bool { return (c.cic%2 == 0) == (g.cfg.Own > g.cfg.Far) }
+func (g *Group) controls(c *circuit) bool {
+	return (c.cic%2 == 0) == (g.cfg.OwnPointCode > g.cfg.FarPointCode)
+}
 
 // rank orders seizing: own circuits rising, then the others falling, so that the ends meet as late as can be.
 func (g *Group) rank(c *circuit) int {
@@ -213,9 +215,9 @@
 	return nil
 }
 
-func (g *Group) send(cic CIC, t Type, params ...Value) {
+func (g *Group) send(cic CIC, t Type, params ...Parameter) {
 	g.Stats.Out++
-	g.Out = append(g.Out, Out{cic, Append(nil, cic, t, params...)})
+	g.Out = append(g.Out, OutMessage{cic, Append(nil, cic, t, params...)})
 }
 
 func (g *Group) emit(e Event) { g.Events = append(g.Events, e) }
@@ -237,15 +239,15 @@
 	}
 	c := g.order[i]
 	c.state, c.outgoing, c.call = waitACM, true, &Call{c: c}
-	params := []Value{{CalledNumber, called}, {ForwardCall, []byte{0x60, 0}}, {CallingCategory, []byte{10}}}
+	params := []Parameter{{CalledNumber, called}, {ForwardCall, []byte{0x60, 0}}, {CallingCategory, []byte{10}}}
 	if calling, err := AppendNumber(nil, r.Calling); err == nil && r.Calling != "" {
-		params = append(params, Value{CallingNumber, calling})
+		params = append(params, Parameter{CallingNumber, calling})
 	}
 	if r.Hops >= 0 {
-		params = append(params, Value{HopCounter, []byte{byte(r.Hops & 0x1f)}})
+		params = append(params, Parameter{HopCounter, []byte{byte(r.Hops & 0x1f)}})
 	}
 	if r.User != "" {
-		params = append(params, Value{UserToUser, append([]byte{0}, r.User...)})
+		params = append(params, Parameter{UserToUser, append([]byte{0}, r.User...)})
 	}
 	g.send(c.cic, IAM, params...)
 	g.queue.Set(&c.timer, now+g.cfg.Timers.T7)
@@ -256,7 +258,7 @@
 func (g *Group) Accept(now time.Duration, k *Call) {
 	if c := k.c; c.call == k && c.state == offered {
 		c.state = alerting
-		g.send(c.cic, ACM, Value{BackwardCall, []byte{0x16, 0x04}})
+		g.send(c.cic, ACM, Parameter{BackwardCall, []byte{0x16, 0x04}})
 	}
 }
 
@@ -268,7 +270,7 @@
 	}
 	switch c.state {
 	case offered: // ACM and ANM in one
-		g.send(c.cic, CON, Value{BackwardCall, []byte{0x16, 0x04}})
+		g.send(c.cic, CON, Parameter{BackwardCall, []byte{0x16, 0x04}})
 	case alerting:
 		g.send(c.cic, ANM)
 	default:
@@ -378,9 +380,9 @@
 	causeProtocol = 111
 )
 
-// Resume repeats at once what waits for an answer: the messages may have been lost while no link was up. Their timers
+// RetransmitPending repeats at once what waits for an answer: the messages may have been lost while no link was up. Their timers
 // begin anew: a REL that T1 repeats while the RLC to this one is on its way would end the circuit's next call.
-func (g *Group) Resume(now time.Duration) {
+func (g *Group) RetransmitPending(now time.Duration) {
 	for _, c := range g.circuits {
 		switch {
 		case c.state == releasing:
@@ -398,8 +400,8 @@
 	}
 }
 
-// Timers is the number of running timers.
-func (g *Group) Timers() int { return g.queue.Len() + g.blocks.Len() }
+// RunningTimers is the number of running timers.
+func (g *Group) RunningTimers() int { return g.queue.Len() + g.blocks.Len() }
 
-// Far is the point code of the other end.
-func (g *Group) Far() uint32 { return g.cfg.Far }
+// FarPointCode is the point code of the other end.
+func (g *Group) FarPointCode() uint32 { return g.cfg.FarPointCode }
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -13,7 +13,7 @@
 func TestNumbers(t *testing.T) {
 	for _, n := range []string{"", "5", "55", "0123456789", "*61#", "061234567"} {
 		b, err := AppendNumber(nil, n)
-		got, ok := Number(b)
+		got, ok := ParseNumber(b)
 		if err != nil || !ok || got != n {
 			t.Errorf("%q became %q, %v %v", n, got, ok, err)
 		}
@@ -22,7 +22,7 @@
 		t.Error("12x was taken")
 	}
 	for _, b := range [][]byte{nil, {0x83}, {0x83, 0x10}, {0x03, 0x10, 0xa1}} {
-		if n, ok := Number(b); ok {
+		if n, ok := ParseNumber(b); ok {
 			t.Errorf("%x was read as %q", b, n)
 		}
 	}
@@ -31,15 +31,15 @@
 // Every message with every parameter that its layout names, and optional ones, survives encoding and decoding.
 func TestMessagesRoundTrip(t *testing.T) {
 	for ty, l := range layouts {
-		var params []Value
+		var params []Parameter
 		for i, f := range l.fixed {
-			params = append(params, Value{f.name, bytes.Repeat([]byte{byte(i + 1)}, f.size)})
+			params = append(params, Parameter{f.name, bytes.Repeat([]byte{byte(i + 1)}, f.size)})
 		}
 		for i, p := range l.variable {
-			params = append(params, Value{p, bytes.Repeat([]byte{byte(i + 9)}, i+2)})
+			params = append(params, Parameter{p, bytes.Repeat([]byte{byte(i + 9)}, i+2)})
 		}
 		if l.optional {
-			params = append(params, Value{HopCounter, []byte{3}}, Value{Param(0xee), []byte("unknown")})
+			params = append(params, Parameter{HopCounter, []byte{3}}, Parameter{ParamCode(0xee), []byte("unknown")})
 		}
 		b := Append(nil, 0xabc, ty, params...)
 		var m Message
@@ -47,8 +47,8 @@
 			t.Fatalf("%v: %v, CIC %x", ty, err, m.CIC)
 		}
 		for _, p := range params {
-			if !bytes.Equal(m.Get(p.Name), p.Data) {
-				t.Errorf("%v: parameter %x: %x, want %x", ty, p.Name, m.Get(p.Name), p.Data)
+			if !bytes.Equal(m.Param(p.Code), p.Data) {
+				t.Errorf("%v: parameter %x: %x, want %x", ty, p.Code, m.Param(p.Code), p.Data)
 			}
 		}
 		for cut := range len(b) { // no cut is read past its end
@@ -60,26 +60,26 @@
 func TestRangeAndStatus(t *testing.T) {
 	status := []bool{true, false, true, false, false, false, false, false, false, true}
 	var m Message
-	if err := Parse(Append(nil, 1, CGB, Value{SupervisionType, []byte{0}}, Range(10, status)), &m); err != nil {
+	if err := Parse(Append(nil, 1, CGB, Parameter{SupervisionType, []byte{0}}, Range(10, status)), &m); err != nil {
 		t.Fatal(err)
 	}
-	if n, got := RangeOf(&m); n != 10 || !slices.Equal(got, status) {
+	if n, got := ParseRange(&m); n != 10 || !slices.Equal(got, status) {
 		t.Errorf("%d %v", n, got)
 	}
-	if err := Parse(Append(nil, 1, GRS, Value{RangeAndStatus, []byte{20, 1}}), &m); err != nil {
+	if err := Parse(Append(nil, 1, GRS, Parameter{RangeAndStatus, []byte{20, 1}}), &m); err != nil {
 		t.Fatal(err)
 	}
-	if n, _ := RangeOf(&m); n != 0 {
+	if n, _ := ParseRange(&m); n != 0 {
 		t.Error("too few status bits were taken")
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(Append(nil, 5, IAM, Value{CalledNumber, []byte{3, 16, 0x21}}, Value{HopCounter, []byte{2}}))
+	f.Add(Append(nil, 5, IAM, Parameter{CalledNumber, []byte{3, 16, 0x21}}, Parameter{HopCounter, []byte{2}}))
 	f.Add(Append(nil, 5, REL, Cause(16)))
 	f.Add(Append(nil, 5, GRS, Range(31, nil)))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g := NewGroup(Config{First: 1, Circuits: 8, Own: 1, Far: 2})
+		g := NewGroup(Config{First: 1, Circuits: 8, OwnPointCode: 1, FarPointCode: 2})
 		for now := range time.Duration(3) {
 			g.Receive(now*time.Minute, b)
 			g.Advance(now * time.Minute)
@@ -105,8 +105,8 @@
 
 func newPair(circuits int) *pair {
 	p := &pair{lose: func(int, *Message) bool { return false }}
-	p.ends[0] = NewGroup(Config{First: 1, Circuits: circuits, Own: 10, Far: 20})
-	p.ends[1] = NewGroup(Config{First: 1, Circuits: circuits, Own: 20, Far: 10})
+	p.ends[0] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 10, FarPointCode: 20})
+	p.ends[1] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 20, FarPointCode: 10})
 	return p
 }
 
@@ -401,7 +401,7 @@
 	p.ends[1].Block(p.now, 9, true)
 	p.settle()
 	p.events = [2][]Event{}
-	p.ends[0].Restart(p.now)
+	p.ends[0].ResetAll(p.now)
 	p.pass(time.Minute)
 	for end := range 2 {
 		if got := p.kinds(end); len(got) != 6 || got[0] != Lost {
@@ -416,7 +416,7 @@
 
 func TestUnknownCircuitAndMessage(t *testing.T) {
 	p := newPair(2)
-	p.ends[0].Receive(0, Append(nil, 99, IAM, Value{CalledNumber, []byte{3, 16}}))
+	p.ends[0].Receive(0, Append(nil, 99, IAM, Parameter{CalledNumber, []byte{3, 16}}))
 	p.ends[0].Receive(0, []byte{1, 0, 0xfd, 1, 2})
 	p.ends[0].Receive(0, []byte{1})
 	p.collect()
@@ -425,7 +425,7 @@
 	}
 	// The far end lacks a circuit of ours: the call on it ends, and it is not used again.
 	q := newPair(2)
-	q.ends[1] = NewGroup(Config{First: 1, Circuits: 0, Own: 20, Far: 10})
+	q.ends[1] = NewGroup(Config{First: 1, Circuits: 0, OwnPointCode: 20, FarPointCode: 10})
 	q.seize(t)
 	if got := q.kinds(0); !slices.Equal(got, []EventKind{Lost, Closed}) || q.ends[0].Idle() != 1 {
 		t.Errorf("%v, %d idle", got, q.ends[0].Idle())
@@ -472,7 +472,7 @@
 			case what == 5:
 				g.Block(p.now, CIC(rapid.IntRange(1, 3).Draw(t, "cic")), rapid.Bool().Draw(t, "on"))
 			case what == 6 && rapid.IntRange(0, 5).Draw(t, "restart") == 0:
-				g.Restart(p.now)
+				g.ResetAll(p.now)
 			default:
 				p.pass(time.Duration(rapid.IntRange(0, 100).Draw(t, "s")) * time.Second)
 			}
@@ -519,7 +519,7 @@
 	var m Message
 	b.ReportAllocs()
 	for b.Loop() {
-		buf = Append(buf[:0], 7, IAM, Value{CalledNumber, number}, Value{HopCounter, number[:1]})
+		buf = Append(buf[:0], 7, IAM, Parameter{CalledNumber, number}, Parameter{HopCounter, number[:1]})
 		if Parse(buf, &m) != nil {
 			b.Fatal("malformed")
 		}
--- a/internal/isup/message.go
+++ b/internal/isup/message.go
@@ -53,58 +53,58 @@
 	return fmt.Sprintf("type 0x%02x", uint8(t))
 }
 
-// Param names a parameter (Q.763, table 5).
-type Param uint8
+// ParamCode names a parameter (Q.763, table 5).
+type ParamCode uint8
 
 // Parameters.
 const (
-	MediumRequirement Param = 0x02
-	CalledNumber      Param = 0x04
-	NatureOfConn      Param = 0x06
-	ForwardCall       Param = 0x07
-	CallingCategory   Param = 0x09
-	CallingNumber     Param = 0x0a
-	ContinuityInd     Param = 0x10
-	BackwardCall      Param = 0x11
-	CauseIndicators   Param = 0x12
-	SupervisionType   Param = 0x15
-	RangeAndStatus    Param = 0x16
-	UserToUser        Param = 0x20
-	SuspendResume     Param = 0x22
-	EventInfo         Param = 0x24
-	CircuitState      Param = 0x26
-	HopCounter        Param = 0x3d
+	MediumRequirement ParamCode = 0x02
+	CalledNumber      ParamCode = 0x04
+	NatureOfConn      ParamCode = 0x06
+	ForwardCall       ParamCode = 0x07
+	CallingCategory   ParamCode = 0x09
+	CallingNumber     ParamCode = 0x0a
+	ContinuityInd     ParamCode = 0x10
+	BackwardCall      ParamCode = 0x11
+	CauseIndicators   ParamCode = 0x12
+	SupervisionType   ParamCode = 0x15
+	RangeAndStatus    ParamCode = 0x16
+	UserToUser        ParamCode = 0x20
+	SuspendResume     ParamCode = 0x22
+	EventInfo         ParamCode = 0x24
+	CircuitState      ParamCode = 0x26
+	HopCounter        ParamCode = 0x3d
 )
 
 // layout is a message's form: mandatory parameters of fixed length, mandatory ones of variable length, and whether
 // optional ones may follow.
 type layout struct {
 	fixed    []fixedParam
-	variable []Param
+	variable []ParamCode
 	optional bool
 }
 
 type fixedParam struct {
-	name Param
+	name ParamCode
 	size int
 }
 
 var layouts = map[Type]layout{
 	IAM: {[]fixedParam{{NatureOfConn, 1}, {ForwardCall, 2}, {CallingCategory, 1}, {MediumRequirement, 1}},
-		[]Param{CalledNumber}, true},
+		[]ParamCode{CalledNumber}, true},
 	COT: {[]fixedParam{{ContinuityInd, 1}}, nil, false},
 	ACM: {[]fixedParam{{BackwardCall, 2}}, nil, true}, CON: {[]fixedParam{{BackwardCall, 2}}, nil, true},
 	ANM: {nil, nil, true}, RLC: {nil, nil, true},
-	REL: {nil, []Param{CauseIndicators}, true}, CFN: {nil, []Param{CauseIndicators}, true},
+	REL: {nil, []ParamCode{CauseIndicators}, true}, CFN: {nil, []ParamCode{CauseIndicators}, true},
 	SUS: {[]fixedParam{{SuspendResume, 1}}, nil, true}, RES: {[]fixedParam{{SuspendResume, 1}}, nil, true},
 	CPG: {[]fixedParam{{EventInfo, 1}}, nil, true},
 	CCR: {}, RSC: {}, BLO: {}, UBL: {}, BLA: {}, UBA: {}, UCIC: {},
-	GRS: {nil, []Param{RangeAndStatus}, false}, GRA: {nil, []Param{RangeAndStatus}, false},
-	CQM: {nil, []Param{RangeAndStatus}, false}, CQR: {nil, []Param{RangeAndStatus, CircuitState}, false},
-	CGB:  {[]fixedParam{{SupervisionType, 1}}, []Param{RangeAndStatus}, false},
-	CGU:  {[]fixedParam{{SupervisionType, 1}}, []Param{RangeAndStatus}, false},
-	CGBA: {[]fixedParam{{SupervisionType, 1}}, []Param{RangeAndStatus}, false},
-	CGUA: {[]fixedParam{{SupervisionType, 1}}, []Param{RangeAndStatus}, false},
+	GRS: {nil, []ParamCode{RangeAndStatus}, false}, GRA: {nil, []ParamCode{RangeAndStatus}, false},
+	CQM: {nil, []ParamCode{RangeAndStatus}, false}, CQR: {nil, []ParamCode{RangeAndStatus, CircuitState}, false},
+	CGB:  {[]fixedParam{{SupervisionType, 1}}, []ParamCode{RangeAndStatus}, false},
+	CGU:  {[]fixedParam{{SupervisionType, 1}}, []ParamCode{RangeAndStatus}, false},
+	CGBA: {[]fixedParam{{SupervisionType, 1}}, []ParamCode{RangeAndStatus}, false},
+	CGUA: {[]fixedParam{{SupervisionType, 1}}, []ParamCode{RangeAndStatus}, false},
 }
 
 // CIC is a circuit identification code: 12 bits.
@@ -121,7 +121,7 @@
 }
 
 type value struct {
-	name Param
+	name ParamCode
 	data []byte
 }
 
@@ -132,8 +132,8 @@
 	ErrPointer = errors.New("isup: a pointer leads out of the message")
 )
 
-// Get finds a parameter; nil if it is not there.
-func (m *Message) Get(p Param) []byte {
+// Param finds a parameter; nil if it is not there.
+func (m *Message) Param(p ParamCode) []byte {
 	for _, v := range m.params {
 		if v.name == p {
 			return v.data
@@ -201,27 +201,27 @@
 		if at+2 > len(b) || at+2+int(b[at+1]) > len(b) {
 			return ErrPointer
 		}
-		m.params = append(m.params, value{Param(b[at]), b[at+2 : at+2+int(b[at+1])]})
+		m.params = append(m.params, value{ParamCode(b[at]), b[at+2 : at+2+int(b[at+1])]})
 		at += 2 + int(b[at+1])
 	}
 }
 
-// Value is a parameter to send.
-type Value struct {
-	Name Param
+// Parameter is a parameter to send.
+type Parameter struct {
+	Code ParamCode
 	Data []byte
 }
 
 // Append appends a message; parameters that its layout asks for and that are not given are zeros or empty, others
 // are optional ones in the order given.
-func Append(b []byte, cic CIC, t Type, params ...Value) []byte {
+func Append(b []byte, cic CIC, t Type, params ...Parameter) []byte {
 	l := layouts[t]
 	b = binary.LittleEndian.AppendUint16(b, uint16(cic&MaxCIC))
 	b = append(b, byte(t))
 	used := 0
-	take := func(p Param) []byte {
+	take := func(p ParamCode) []byte {
 		for i, v := range params {
-			if v.Name == p && used&(1<<i) == 0 {
+			if v.Code == p && used&(1<<i) == 0 {
 				used |= 1 << i
 				return v.Data
 			}
@@ -254,7 +254,7 @@
 	first := len(b)
 	for i, v := range params {
 		if l.optional && used&(1<<i) == 0 {
-			b = append(b, byte(v.Name), byte(len(v.Data)))
+			b = append(b, byte(v.Code), byte(len(v.Data)))
 			b = append(b, v.Data...)
 		}
 	}
@@ -301,8 +301,8 @@
 	return b, nil
 }
 
-// Number reads a called or calling party number; ok is false if it is malformed.
-func Number(b []byte) (number string, ok bool) {
+// ParseNumber reads a called or calling party number; ok is false if it is malformed.
+func ParseNumber(b []byte) (number string, ok bool) {
 	if len(b) < 2 {
 		return "", false
 	}
@@ -331,18 +331,18 @@
 const causeHead, causeExt = 0x85, 0x80
 
 // Cause makes cause indicators.
-func Cause(c uint8) Value { return Value{CauseIndicators, []byte{causeHead, causeExt | c}} }
+func Cause(c uint8) Parameter { return Parameter{CauseIndicators, []byte{causeHead, causeExt | c}} }
 
-// CauseOf reads cause indicators; 0 if there are none.
-func CauseOf(m *Message) uint8 {
-	if b := m.Get(CauseIndicators); len(b) >= 2 {
+// ParseCause reads cause indicators; 0 if there are none.
+func ParseCause(m *Message) uint8 {
+	if b := m.Param(CauseIndicators); len(b) >= 2 {
 		return b[1] &^ causeExt
 	}
 	return 0
 }
 
 // Range makes range and status for n circuits from the message's CIC on; status has a bit for each, or is nil.
-func Range(n int, status []bool) Value {
+func Range(n int, status []bool) Parameter {
 	data := []byte{byte(n - 1)}
 	if status != nil {
 		data = append(data, make([]byte, (n+7)/8)...)
@@ -352,12 +352,12 @@
 			}
 		}
 	}
-	return Value{RangeAndStatus, data}
+	return Parameter{RangeAndStatus, data}
 }
 
-// RangeOf reads range and status; n is 0 if it is malformed. status is nil if none is given.
-func RangeOf(m *Message) (n int, status []bool) {
-	b := m.Get(RangeAndStatus)
+// ParseRange reads range and status; n is 0 if it is malformed. status is nil if none is given.
+func ParseRange(m *Message) (n int, status []bool) {
+	b := m.Param(RangeAndStatus)
 	if len(b) == 0 {
 		return 0, nil
 	}
--- a/internal/isup/receive.go
+++ b/internal/isup/receive.go
@@ -70,16 +70,16 @@
 	}
 	r := Request{Hops: -1}
 	var ok bool
-	if r.Called, ok = Number(m.Get(CalledNumber)); !ok || r.Called == "" {
+	if r.Called, ok = ParseNumber(m.Param(CalledNumber)); !ok || r.Called == "" {
 		c.state = offered
 		g.release(now, c, causeProtocol)
 		return
 	}
-	r.Calling, _ = Number(m.Get(CallingNumber))
-	if h := m.Get(HopCounter); len(h) > 0 {
+	r.Calling, _ = ParseNumber(m.Param(CallingNumber))
+	if h := m.Param(HopCounter); len(h) > 0 {
 		r.Hops = int(h[0] & 0x1f)
 	}
-	if u := m.Get(UserToUser); len(u) > 1 {
+	if u := m.Param(UserToUser); len(u) > 1 {
 		r.User = string(u[1:])
 	}
 	c.farBlk = false // an IAM on a circuit that its end had blocked ends the blocking (2.8.2.1)
@@ -116,7 +116,7 @@
 	case idle, resetting:
 	case releasing: // both at once (2.3.1): the circuit is free when RLC has come
 	default:
-		g.end(c, Event{Kind: Released, Cause: CauseOf(m)})
+		g.end(c, Event{Kind: Released, Cause: ParseCause(m)})
 		g.clear(c)
 	}
 }
@@ -200,8 +200,8 @@
 	}
 }
 
-// Restart resets the whole group, as after a start without memory: calls on it are lost.
-func (g *Group) Restart(now time.Duration) {
+// ResetAll resets the whole group, as after a start without memory: calls on it are lost.
+func (g *Group) ResetAll(now time.Duration) {
 	for _, c := range g.circuits {
 		g.end(c, Event{Kind: Lost, Reset: true})
 		g.queue.Stop(&c.timer)
@@ -249,7 +249,7 @@
 
 // receiveGroup takes the messages that name a range of circuits.
 func (g *Group) receiveGroup(now time.Duration, m *Message) {
-	n, status := RangeOf(m)
+	n, status := ParseRange(m)
 	if n == 0 {
 		g.Stats.Malformed++
 		return
@@ -262,7 +262,7 @@
 		}
 	}
 	named := func(i int) bool { return i < len(status) && status[i] }
-	kind := Value{SupervisionType, m.Get(SupervisionType)}
+	kind := Parameter{SupervisionType, m.Param(SupervisionType)}
 	switch m.Type {
 	case GRS:
 		blocked := make([]bool, n)
@@ -306,7 +306,7 @@
 				states[i] = 0x03 // unequipped
 			}
 		}
-		g.send(m.CIC, CQR, Range(n, nil), Value{CircuitState, states})
+		g.send(m.CIC, CQR, Range(n, nil), Parameter{CircuitState, states})
 	}
 }
 
--- a/internal/lab/seeds.go
+++ b/internal/lab/seeds.go
@@ -103,7 +103,7 @@
 		}
 	default:
 		var f iax2.Frame
-		if iax2.ParseFrame(p.Payload, &f) == nil && f.Shape == iax2.Full {
+		if iax2.ParseFrame(p.Payload, &f) == nil && f.Layout == iax2.Full {
 			m[f.Name()]++
 		}
 	}
--- a/internal/m3ua/link.go
+++ b/internal/m3ua/link.go
@@ -7,21 +7,21 @@
 
 // Config sets one end of an association. Zero values take the defaults given here.
 type Config struct {
-	Context   uint32        // routing context; 0 is none
-	Mode      uint32        // traffic mode; TrafficOverride
-	ASP       uint32        // identifier of the own ASP; 0 is not told
-	AckWait   time.Duration // T(ack): for the answer to ASPUP and the like, then it is sent again; 2 s
-	Retries   int           // before the association is given up; 4
-	BeatEvery time.Duration // without anything heard; 5 s. Twice as long without an answer and the peer is gone
-	MaxOut    int           // bytes that wait for a peer that does not read; 256 KiB
+	Context           uint32        // routing context; 0 is none
+	Mode              uint32        // traffic mode; TrafficOverride
+	ASP               uint32        // identifier of the own ASP; 0 is not told
+	AckTimeout        time.Duration // T(ack): for the answer to ASPUP and the like, then it is sent again; 2 s
+	Retries           int           // before the association is given up; 4
+	HeartbeatInterval time.Duration // without anything heard; 5 s. Twice as long without an answer and the peer is gone
+	MaxUnsentBytes    int           // bytes that wait for a peer that does not read; 256 KiB
 }
 
 func (c Config) withDefaults() Config {
 	c.Mode = cmp.Or(c.Mode, TrafficOverride)
-	c.AckWait = cmp.Or(c.AckWait, 2*time.Second)
+	c.AckTimeout = cmp.Or(c.AckTimeout, 2*time.Second)
 	c.Retries = cmp.Or(c.Retries, 4)
-	c.BeatEvery = cmp.Or(c.BeatEvery, 5*time.Second)
-	c.MaxOut = cmp.Or(c.MaxOut, 256<<10)
+	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, 5*time.Second)
+	c.MaxUnsentBytes = cmp.Or(c.MaxUnsentBytes, 256<<10)
 	return c
 }
 
@@ -40,11 +40,11 @@
 
 // Kinds of Event.
 const (
-	Up          EventKind = iota + 1 // the ASP is active: traffic may be sent
-	NotActive                        // the ASP is no longer active, the association stands
-	Received                         // Data came
-	Broken                           // the association has to be closed: Err tells why
-	Unavailable                      // the peer told that a point code cannot be reached: PC is set
+	Activated       EventKind = iota + 1 // the ASP is active: traffic may be sent
+	Deactivated                          // the ASP is no longer active, the association stands
+	Received                             // Data came
+	AssociationDown                      // the association has to be closed: Err tells why
+	Unavailable                          // the peer told that a point code cannot be reached: PC is set
 	Available
 )
 
@@ -87,7 +87,7 @@
 // NewLink begins an association over a connection that has just been made; opener is the end that connected.
 func NewLink(now time.Duration, opener bool, c Config) *Link {
 	l := &Link{cfg: c.withDefaults(), opener: opener, heard: now}
-	l.beatAt = now + l.cfg.BeatEvery
+	l.beatAt = now + l.cfg.HeartbeatInterval
 	if opener {
 		l.ask(now, ASPUP, ASPUPAck)
 	}
@@ -117,7 +117,7 @@
 	if l.state != Active || l.dead {
 		return false
 	}
-	if len(l.Out)+dataHeader+len(d.Payload) > l.cfg.MaxOut {
+	if len(l.Out)+dataHeader+len(d.Payload) > l.cfg.MaxUnsentBytes {
 		l.breakOff(errNotRead)
 		return false
 	}
@@ -139,7 +139,7 @@
 	if l.dead {
 		return
 	}
-	l.heard, l.beatAt = now, now+l.cfg.BeatEvery
+	l.heard, l.beatAt = now, now+l.cfg.HeartbeatInterval
 	err := l.stream.Feed(b, func(m []byte) error {
 		if !l.dead {
 			l.message(now, m)
@@ -163,21 +163,21 @@
 			return
 		}
 		l.tries++
-		l.askAt = now + l.cfg.AckWait
+		l.askAt = now + l.cfg.AckTimeout
 		l.send(l.asked, l.askParams(l.asked)...)
 	}
 	if l.beatAt <= now {
-		if now-l.heard >= 2*l.cfg.BeatEvery {
+		if now-l.heard >= 2*l.cfg.HeartbeatInterval {
 			l.breakOff(errSilent)
 			return
 		}
-		l.beatAt = now + l.cfg.BeatEvery
+		l.beatAt = now + l.cfg.HeartbeatInterval
 		l.send(BEAT)
 	}
 }
 
 func (l *Link) send(t Type, params ...Param) {
-	if len(l.Out) > l.cfg.MaxOut {
+	if len(l.Out) > l.cfg.MaxUnsentBytes {
 		l.breakOff(errNotRead)
 		return
 	}
@@ -187,11 +187,11 @@
 
 func (l *Link) error(code uint32) {
 	l.Stats.Errors++
-	l.send(ERR, U32(TagErrorCode, code))
+	l.send(ERR, Uint32Param(TagErrorCode, code))
 }
 
 func (l *Link) ask(now time.Duration, t, answer Type) {
-	l.asked, l.want, l.tries, l.askAt = t, answer, 0, now+l.cfg.AckWait
+	l.asked, l.want, l.tries, l.askAt = t, answer, 0, now+l.cfg.AckTimeout
 	l.send(t, l.askParams(t)...)
 }
 
@@ -199,14 +199,14 @@
 	switch t {
 	case ASPUP:
 		if l.cfg.ASP != 0 {
-			p = append(p, U32(TagASPIdentifier, l.cfg.ASP))
+			p = append(p, Uint32Param(TagASPIdentifier, l.cfg.ASP))
 		}
 	case ASPAC:
-		p = append(p, U32(TagTrafficMode, l.cfg.Mode))
+		p = append(p, Uint32Param(TagTrafficMode, l.cfg.Mode))
 		fallthrough
 	case ASPIA:
 		if l.cfg.Context != 0 {
-			p = append(p, U32(TagRoutingContext, l.cfg.Context))
+			p = append(p, Uint32Param(TagRoutingContext, l.cfg.Context))
 		}
 	}
 	return p
@@ -220,7 +220,7 @@
 	}
 	l.set(Down)
 	l.dead, l.askAt = true, 0
-	l.emit(Event{Kind: Broken, Err: err})
+	l.emit(Event{Kind: AssociationDown, Err: err})
 }
 
 // set changes the ASP's state and tells what that means for traffic.
@@ -229,9 +229,9 @@
 	l.state = s
 	switch {
 	case was != Active && s == Active:
-		l.emit(Event{Kind: Up})
+		l.emit(Event{Kind: Activated})
 	case was == Active && s != Active:
-		l.emit(Event{Kind: NotActive})
+		l.emit(Event{Kind: Deactivated})
 	}
 }
 
@@ -304,7 +304,7 @@
 		l.peer, _ = m.Uint(TagASPIdentifier)
 		l.set(Inactive) // also from active: the peer began anew (4.3.4.1)
 		l.send(ASPUPAck)
-		l.send(NTFY, U32(TagStatus, StatusASInactive))
+		l.send(NTFY, Uint32Param(TagStatus, StatusASInactive))
 	case ASPAC:
 		if l.state == Down {
 			l.error(ErrUnexpected)
@@ -315,7 +315,7 @@
 			return
 		}
 		l.send(ASPACAck, m.Params...)
-		l.send(NTFY, U32(TagStatus, StatusASActive))
+		l.send(NTFY, Uint32Param(TagStatus, StatusASActive))
 		l.set(Active)
 	case ASPIA:
 		l.send(ASPIAAck)
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestMalformed(t *testing.T) {
-	good := Append(nil, ASPUP, U32(TagASPIdentifier, 7))
+	good := Append(nil, ASPUP, Uint32Param(TagASPIdentifier, 7))
 	for _, c := range []struct {
 		name string
 		edit func(b []byte) []byte
@@ -130,21 +130,21 @@
 	kinds(b)
 	a.Stop(0)
 	pass(0, a, b)
-	if got := kinds(b); len(got) != 1 || got[0] != NotActive || b.State() != Down {
+	if got := kinds(b); len(got) != 1 || got[0] != Deactivated || b.State() != Down {
 		t.Errorf("the other end: %v, state %v", got, b.State())
 	}
-	if got := kinds(a); len(got) != 2 || got[1] != Broken {
+	if got := kinds(a); len(got) != 2 || got[1] != AssociationDown {
 		t.Errorf("stopped: %v", got)
 	}
 }
 
 // The peer answers nothing: ASPUP again at intervals, then the link is broken, once.
 func TestNoAnswer(t *testing.T) {
-	l := NewLink(0, true, Config{AckWait: time.Second, Retries: 2, BeatEvery: time.Hour})
+	l := NewLink(0, true, Config{AckTimeout: time.Second, Retries: 2, HeartbeatInterval: time.Hour})
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * ms {
 		l.Advance(now)
 	}
-	if got := kinds(l); len(got) != 1 || got[0] != Broken || l.Stats.Out != 3 {
+	if got := kinds(l); len(got) != 1 || got[0] != AssociationDown || l.Stats.Out != 3 {
 		t.Errorf("%v after %d messages", got, l.Stats.Out)
 	}
 	if _, ok := l.Next(); ok {
@@ -153,7 +153,7 @@
 }
 
 func TestSilentPeer(t *testing.T) {
-	a, b := NewLink(0, true, Config{BeatEvery: time.Second}), NewLink(0, false, Config{BeatEvery: time.Second})
+	a, b := NewLink(0, true, Config{HeartbeatInterval: time.Second}), NewLink(0, false, Config{HeartbeatInterval: time.Second})
 	pass(0, a, b)
 	kinds(a)
 	for now := time.Duration(0); now <= 5*time.Second; now += 100 * ms { // both alive: beats keep it up
@@ -167,21 +167,21 @@
 	for now := 5 * time.Second; now <= 9*time.Second; now += 100 * ms {
 		a.Advance(now)
 	}
-	if got := kinds(a); len(got) != 2 || got[0] != NotActive || got[1] != Broken {
+	if got := kinds(a); len(got) != 2 || got[0] != Deactivated || got[1] != AssociationDown {
 		t.Errorf("%v", got)
 	}
 }
 
 // A peer that never reads costs a bounded queue, and the link then.
 func TestPeerThatNeverReads(t *testing.T) {
-	a, b := NewLink(0, true, Config{MaxOut: 10000}), NewLink(0, false, Config{})
+	a, b := NewLink(0, true, Config{MaxUnsentBytes: 10000}), NewLink(0, false, Config{})
 	pass(0, a, b)
 	kinds(a)
 	sent := 0
 	for a.Send(Data{Payload: make([]byte, 100)}) {
 		sent++
 	}
-	if len(a.Out) > 10000 || sent < 50 || kinds(a)[1] != Broken {
+	if len(a.Out) > 10000 || sent < 50 || kinds(a)[1] != AssociationDown {
 		t.Errorf("%d bytes wait after %d messages", len(a.Out), sent)
 	}
 }
@@ -190,7 +190,7 @@
 func TestCutAtEveryByte(t *testing.T) {
 	var whole []byte
 	for _, ty := range []Type{ASPUP, ASPAC, DATA, BEAT, DAUD, NTFY, ERR, ASPIA, ASPDN} {
-		whole = append(whole, Append(nil, ty, U32(TagTrafficMode, TrafficOverride))...)
+		whole = append(whole, Append(nil, ty, Uint32Param(TagTrafficMode, TrafficOverride))...)
 	}
 	whole = AppendData(whole, 0, Data{Payload: []byte("x")})
 	for cut := range len(whole) {
@@ -199,7 +199,7 @@
 			l.Receive(0, whole[i:i+1])
 		}
 		for _, e := range l.Events {
-			if e.Kind == Broken {
+			if e.Kind == AssociationDown {
 				t.Fatalf("cut at %d: %v", cut, e.Err)
 			}
 		}
@@ -221,8 +221,8 @@
 		{"unknown type", Append(nil, Type{ClassASPSM, 99}), ErrUnsupportedType},
 		{"data before active", AppendData(nil, 0, Data{}), ErrUnexpected},
 		{"active before up", Append(nil, ASPAC), ErrUnexpected},
-		{"other traffic mode", Append(Append(nil, ASPUP), ASPAC, U32(TagTrafficMode, TrafficShare)), ErrTrafficMode},
-		{"other routing context", Append(nil, ASPUP, U32(TagRoutingContext, 9)), ErrInvalidRoutingCtx},
+		{"other traffic mode", Append(Append(nil, ASPUP), ASPAC, Uint32Param(TagTrafficMode, TrafficShare)), ErrTrafficMode},
+		{"other routing context", Append(nil, ASPUP, Uint32Param(TagRoutingContext, 9)), ErrInvalidRoutingCtx},
 	} {
 		l := NewLink(0, false, Config{Context: 4})
 		l.Receive(0, c.send)
@@ -258,22 +258,22 @@
 
 func TestFailOver(t *testing.T) {
 	one, two := &asp{state: Active}, &asp{state: Active}
-	s := Server{Mode: TrafficOverride}
+	s := ApplicationServer{Mode: TrafficOverride}
 	if s.Send(Data{}) {
 		t.Error("sent by nobody")
 	}
-	s.Activated(one)
-	s.Activated(two) // overrides
+	s.Add(one)
+	s.Add(two) // overrides
 	s.Send(Data{SLS: 1})
 	two.state = Down // not told yet: the message goes by the other all the same
 	s.Send(Data{SLS: 2})
-	s.Deactivated(two)
+	s.Remove(two)
 	s.Send(Data{SLS: 3})
 	if len(two.got) != 1 || len(one.got) != 2 {
 		t.Errorf("override: %d and %d", len(one.got), len(two.got))
 	}
 	one, two = &asp{state: Active}, &asp{state: Active}
-	s = Server{Mode: TrafficShare, asps: []Process{one, two}}
+	s = ApplicationServer{Mode: TrafficShare, asps: []ASP{one, two}}
 	for sls := range uint8(16) {
 		s.Send(Data{SLS: sls})
 		s.Send(Data{SLS: sls})
@@ -284,7 +284,7 @@
 }
 
 func FuzzLink(f *testing.F) {
-	f.Add(Append(Append(nil, ASPUP), ASPAC, U32(TagTrafficMode, 1)))
+	f.Add(Append(Append(nil, ASPUP), ASPAC, Uint32Param(TagTrafficMode, 1)))
 	f.Add(AppendData(nil, 3, Data{Payload: []byte{1, 0, 1}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		l := NewLink(0, false, Config{})
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -190,8 +190,8 @@
 	return b
 }
 
-// U32 is a parameter of four bytes.
-func U32(t Tag, v uint32) Param { return Param{t, binary.BigEndian.AppendUint32(nil, v)} }
+// Uint32Param is a parameter of four bytes.
+func Uint32Param(t Tag, v uint32) Param { return Param{t, binary.BigEndian.AppendUint32(nil, v)} }
 
 // Data is the protocol data of DATA (3.3.1): one MTP3 user message.
 type Data struct {
--- a/internal/node/isup_test.go
+++ b/internal/node/isup_test.go
@@ -42,7 +42,7 @@
 		for y := range n {
 			if y != x {
 				cfg.Groups = append(cfg.Groups, isupfront.GroupConfig{Exchange: y, Circuits: isup.Config{First: 1,
-					Circuits: circuits, Own: uint32(x + 1), Far: uint32(y + 1)}})
+					Circuits: circuits, OwnPointCode: uint32(x + 1), FarPointCode: uint32(y + 1)}})
 			}
 		}
 		old := w.nodes[x]
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -178,7 +178,7 @@
 func (w *network) deliver(d datagram) {
 	if ep := w.ends[d.to]; ep != nil {
 		var f iax2.Frame
-		if w.media != nil && iax2.ParseFrame(d.b, &f) == nil && f.Shape == iax2.Mini {
+		if w.media != nil && iax2.ParseFrame(d.b, &f) == nil && f.Layout == iax2.Mini {
 			w.media(d.to, string(f.Payload))
 		}
 		ep.Receive(w.now, d.from, d.b)
@@ -220,9 +220,9 @@
 	w.t.Helper()
 	w.run(w.now + 2*time.Minute)
 	for x, n := range w.nodes {
-		if n.Core.OpenCalls()+n.Core.Legs()+n.Dialogs()+n.IAX().Open()+n.Core.Timers() != 0 {
+		if n.Core.OpenCalls()+n.Core.Legs()+n.Dialogs()+n.IAX().DialogCount()+n.Core.Timers() != 0 {
 			w.t.Errorf("router %d: %d calls, %d legs, %d dialogs, %d call numbers, %d timers left", x, n.Core.OpenCalls(), n.Core.Legs(),
-				n.Dialogs(), n.IAX().Open(), n.Core.Timers())
+				n.Dialogs(), n.IAX().DialogCount(), n.Core.Timers())
 		}
 		for _, g := range n.Core.Groups() {
 			if g.Free() != g.Size() {
@@ -234,7 +234,7 @@
 		}
 	}
 	for _, a := range w.order {
-		if n := w.ends[a].Open(); n != 0 {
+		if n := w.ends[a].DialogCount(); n != 0 {
 			w.t.Errorf("%v: %d dialogs left", a, n)
 		}
 	}
@@ -382,7 +382,7 @@
 func TestRouterRestartMidCall(t *testing.T) {
 	w := newNetwork(t, 2, plain)
 	w.caller = nil
-	w.ends[callerAddr] = iax2.NewEndpoint(iax2.Config{PingEvery: time.Second})
+	w.ends[callerAddr] = iax2.NewEndpoint(iax2.Config{PingInterval: time.Second})
 	w.caller = w.ends[callerAddr]
 	w.call("15")
 	w.run(w.now + 500*ms)
--- a/internal/rules/isup.go
+++ b/internal/rules/isup.go
@@ -53,7 +53,7 @@
 		if sent != nil {
 			c.openerLeft(sent)
 		} else if received != nil && (!c.Exact || received.heard) { // else it is of the circuit's last call, and crosses the IAM
-			c.final(received, uint8(isup.REL), "REL", false, isup.CauseOf(&msg))
+			c.final(received, uint8(isup.REL), "REL", false, isup.ParseCause(&msg))
 			received.over = true
 		}
 	case isup.RLC:
@@ -81,7 +81,7 @@
 // seized judges an IAM. Where the other end has seized the circuit as well and controls it, the call does not begin;
 // where it does not, its call gives way.
 func (c *Checker) seized(k key, theirs *dialog, msg *isup.Message, higher bool) {
-	call, _ := isup.Number(msg.Get(isup.CallingNumber))
+	call, _ := isup.ParseNumber(msg.Param(isup.CallingNumber))
 	if k.opener.Kind == capture.Router {
 		c.judgeDrain(k.opener, k.other, call)
 	}
@@ -90,7 +90,7 @@
 		old.over = true
 	}
 	context := ""
-	if u := msg.Get(isup.UserToUser); len(u) > 1 {
+	if u := msg.Param(isup.UserToUser); len(u) > 1 {
 		context = string(u[1:])
 	}
 	d := &dialog{key: k, opened: c.now, call: call, context: context}
@@ -113,7 +113,7 @@
 func (c *Checker) circuitsReset(from, to capture.Party, msg *isup.Message) {
 	n := 1
 	if msg.Type == isup.GRS {
-		n, _ = isup.RangeOf(msg)
+		n, _ = isup.ParseRange(msg)
 	}
 	for i := range n {
 		number := onCircuit | uint16(msg.CIC) + uint16(i)
@@ -131,7 +131,7 @@
 
 // resetConfirmed ends the set-ups whose IAM crossed the reset: who confirms it has lost them.
 func (c *Checker) resetConfirmed(from, to capture.Party, msg *isup.Message) {
-	n, _ := isup.RangeOf(msg)
+	n, _ := isup.ParseRange(msg)
 	for i := range n {
 		if d := c.circuit(from, to, onCircuit|uint16(msg.CIC)+uint16(i)); d != nil {
 			c.attemptOver(d, "reset")
--- a/internal/rules/ladder.go
+++ b/internal/rules/ladder.go
@@ -44,7 +44,7 @@
 		return
 	}
 	var f iax2.Frame
-	if p.Notice != nil || iax2.ParseFrame(p.Payload, &f) != nil || f.Shape != iax2.Full {
+	if p.Notice != nil || iax2.ParseFrame(p.Payload, &f) != nil || f.Layout != iax2.Full {
 		return
 	}
 	text := ""
@@ -63,7 +63,7 @@
 		return
 	}
 	again := ""
-	if f.Repeat {
+	if f.Retransmitted {
 		again = " (repeat)"
 	}
 	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %5d>%-5d %3d/%-3d %s%s%s\n", p.At.Sub(l.first).Seconds(), p.From, p.To, f.Source,
@@ -89,13 +89,13 @@
 	text := fmt.Sprintf("CIC %-5d %v", msg.CIC, msg.Type)
 	switch msg.Type {
 	case isup.IAM:
-		calling, _ := isup.Number(msg.Get(isup.CallingNumber))
+		calling, _ := isup.ParseNumber(msg.Param(isup.CallingNumber))
 		if l.circuits[sent] = calling == l.Call; l.circuits[sent] {
-			called, _ := isup.Number(msg.Get(isup.CalledNumber))
+			called, _ := isup.ParseNumber(msg.Param(isup.CalledNumber))
 			text += " to " + called
 		}
 	case isup.REL:
-		text += fmt.Sprintf(" cause %d", isup.CauseOf(&msg))
+		text += fmt.Sprintf(" cause %d", isup.ParseCause(&msg))
 	}
 	if l.circuits[sent] || l.circuits[received] {
 		l.line(p, text)
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -208,7 +208,7 @@
 		c.report.Malformed++
 		return
 	}
-	if f.Shape != iax2.Full {
+	if f.Layout != iax2.Full {
 		return
 	}
 	if f.Type == iax2.FrameIAX {
@@ -333,8 +333,8 @@
 	k := key{from, to, f.Source}
 	mark := uint64(f.Timestamp)<<32 | uint64(len(f.Payload))
 	d := c.dialogs[k]
-	repeat := d != nil && (d.opening == mark || f.Repeat) && !d.over
-	if d != nil && d.opening == mark && f.Repeat {
+	repeat := d != nil && (d.opening == mark || f.Retransmitted) && !d.over
+	if d != nil && d.opening == mark && f.Retransmitted {
 		repeat = true
 	}
 	if from.Kind == capture.Router {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -293,7 +293,7 @@
 }
 
 // circuit sends one ISUP message from one router to another, as a capture shows it.
-func (p *tape) circuit(from, to capture.Party, cic isup.CIC, t isup.Type, params ...isup.Value) {
+func (p *tape) circuit(from, to capture.Party, cic isup.CIC, t isup.Type, params ...isup.Parameter) {
 	p.w.Message(p.at, from, to, m3ua.AppendData(nil, 0, m3ua.Data{OPC: uint32(from.Exchange + 1), DPC: uint32(to.Exchange + 1),
 		SI: m3ua.ISUPIndicator, Payload: isup.Append(nil, cic, t, params...)}))
 }
@@ -303,8 +303,8 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.circuit(from, to, cic, isup.IAM, isup.Value{Name: isup.CalledNumber, Data: number},
-		isup.Value{Name: isup.CallingNumber, Data: number}, isup.Value{Name: isup.UserToUser, Data: append([]byte{0}, "alarm"...)})
+	p.circuit(from, to, cic, isup.IAM, isup.Parameter{Code: isup.CalledNumber, Data: number},
+		isup.Parameter{Code: isup.CallingNumber, Data: number}, isup.Parameter{Code: isup.UserToUser, Data: append([]byte{0}, "alarm"...)})
 }
 
 // The same rules on circuits: planted faults are found, their twins are not.
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -111,7 +111,7 @@
 	core, iax := &n.Core.Stats, &n.IAX().Stats
 	gauge(descCalls, float64(n.Core.OpenCalls()))
 	gauge(descLegs, float64(n.Core.Legs()))
-	gauge(descDialogs, float64(n.IAX().Open()))
+	gauge(descDialogs, float64(n.IAX().DialogCount()))
 	for e := call.Answered; e <= call.Abandoned; e++ {
 		count(descEnds, core.Ends[e], e.String())
 	}
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -107,7 +107,7 @@
 		conn.Close()
 		return
 	}
-	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASP: h.cfg.Own, MaxOut: 4 << 20})
+	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASP: h.cfg.OwnPointCode, MaxUnsentBytes: 4 << 20})
 	h.seqs, h.cuts = [2]uint32{}, [2]m3ua.Stream{}
 	h.work()
 	h.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 	for i := range h.group.Out {
 		o := &h.group.Out[i]
-		h.link.Send(m3ua.Data{OPC: h.cfg.Own, DPC: h.cfg.Far, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
+		h.link.Send(m3ua.Data{OPC: h.cfg.OwnPointCode, DPC: h.cfg.FarPointCode, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
 	}
 	h.group.Out = h.group.Out[:0]
 	if len(h.link.Out) > 0 {
@@ -200,16 +200,16 @@
 
 func (h *ISUPHost) linkEvent(now time.Duration, e m3ua.Event) {
 	switch e.Kind {
-	case m3ua.Up:
+	case m3ua.Activated:
 		if h.fresh {
 			h.fresh = false
-			h.group.Restart(now)
+			h.group.ResetAll(now)
 		} else {
-			h.group.Resume(now)
+			h.group.RetransmitPending(now)
 		}
 	case m3ua.Received:
 		h.group.Receive(now, e.Data.Payload)
-	case m3ua.Broken:
+	case m3ua.AssociationDown:
 		h.conn.Close()
 	}
 }
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -81,7 +81,7 @@
 }
 
 func (s *Switch) endpoint() iax2.Config {
-	return iax2.Config{AcceptDelay: 200 * time.Millisecond, AckDelay: 20 * time.Millisecond, PingEvery: 5 * time.Second,
+	return iax2.Config{AcceptDelay: 200 * time.Millisecond, AckDelay: 20 * time.Millisecond, PingInterval: 5 * time.Second,
 		Linger: 2 * time.Second}
 }
 
@@ -185,7 +185,7 @@
 func (s *Switch) looked(d *iax2.Dialog) {
 	now := s.host.now()
 	switch {
-	case d.Over() || s.down || s.fallen:
+	case d.Ended() || s.down || s.fallen:
 	case s.rng.Float64() < s.faults.RejectRate:
 		d.Release(now, causeFault, "rejected")
 	case len(s.calls) >= s.spec.Lines:
@@ -198,7 +198,7 @@
 }
 
 func (s *Switch) answer(d *iax2.Dialog) {
-	if d.Over() || s.down || s.fallen || !s.calls[d] {
+	if d.Ended() || s.down || s.fallen || !s.calls[d] {
 		return
 	}
 	s.Stats.Answered++
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -56,7 +56,7 @@
 		return true, nil
 	}
 	var f iax2.Frame
-	if iax2.ParseFrame(b, &f) != nil || f.Shape != iax2.Full {
+	if iax2.ParseFrame(b, &f) != nil || f.Layout != iax2.Full {
 		return true, nil
 	}
 	if m.frames == nil {
