--- a/decide/decide.go
+++ b/decide/decide.go
@@ -114,7 +114,8 @@
 	}
 	cl := &c.s.Classes[class]
 	k := &call{id: e.Call, class: class, width: e.Width, dest: e.Dest, number: e.CalledNumber,
-		advised: e.AdvisedTandem, transit: e.Transit, arrived: c.now, first: c.now, deadline: c.now + e.Patience, worth: cl.Value}
+		advised: e.AdvisedTandem, transit: e.Transit, arrived: c.now, first: c.now,
+		deadline: c.now + e.Patience, worth: cl.Value}
 	if k.width < 1 {
 		k.width = cl.Width
 	}
