--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,6 @@
-// Package coordinator reads the platform's list of switches: the events known at a start, and the frames that bring
-// later ones. Events are numbered from 1; a follower goes on after any break from the last number that it has.
+// Package coordinator decodes the platform's exchange list: the events that the configuration holds at the start, and
+// the frames that bring later ones. Events are numbered from 1. After a disconnect the client resumes from the index of
+// the last event that it has.
 package coordinator
 
 import (
@@ -15,55 +16,56 @@
 	"pipitring/decide"
 )
 
-// Layout of a frame; numbers are big-endian.
+// Frame layout. All numbers are big-endian.
 const (
-	lengthSize = 4
-	headSize   = 9 // number and kind, counted by the length
-	recordSize = 27
-	maxFrame   = headSize + recordSize*4096
+	lengthSize = 4  // bytes of the length field
+	headerSize = 9  // index (8 bytes) and kind (1 byte); both are counted by the length field
+	recordSize = 27 // bytes of one entry
+	maxFrame   = headerSize + recordSize*4096
 )
 
-// Kinds of frame.
+// Frame kinds.
 const (
-	kindNothing = iota
-	kindWhole
-	kindChanges
+	kindHeartbeat = iota // no event
+	kindFull             // the whole list
+	kindChanges          // changed entries
 )
 
-// Errors of frames: the connection is of no further use.
+// Errors of Decoder.Push. After either the connection must be closed.
 var (
-	ErrInvalidFrame  = errors.New("coordinator: a frame of impossible length, kind or state")
-	ErrMissingEvents = errors.New("coordinator: events are missing before this one")
+	ErrInvalidFrame  = errors.New("coordinator: frame with invalid length, kind or state")
+	ErrMissingEvents = errors.New("coordinator: gap in the event indexes before this frame")
 )
 
-// Entry is one switch on the list.
+// Entry is one switch on the exchange list.
 type Entry struct {
 	ID      uint32
 	Addr    netip.AddrPort
-	Number  int // of its exchange
+	Number  int // exchange number
 	Zone    int
 	Phase   decide.Phase
-	Started int64 // Unix milliseconds; 0 is long ago
+	Started int64 // Unix milliseconds; 0 if the switch started long ago
 }
 
-// Event is one numbered change of the list.
+// Event is one numbered change of the exchange list.
 type Event struct {
 	Index   uint64
-	Full    bool // the entries are the whole list
+	Full    bool // Entries is the whole list, not a change of it
 	Entries []Entry
 }
 
-// ParseID reads a switch's id as it stands in text: s- and 8 hex digits.
+// ParseID parses the text form of a switch's ID, "s-" and 8 hex digits.
 func ParseID(s string) (uint32, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
-		return 0, fmt.Errorf("id %q is not s- and 8 hex digits", s)
+		return 0, fmt.Errorf("switch ID %q is not s- followed by 8 hex digits", s)
 	}
 	return uint32(n), nil
 }
 
-type knownText struct {
+// snapshotJSON is the JSON form of the list in the configuration.
+type snapshotJSON struct {
 	Index   uint64 `json:"index"`
 	Updates []struct {
 		Index     uint64 `json:"index"`
@@ -81,124 +83,127 @@
 	} `json:"updates"`
 }
 
-var lifecycles = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Removed}
+var phaseByLifecycle = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Removed}
 
-// ParseSnapshot reads the events that a configuration holds; zones are the names in the settings.
+// ParseSnapshot parses the events that the configuration holds and returns them with the index of the last one. Zones
+// are the names in the settings; an entry's Zone is its index there, or -1.
 func ParseSnapshot(text []byte, zones []string) (events []Event, last uint64, err error) {
-	var k knownText
-	if err := json.Unmarshal(text, &k); err != nil {
+	var snapshot snapshotJSON
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		return nil, 0, fmt.Errorf("known: %w", err)
 	}
-	for i, u := range k.Updates {
-		ev := Event{Index: u.Index, Full: u.Endpoints.Reset || i == 0}
-		for j, in := range u.Endpoints.Instances {
-			id, err := ParseID(in.InstanceID)
-			addr, err2 := netip.ParseAddrPort(in.HostPort)
-			phase, ok := lifecycles[in.Lifecycle]
-			if err = errors.Join(err, err2); err != nil || !ok {
-				return nil, 0, fmt.Errorf("known.updates[%d].endpoints.instances[%d]: lifecycle %q: %w", i, j, in.Lifecycle, err)
+	for i, update := range snapshot.Updates {
+		ev := Event{Index: update.Index, Full: update.Endpoints.Reset || i == 0}
+		for j, instance := range update.Endpoints.Instances {
+			id, err := ParseID(instance.InstanceID)
+			addr, addrErr := netip.ParseAddrPort(instance.HostPort)
+			phase, ok := phaseByLifecycle[instance.Lifecycle]
+			if err = errors.Join(err, addrErr); err != nil || !ok {
+				return nil, 0, fmt.Errorf("known.updates[%d].endpoints.instances[%d]: lifecycle %q: %w", i, j, instance.Lifecycle, err)
 			}
-			ev.Entries = append(ev.Entries, Entry{ID: id, Addr: addr, Number: in.Cell, Phase: phase,
-				Zone: slices.Index(zones, in.Zone), Started: in.StartedAtMs})
+			ev.Entries = append(ev.Entries, Entry{ID: id, Addr: addr, Number: instance.Cell, Phase: phase,
+				Zone: slices.Index(zones, instance.Zone), Started: instance.StartedAtMs})
 		}
 		events = append(events, ev)
-		last = max(last, u.Index)
+		last = max(last, update.Index)
 	}
-	return events, max(last, k.Index), nil
+	return events, max(last, snapshot.Index), nil
 }
 
-// Decoder reads what one connection to the coordinator brings.
+// Decoder decodes the byte stream of one connection to the coordinator. It keeps the last index across connections.
 type Decoder struct {
-	LastIndex uint64 // number of the last event taken; the next connection begins with it
-	// AllowGap lets one gap pass: the coordinator was asked again and still has nothing in between.
+	LastIndex uint64 // index of the last event decoded; the next connection resumes after it
+	// AllowGap accepts one gap in the indexes. It is set when the coordinator still lacks the events in between after a
+	// reconnect.
 	AllowGap bool
 	buf      []byte
 }
 
-// Hello is what a connection begins with.
-func (f *Decoder) Hello() []byte { return binary.BigEndian.AppendUint64(nil, f.LastIndex) }
+// Hello returns the first bytes to send on a connection: the last index, 8 bytes.
+func (d *Decoder) Hello() []byte { return binary.BigEndian.AppendUint64(nil, d.LastIndex) }
 
-// Push takes the next bytes and returns the events that are complete and new. Events before an error are good.
-func (f *Decoder) Push(b []byte) (events []Event, err error) {
-	f.buf = append(f.buf, b...)
-	for len(f.buf) >= lengthSize {
-		n := int(binary.BigEndian.Uint32(f.buf))
-		if n < headSize || n > maxFrame {
+// Push decodes the next bytes and returns the events that are complete and new. Events returned together with an error
+// are valid.
+func (d *Decoder) Push(b []byte) (events []Event, err error) {
+	d.buf = append(d.buf, b...)
+	for len(d.buf) >= lengthSize {
+		n := int(binary.BigEndian.Uint32(d.buf))
+		if n < headerSize || n > maxFrame {
 			return events, ErrInvalidFrame
 		}
-		if len(f.buf) < lengthSize+n {
+		if len(d.buf) < lengthSize+n {
 			break
 		}
-		ev, fresh, err := f.frame(f.buf[lengthSize : lengthSize+n])
+		ev, fresh, err := d.decodeFrame(d.buf[lengthSize : lengthSize+n])
 		if err != nil {
 			return events, err
 		}
-		f.buf = f.buf[lengthSize+n:]
+		d.buf = d.buf[lengthSize+n:]
 		if fresh {
 			events = append(events, ev)
 		}
 	}
-	if len(f.buf) == 0 {
-		f.buf = nil
+	if len(d.buf) == 0 {
+		d.buf = nil
 	}
 	return events, nil
 }
 
-// Reset forgets half a frame: the connection is over.
-func (f *Decoder) Reset() { f.buf = nil }
+// Reset discards an incomplete frame after the connection has ended.
+func (d *Decoder) Reset() { d.buf = nil }
 
-func (f *Decoder) frame(b []byte) (ev Event, fresh bool, err error) {
-	number, kind, records := binary.BigEndian.Uint64(b), b[8], b[headSize:]
+func (d *Decoder) decodeFrame(b []byte) (ev Event, fresh bool, err error) {
+	index, kind, records := binary.BigEndian.Uint64(b), b[8], b[headerSize:]
 	switch {
-	case kind > kindChanges || kind != kindNothing && len(records)%recordSize != 0:
+	case kind > kindChanges || kind != kindHeartbeat && len(records)%recordSize != 0:
 		return ev, false, ErrInvalidFrame
-	case kind == kindNothing || number <= f.LastIndex:
+	case kind == kindHeartbeat || index <= d.LastIndex:
 		return ev, false, nil
-	case kind == kindChanges && number > f.LastIndex+1 && !f.AllowGap:
+	case kind == kindChanges && index > d.LastIndex+1 && !d.AllowGap:
 		return ev, false, ErrMissingEvents
 	}
-	ev = Event{Index: number, Full: kind == kindWhole}
+	ev = Event{Index: index, Full: kind == kindFull}
 	for ; len(records) > 0; records = records[recordSize:] {
-		e, err := record(records)
+		e, err := parseRecord(records)
 		if err != nil {
 			return ev, false, err
 		}
 		ev.Entries = append(ev.Entries, e)
 	}
-	f.LastIndex, f.AllowGap = number, false
+	d.LastIndex, d.AllowGap = index, false
 	return ev, true, nil
 }
 
-var states = [...]decide.Phase{decide.Ready, decide.Draining, decide.Removed}
+var phaseByState = [...]decide.Phase{decide.Ready, decide.Draining, decide.Removed}
 
-// record reads id, address, port, state, zone, kind, cell, weight and start.
-func record(b []byte) (Entry, error) {
-	if int(b[10]) >= len(states) {
+// parseRecord decodes one record: ID, address, port, state, zone, kind, cell, weight and start time.
+func parseRecord(b []byte) (Entry, error) {
+	if int(b[10]) >= len(phaseByState) {
 		return Entry{}, ErrInvalidFrame
 	}
 	return Entry{ID: binary.BigEndian.Uint32(b),
 		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])),
-		Phase:  states[b[10]],
+		Phase:  phaseByState[b[10]],
 		Zone:   int(b[11]),
 		Number: int(binary.BigEndian.Uint16(b[13:])),
-		// Four bytes of weight lie between; the module has no use for it.
+		// The four bytes of weight in between are not used.
 		Started: int64(binary.BigEndian.Uint64(b[19:])),
 	}, nil
 }
 
-// AppendFrame writes an event as the coordinator does.
+// AppendFrame appends the frame of an event to b, in the coordinator's encoding.
 func AppendFrame(b []byte, ev Event) []byte {
 	kind := byte(kindChanges)
 	if ev.Full {
-		kind = kindWhole
+		kind = kindFull
 	}
-	b = appendHead(b, len(ev.Entries)*recordSize, ev.Index, kind)
+	b = appendHeader(b, len(ev.Entries)*recordSize, ev.Index, kind)
 	for _, e := range ev.Entries {
 		b = binary.BigEndian.AppendUint32(b, e.ID)
 		addr := e.Addr.Addr().As4()
 		b = append(b, addr[:]...)
 		b = binary.BigEndian.AppendUint16(b, e.Addr.Port())
-		b = append(b, byte(slices.Index(states[:], e.Phase)), byte(e.Zone), 0)
+		b = append(b, byte(slices.Index(phaseByState[:], e.Phase)), byte(e.Zone), 0)
 		b = binary.BigEndian.AppendUint16(b, uint16(e.Number))
 		b = binary.BigEndian.AppendUint32(b, 1000)
 		b = binary.BigEndian.AppendUint64(b, uint64(e.Started))
@@ -206,11 +211,11 @@
 	return b
 }
 
-// AppendHeartbeat writes the frame that comes each second.
-func AppendHeartbeat(b []byte, last uint64) []byte { return appendHead(b, 0, last, kindNothing) }
+// AppendHeartbeat appends the frame without an event that the coordinator sends every second.
+func AppendHeartbeat(b []byte, last uint64) []byte { return appendHeader(b, 0, last, kindHeartbeat) }
 
-func appendHead(b []byte, payload int, number uint64, kind byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(headSize+payload))
-	b = binary.BigEndian.AppendUint64(b, number)
+func appendHeader(b []byte, payload int, index uint64, kind byte) []byte {
+	b = binary.BigEndian.AppendUint32(b, uint32(headerSize+payload))
+	b = binary.BigEndian.AppendUint64(b, index)
 	return append(b, kind)
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -16,55 +16,55 @@
 	return Entry{ID: id, Addr: netip.MustParseAddrPort("127.0.0.9:5060"), Number: 2, Zone: 1, Phase: phase, Started: 1234567890123}
 }
 
-func TestFramesReadWhatWasWritten(t *testing.T) {
+func TestDecoderReadsAppendedFrames(t *testing.T) {
 	stream := append(AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}}), AppendHeartbeat(nil, 4)...)
 	stream = append(stream, AppendFrame(nil, Event{Index: 5, Full: true, Entries: []Entry{entry(9, decide.Ready)}})...)
-	for at := range stream {
-		f := Decoder{LastIndex: 3}
-		first, err1 := f.Push(stream[:at])
-		rest, err2 := f.Push(stream[at:])
+	for split := range stream {
+		decoder := Decoder{LastIndex: 3}
+		first, err1 := decoder.Push(stream[:split])
+		rest, err2 := decoder.Push(stream[split:])
 		got := append(first, rest...)
 		want := []Event{{Index: 4, Entries: []Entry{entry(7, decide.Draining), entry(8, decide.Removed)}},
 			{Index: 5, Full: true, Entries: []Entry{entry(9, decide.Ready)}}}
 		if d := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })); d != "" || err1 != nil || err2 != nil {
-			t.Fatalf("split at %d: %v %v\n%s", at, err1, err2, d)
+			t.Fatalf("split at %d: %v %v\n%s", split, err1, err2, d)
 		}
 	}
 }
 
-func TestWhatIsToldTwiceCountsOnceAndGapsAreSeen(t *testing.T) {
-	f := Decoder{LastIndex: 3}
+func TestDecoderIgnoresDuplicatesAndReportsGaps(t *testing.T) {
+	decoder := Decoder{LastIndex: 3}
 	frame := func(n uint64) []byte {
 		return AppendFrame(nil, Event{Index: n, Entries: []Entry{entry(7, decide.Ready)}})
 	}
-	got, err := f.Push(append(frame(4), frame(4)...))
+	got, err := decoder.Push(append(frame(4), frame(4)...))
 	if len(got) != 1 || err != nil {
 		t.Fatalf("%d events, %v", len(got), err)
 	}
-	if got, err := f.Push(frame(6)); len(got) != 0 || !errors.Is(err, ErrMissingEvents) || f.LastIndex != 4 {
-		t.Fatalf("%d events, %v, last %d", len(got), err, f.LastIndex)
+	if got, err := decoder.Push(frame(6)); len(got) != 0 || !errors.Is(err, ErrMissingEvents) || decoder.LastIndex != 4 {
+		t.Fatalf("%d events, %v, last %d", len(got), err, decoder.LastIndex)
 	}
-	f.Reset()
-	f.AllowGap = true // the coordinator, asked again, has nothing between
-	if got, err := f.Push(frame(6)); len(got) != 1 || err != nil || f.LastIndex != 6 || f.AllowGap {
-		t.Fatalf("%d events, %v, last %d", len(got), err, f.LastIndex)
+	decoder.Reset()
+	decoder.AllowGap = true // after a reconnect the coordinator still lacks the events in between
+	if got, err := decoder.Push(frame(6)); len(got) != 1 || err != nil || decoder.LastIndex != 6 || decoder.AllowGap {
+		t.Fatalf("%d events, %v, last %d", len(got), err, decoder.LastIndex)
 	}
 }
 
-func TestABreakInAnEventGoesOnFromTheLastWhole(t *testing.T) {
-	f := Decoder{LastIndex: 3}
+func TestDecoderResumesAfterIncompleteFrame(t *testing.T) {
+	decoder := Decoder{LastIndex: 3}
 	stream := append(AppendFrame(nil, Event{Index: 4}), AppendFrame(nil, Event{Index: 5, Entries: []Entry{entry(7, decide.Ready)}})...)
-	f.Push(stream[:len(stream)-5])
-	f.Reset()
-	if got := binary.BigEndian.Uint64(f.Hello()); got != 4 {
-		t.Fatalf("asks from %d, want 4", got)
+	decoder.Push(stream[:len(stream)-5])
+	decoder.Reset()
+	if got := binary.BigEndian.Uint64(decoder.Hello()); got != 4 {
+		t.Fatalf("resumes from index %d, want 4", got)
 	}
-	if got, err := f.Push(AppendFrame(nil, Event{Index: 5})); len(got) != 1 || err != nil {
+	if got, err := decoder.Push(AppendFrame(nil, Event{Index: 5})); len(got) != 1 || err != nil {
 		t.Fatalf("%d events, %v", len(got), err)
 	}
 }
 
-func TestImpossibleFramesAreErrors(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	good := AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Ready)}})
 	for name, change := range map[string]func(b []byte) []byte{
 		"short":  func(b []byte) []byte { b[3] = 3; return b },
@@ -73,14 +73,14 @@
 		"record": func(b []byte) []byte { b[3]--; return b },
 		"state":  func(b []byte) []byte { b[13+10] = 3; return b },
 	} {
-		f := Decoder{LastIndex: 3}
-		if got, err := f.Push(change(append([]byte(nil), good...))); len(got) != 0 || !errors.Is(err, ErrInvalidFrame) {
+		decoder := Decoder{LastIndex: 3}
+		if got, err := decoder.Push(change(append([]byte(nil), good...))); len(got) != 0 || !errors.Is(err, ErrInvalidFrame) {
 			t.Errorf("%s: %d events, %v", name, len(got), err)
 		}
 	}
 }
 
-func TestKnown(t *testing.T) {
+func TestParseSnapshot(t *testing.T) {
 	text := `{"index":3,"updates":[{"index":2,"endpoints":{"reset":true,"instances":[{"instanceId":"s-00c41f7a","hostPort":"127.0.0.9:5060",
 	 "zone":"east","cell":2,"lifecycle":"Terminating","startedAtMs":5,"weight":1.0}]}}]}`
 	events, last, err := ParseSnapshot([]byte(text), []string{"west", "east"})
@@ -95,18 +95,18 @@
 	}
 }
 
-func FuzzFrames(f *testing.F) {
+func FuzzDecoder(f *testing.F) {
 	f.Add(AppendFrame(nil, Event{Index: 4, Entries: []Entry{entry(7, decide.Ready)}}), 9)
-	f.Fuzz(func(t *testing.T, stream []byte, at int) {
-		if at < 0 || at > len(stream) {
+	f.Fuzz(func(t *testing.T, stream []byte, split int) {
+		if split < 0 || split > len(stream) {
 			return
 		}
 		whole, cut := Decoder{}, Decoder{}
 		want, err := whole.Push(stream)
-		a, err1 := cut.Push(stream[:at])
+		a, err1 := cut.Push(stream[:split])
 		var b []Event
 		if err1 == nil {
-			b, err1 = cut.Push(stream[at:])
+			b, err1 = cut.Push(stream[split:])
 		}
 		if len(a)+len(b) != len(want) || !errors.Is(err1, err) || whole.LastIndex != cut.LastIndex {
 			t.Fatalf("whole: %d, %v; cut: %d, %v", len(want), err, len(a)+len(b), err1)
--- a/internal/coordinator/keys_test.go
+++ b/internal/coordinator/keys_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestKnownListKeepsItsKeys guards against a field whose key in the configuration changes with its Go name: keys
-// without a field are ignored, so that nothing else would tell.
-func TestKnownListKeepsItsKeys(t *testing.T) {
+// TestSnapshotJSONKeys guards against a configuration key that changes with the Go name of its field. Unknown keys are
+// ignored, so no other test would fail.
+func TestSnapshotJSONKeys(t *testing.T) {
 	const text = `{"index":3,"updates":[{"index":2,"endpoints":{"reset":true,"instances":[{"instanceId":"s-00c41f7a",` +
 		`"hostPort":"127.0.0.9:5060","zone":"east","cell":2,"lifecycle":"Ready","startedAtMs":5}]}}]}`
-	var k knownText
+	var k snapshotJSON
 	if err := json.Unmarshal([]byte(text), &k); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -12,7 +12,7 @@
 
 const ref = "9b1f03aa5c7e2d41"
 
-func TestParseReadsEveryPart(t *testing.T) {
+func TestParseAllFields(t *testing.T) {
 	m, err := Parse([]byte(`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":1500,"x":"a\nb"},"d":"v=0\r\n\u0041","c":34}`))
 	if err != nil || m.Type != TypeNew || m.Ref != ref || m.Cause != CauseNoCircuit || string(m.Desc) != `"v=0\r\n\u0041"` {
 		t.Fatalf("%+v, %v", m, err)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	line := func(s string) string { return fmt.Sprintf(s, ref) }
 	for _, c := range []struct {
 		line string
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAppendedLinesAreThoseOfTheProtocol(t *testing.T) {
+func TestAppendedLines(t *testing.T) {
 	s := SetUp{Ref: ref, Class: Quote("voice"), Key: Quote("7f3a9c21e0b4d655"), TimeLeft: 1500*time.Millisecond + 400, Desc: []byte(`"d\r\n"`)}
 	got := string(s.Append(nil)) + string(AppendUp(nil, ref, []byte(`"x"`))) + string(AppendDown(nil, ref, CauseCongestion, time.Second)) +
 		string(AppendDown(nil, ref, CauseNormal, 0)) + string(AppendHeartbeatOK(nil, ref, true)) + string(AppendHeartbeatOK(nil, "", false))
@@ -66,11 +66,11 @@
 	}
 }
 
-// cut pushes a stream in two pieces and lists the lines.
-func cut(t *testing.T, stream []byte, at int) (got []string, err error) {
+// splitAt pushes a stream in two parts and returns the lines.
+func splitAt(t *testing.T, stream []byte, split int) (got []string, err error) {
 	t.Helper()
 	var l LineSplitter
-	for _, b := range [][]byte{stream[:at], stream[at:]} {
+	for _, b := range [][]byte{stream[:split], stream[split:]} {
 		if err = l.Push(b, func(line []byte) bool { got = append(got, string(line)); return true }); err != nil {
 			return got, err
 		}
@@ -78,33 +78,33 @@
 	return got, nil
 }
 
-func TestLinesAreTheSameHoweverTheyAreSplit(t *testing.T) {
+func TestLineSplitterAtAnySplit(t *testing.T) {
 	stream := []byte("one\n\n" + strings.Repeat("x", 300) + "\nfour\npart")
-	want, _ := cut(t, stream, 0)
+	want, _ := splitAt(t, stream, 0)
 	if len(want) != 4 {
 		t.Fatalf("lines %q", want)
 	}
-	for at := range stream {
-		if got, err := cut(t, stream, at); err != nil || !slices.Equal(got, want) {
-			t.Fatalf("split at %d: %q, %v", at, got, err)
+	for split := range stream {
+		if got, err := splitAt(t, stream, split); err != nil || !slices.Equal(got, want) {
+			t.Fatalf("split at %d: %q, %v", split, got, err)
 		}
 	}
 }
 
-func TestALineWithoutEndIsNotHeld(t *testing.T) {
+func TestLineSplitterLimitsIncompleteLine(t *testing.T) {
 	var l LineSplitter
-	none := func([]byte) bool { t.Fatal("no line is complete"); return false }
+	noLine := func([]byte) bool { t.Fatal("incomplete line passed on"); return false }
 	for range MaxLine / 1024 {
-		if err := l.Push(bytes.Repeat([]byte("x"), 1024), none); err != nil {
+		if err := l.Push(bytes.Repeat([]byte("x"), 1024), noLine); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.Push([]byte("x"), none); err != ErrLineTooLong || l.Partial() {
+	if err := l.Push([]byte("x"), noLine); err != ErrLineTooLong || l.Partial() {
 		t.Fatalf("error %v, partial %v", err, l.Partial())
 	}
 }
 
-// FuzzParse: whatever is read can be written, and reads the same again.
+// FuzzParse checks that a parsed message can be written as a set-up and parses to the same values again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":"1500"},"d":"9d\r\n"}`))
 	f.Add([]byte(`{"t":"down","ref":"9b1f03aa5c7e2d41","f":{},"c":34}`))
--- a/internal/jsonl/lines.go
+++ b/internal/jsonl/lines.go
@@ -2,37 +2,38 @@
 
 import "bytes"
 
-// LineSplitter cuts a stream into lines and holds no more of an unfinished one than a message may have.
+// LineSplitter splits a byte stream into lines. It buffers at most MaxLine bytes of an incomplete line.
 type LineSplitter struct {
-	part []byte
+	pending []byte
 }
 
-// Partial tells whether the beginning of a line is held.
-func (l *LineSplitter) Partial() bool { return len(l.part) > 0 }
+// Partial reports whether the beginning of an incomplete line is buffered.
+func (l *LineSplitter) Partial() bool { return len(l.pending) > 0 }
 
-// Push takes the next bytes and hands on each line that is complete, without its line feed, for as long as
-// each wants more. The lines are good only during the call.
-func (l *LineSplitter) Push(b []byte, each func(line []byte) bool) error {
+// Push splits the next bytes and calls handle with each complete line, without its line feed, until handle returns
+// false; the rest of the bytes is then discarded. A line is valid only during the call. Push returns ErrLineTooLong if
+// a line exceeds MaxLine bytes.
+func (l *LineSplitter) Push(b []byte, handle func(line []byte) bool) error {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
-		whole := b
+		line := b
 		if end >= 0 {
-			whole = b[:end]
+			line = b[:end]
 		}
-		if len(l.part)+len(whole) > MaxLine {
-			l.part = nil
+		if len(l.pending)+len(line) > MaxLine {
+			l.pending = nil
 			return ErrLineTooLong
 		}
 		if end < 0 {
-			l.part = append(l.part, b...)
+			l.pending = append(l.pending, b...)
 			return nil
 		}
 		b = b[end+1:]
-		if len(l.part) > 0 {
-			whole = append(l.part, whole...)
-			l.part = nil // a line may push again: it must not see its own bytes change
+		if len(l.pending) > 0 {
+			line = append(l.pending, line...)
+			l.pending = nil // handle may call Push again, which must not overwrite this line
 		}
-		if !each(whole) {
+		if !handle(line) {
 			return nil
 		}
 	}
--- a/internal/jsonl/message.go
+++ b/internal/jsonl/message.go
@@ -1,6 +1,6 @@
-// Package jsonl is the codec of the platform's protocol: JSON lines that name their call by a reference.
+// Package jsonl is the codec of the platform's protocol: JSON lines in which a reference identifies the call.
 //
-// It checks form (length, types, references, numbers), not meaning, and touches no socket.
+// It checks syntax (length, types, references, numbers) but not meaning, and does no I/O.
 package jsonl
 
 import (
@@ -14,77 +14,77 @@
 	"unicode/utf8"
 )
 
-// MaxLine is the most bytes that one message may have, its line feed left out.
+// MaxLine is the maximum length of a message in bytes, without its line feed.
 const MaxLine = 16 << 10
 
-// refLen is the number of hex digits of a reference.
+// refLen is the length of a reference in hex digits.
 const refLen = 16
 
-// Types of message.
+// Message types.
 const (
 	TypeNew         = "new"   // set-up
 	TypeWait        = "wait"  // progress
 	TypeUp          = "up"    // answer
-	TypeDown        = "down"  // refusal, give-up or release
-	TypeAck         = "ack"   // release heard
-	TypeHeartbeat   = "hb"    // test, a report is wanted with cause 1
-	TypeHeartbeatOK = "hb_ok" // passed with cause 1
-	TypeGauge       = "gauge" // state of a group
+	TypeDown        = "down"  // rejection, cancellation or release
+	TypeAck         = "ack"   // acknowledgement of a release
+	TypeHeartbeat   = "hb"    // heartbeat; cause 1 requests a load report
+	TypeHeartbeatOK = "hb_ok" // heartbeat reply; cause 1 if the heartbeat succeeded
+	TypeGauge       = "gauge" // load report of a trunk group
 )
 
-// Causes (Q.850) that the protocol names.
+// Q.850 causes that the protocol uses, each with its meaning there.
 const (
-	CauseNormal              = 16  // normal call clearing; before an answer the set-up is given up
-	CauseUserBusy            = 17  // error
-	CauseResourceUnavailable = 47  // resource unavailable: error
-	CauseNoCircuit           = 34  // full
+	CauseNormal              = 16  // normal call clearing; before an answer, the set-up is cancelled
+	CauseUserBusy            = 17  // user busy: error at the switch
+	CauseResourceUnavailable = 47  // resource unavailable: error at the switch
+	CauseNoCircuit           = 34  // no circuit available: the trunk group is full
 	CauseTemporaryFailure    = 41  // temporary failure: reset, cut or failed
-	CauseCongestion          = 42  // refused
-	CauseTimerExpiry         = 102 // recovery on timer expiry: never left
+	CauseCongestion          = 42  // switching equipment congestion: refused
+	CauseTimerExpiry         = 102 // recovery on timer expiry: the set-up was not sent
 	maxCause                 = 127
 )
 
-// Errors of messages.
+// Errors of LineSplitter.Push and Parse.
 var (
-	ErrLineTooLong        = fmt.Errorf("line of more than %d bytes", MaxLine)
-	ErrInvalidLine        = errors.New("not a JSON object of the protocol")
+	ErrLineTooLong        = fmt.Errorf("line exceeds %d bytes", MaxLine)
+	ErrInvalidLine        = errors.New("line is not a JSON object in UTF-8")
 	ErrInvalidRef         = errors.New("ref is not 16 hex digits")
 	ErrInvalidType        = errors.New("type is not a string")
-	ErrInvalidFields      = errors.New("fields are not strings or numbers")
-	ErrInvalidCause       = errors.New("cause is not a number from 0 to 127")
-	ErrInvalidDescription = errors.New("description cannot be passed on unchanged")
+	ErrInvalidFields      = errors.New("f is not an object of strings and numbers")
+	ErrInvalidCause       = errors.New("cause is not an integer from 0 to 127")
+	ErrInvalidDescription = errors.New("description is not a string or contains an unpaired surrogate")
 )
 
-// Message is one line. Ref is set also on errors, where it could be read.
+// Message is one decoded line. Parse sets Ref on errors too, if the reference could be read.
 type Message struct {
 	Type   string
 	Ref    string
 	Fields map[string]string
 	Cause  int
-	Desc   []byte // the description as it stood, a JSON string with its quotes; nil if there is none
+	Desc   []byte // description as received: a JSON string with its quotes; nil if absent
 }
 
-// Parse reads one line, without its line feed.
+// Parse decodes one line, given without its line feed.
 func Parse(line []byte) (Message, error) {
 	var m Message
 	if len(line) > MaxLine {
 		return m, ErrLineTooLong
 	}
-	var raw map[string]json.RawMessage // a struct would also take keys of another case
+	var raw map[string]json.RawMessage // a struct would match keys case-insensitively
 	if !utf8.Valid(line) || json.Unmarshal(line, &raw) != nil || raw == nil {
 		return m, ErrInvalidLine
 	}
-	ref, ok := text(raw["ref"])
-	if ok && validRef(ref) {
+	ref, ok := parseString(raw["ref"])
+	if ok && isRef(ref) {
 		m.Ref = ref
 	}
-	if m.Type, ok = text(raw["t"]); !ok {
+	if m.Type, ok = parseString(raw["t"]); !ok {
 		return m, ErrInvalidType
 	}
 	if m.Ref == "" && !(raw["ref"] == nil && (m.Type == TypeHeartbeat || m.Type == TypeHeartbeatOK || m.Type == TypeGauge)) {
 		return m, ErrInvalidRef
 	}
-	if err := m.fields(raw["f"]); err != nil {
+	if err := m.parseFields(raw["f"]); err != nil {
 		return m, err
 	}
 	if c := raw["c"]; c != nil {
@@ -95,24 +95,24 @@
 		m.Cause = int(n)
 	}
 	if d := raw["d"]; d != nil {
-		s, ok := text(d)
-		if n := strings.Count(s, replacement); !ok || n > 0 && n > replacements(d) {
-			return m, ErrInvalidDescription // half of a surrogate pair: not everyone can read it
+		s, ok := parseString(d)
+		if n := strings.Count(s, replacementChar); !ok || n > 0 && n > replacementChars(d) {
+			return m, ErrInvalidDescription // an unpaired surrogate, which not every JSON decoder accepts
 		}
 		m.Desc = bytes.Clone(bytes.TrimSpace(d))
 	}
 	return m, nil
 }
 
-const replacement = string(utf8.RuneError)
+const replacementChar = string(utf8.RuneError)
 
-// replacements counts the replacement characters that a JSON string holds as such. More of them when it is read stand
-// for what no text can hold.
-func replacements(raw []byte) int {
-	return bytes.Count(raw, []byte(replacement)) + bytes.Count(bytes.ToLower(raw), []byte(`\ufffd`))
+// replacementChars counts the replacement characters (U+FFFD) that an encoded JSON string contains. If the decoded
+// string has more of them, the rest stand for unpaired surrogates.
+func replacementChars(raw []byte) int {
+	return bytes.Count(raw, []byte(replacementChar)) + bytes.Count(bytes.ToLower(raw), []byte(`\ufffd`))
 }
 
-func (m *Message) fields(raw json.RawMessage) error {
+func (m *Message) parseFields(raw json.RawMessage) error {
 	if raw == nil {
 		return nil
 	}
@@ -124,7 +124,7 @@
 		m.Fields = make(map[string]string, len(all))
 	}
 	for name, v := range all {
-		s, ok := text(v)
+		s, ok := parseString(v)
 		if !ok {
 			var n json.Number
 			if json.Unmarshal(v, &n) != nil || n == "" {
@@ -137,23 +137,23 @@
 	return nil
 }
 
-// text reads a JSON string.
-func text(raw json.RawMessage) (string, bool) {
+// parseString decodes a JSON string. It reports false for any other value.
+func parseString(raw json.RawMessage) (string, bool) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) < 2 || raw[0] != '"' {
 		return "", false
 	}
 	if in := raw[1 : len(raw)-1]; bytes.IndexByte(in, '\\') < 0 {
-		return string(in), true // the line as a whole was found to be JSON
+		return string(in), true // Parse has checked that the whole line is valid JSON
 	}
 	var s string
 	err := json.Unmarshal(raw, &s)
 	return s, err == nil
 }
 
-func validRef(s string) bool { return len(s) == refLen && IsHex(s) }
+func isRef(s string) bool { return len(s) == refLen && IsHex(s) }
 
-// IsHex tells whether a text has nothing but hex digits.
+// IsHex reports whether s is a non-empty string of hex digits.
 func IsHex(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
@@ -163,13 +163,13 @@
 	return s != ""
 }
 
-// IntField reads a field that holds a whole number from least to most.
+// IntField returns the field's value if it is an integer from least to most, and reports whether it is.
 func (m *Message) IntField(name string, least, most int64) (int64, bool) {
 	n, err := strconv.ParseInt(m.Fields[name], 10, 64)
 	return n, err == nil && n >= least && n <= most
 }
 
-// SetUp is what a set-up to a switch says. Class and Key are JSON strings with their quotes.
+// SetUp is a set-up sent to a switch. Class, Key and Desc are JSON strings with their quotes; a nil Key is left out.
 type SetUp struct {
 	Ref        string
 	Class, Key []byte
@@ -177,7 +177,7 @@
 	Desc       []byte
 }
 
-// Append adds the line of a set-up.
+// Append appends the line of the set-up to b. A TimeLeft under 1 ms is sent as 1 ms.
 func (s *SetUp) Append(b []byte) []byte {
 	b = append(b, `{"t":"new","ref":"`...)
 	b = append(b, s.Ref...)
@@ -195,13 +195,13 @@
 	return append(b, "}\n"...)
 }
 
-// Quote is a text as a JSON string.
+// Quote returns s as a JSON string with its quotes.
 func Quote(s string) []byte {
-	b, _ := json.Marshal(s) // of a string it cannot fail
+	b, _ := json.Marshal(s) // marshalling a string cannot fail
 	return b
 }
 
-// AppendUp adds an answer.
+// AppendUp appends an answer to b.
 func AppendUp(b []byte, ref string, desc []byte) []byte {
 	b = append(b, `{"t":"up","ref":"`...)
 	b = append(b, ref...)
@@ -210,7 +210,7 @@
 	return append(b, "}\n"...)
 }
 
-// AppendDown adds a refusal or release; wait above zero is the time to stay away.
+// AppendDown appends a rejection or release to b. A wait of 1 ms or more is sent as the retry-after time.
 func AppendDown(b []byte, ref string, cause int, wait time.Duration) []byte {
 	b = append(b, `{"t":"down","ref":"`...)
 	b = append(b, ref...)
@@ -225,12 +225,12 @@
 	return append(b, "}\n"...)
 }
 
-// AppendHeartbeat adds a test, without a report.
+// AppendHeartbeat appends a heartbeat that requests no load report.
 func AppendHeartbeat(b []byte, ref uint64) []byte {
 	return fmt.Appendf(b, `{"t":"hb","ref":"%016x","f":{},"c":0}`+"\n", ref)
 }
 
-// AppendHeartbeatOK adds the answer to a test, with the reference of the test where it had one.
+// AppendHeartbeatOK appends the reply to a heartbeat, with the heartbeat's reference unless that is empty.
 func AppendHeartbeatOK(b []byte, ref string, passed bool) []byte {
 	b = append(b, `{"t":"hb_ok",`...)
 	if ref != "" {
