--- a/internal/platform/bed_test.go
+++ b/internal/platform/bed_test.go
@@ -26,163 +26,167 @@
   "telemetry":{"fields":["idle","circuits"]},"clients":{"marksRetry":true},
   "profiles":[{"name":"voice","aimS":0.4,"deadlineS":3,"value":1,"lateValue":0.25},
    {"name":"alarm","aimS":0.3,"deadlineS":2,"value":5,"lateValue":0.25}]}}`
-	desc = `"v=0\r\nc=IN IP4 127.0.0.1\u0020\r\n"`
+	description = `"v=0\r\nc=IN IP4 127.0.0.1\u0020\r\n"`
 )
 
-type wireLine struct {
+type writtenLine struct {
 	to   ConnID
 	line string
 }
 
-// bed is a proxy whose every byte is seen: lines by connection, connections that it asked for and that it closed.
-type bed struct {
+// harness is a proxy whose outputs are recorded: the lines written to each connection, and the connections that it dialled
+// and closed.
+type harness struct {
 	t interface {
 		Helper()
 		Fatalf(string, ...any)
 	}
 	*Core
-	at       time.Duration
-	lines    map[ConnID][]string
-	wire     []wireLine // the same lines, in the order in which they were written
-	dials    []Dial
-	closed   map[ConnID]bool
-	exit     bool
-	switches map[byte]ConnID // by last digit of the id
-	coord    ConnID
+	clock          time.Duration
+	written        map[ConnID][]string
+	writtenInOrder []writtenLine // the same lines, in the order in which they were written
+	pendingDials   []Dial
+	closed         map[ConnID]bool
+	exited         bool
+	switchConns    map[byte]ConnID // by last digit of the switch's ID
+	coordConn      ConnID
 }
 
-func newBed(t interface {
+func newHarness(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}) *bed {
-	return bedOf(t, config)
+}) *harness {
+	return newHarnessWithConfig(t, config)
 }
 
-func bedOf(t interface {
+func newHarnessWithConfig(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}, text string) *bed {
+}, text string) *harness {
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	b := &bed{t: t, Core: New(cfg, time.UnixMilli(1_700_000_000_000)), lines: map[ConnID][]string{}, closed: map[ConnID]bool{}, switches: map[byte]ConnID{}}
-	b.take()
-	return b
+	h := &harness{t: t, Core: New(cfg, time.UnixMilli(1_700_000_000_000)),
+		written: map[ConnID][]string{}, closed: map[ConnID]bool{}, switchConns: map[byte]ConnID{}}
+	h.collectOutputs()
+	return h
 }
 
-// upBed has its connections up and its groups told: ten circuits to each of the two others.
-func upBed(t interface {
+// newConnectedHarness returns a harness with established connections, in which every switch has reported ten free
+// circuits.
+func newConnectedHarness(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}) *bed {
-	b := newBed(t)
-	for _, d := range b.dialled() {
-		b.connect(d)
+}) *harness {
+	h := newHarness(t)
+	for _, d := range h.takeDials() {
+		h.connect(d)
 	}
-	b.pass(50 * ms)
-	return b
+	h.advance(50 * ms)
+	return h
 }
 
-func (b *bed) connect(d Dial) {
-	b.Connected(b.at, d.Conn)
+func (h *harness) connect(d Dial) {
+	h.Connected(h.clock, d.Conn)
 	if d.To.Port() == 7070 {
-		b.coord = d.Conn
+		h.coordConn = d.Conn
 	} else {
 		n := d.To.Addr().As4()[3] - 1
-		b.switches[n] = d.Conn
-		b.send(d.Conn, `{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
+		h.switchConns[n] = d.Conn
+		h.receiveLines(d.Conn, `{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
 	}
-	b.take()
+	h.collectOutputs()
 }
 
-func (b *bed) dialled() []Dial {
-	b.take()
-	d := b.dials
-	b.dials = nil
+func (h *harness) takeDials() []Dial {
+	h.collectOutputs()
+	d := h.pendingDials
+	h.pendingDials = nil
 	return d
 }
 
-func (b *bed) take() {
-	for outs := b.Outputs(); len(outs) > 0; outs = b.Outputs() {
+func (h *harness) collectOutputs() {
+	for outs := h.Outputs(); len(outs) > 0; outs = h.Outputs() {
 		for _, o := range outs {
 			switch o := o.(type) {
 			case Write:
-				if b.closed[o.Conn] {
-					b.t.Fatalf("bytes for %d after its close: %q", o.Conn, o.Bytes)
+				if h.closed[o.Conn] {
+					h.t.Fatalf("bytes written to connection %d after its close: %q", o.Conn, o.Bytes)
 				}
-				if o.Conn != b.coord || b.coord == 0 {
+				if o.Conn != h.coordConn || h.coordConn == 0 {
 					for _, l := range strings.Split(strings.TrimSuffix(string(o.Bytes), "\n"), "\n") {
-						b.lines[o.Conn] = append(b.lines[o.Conn], l)
-						b.wire = append(b.wire, wireLine{o.Conn, l})
+						h.written[o.Conn] = append(h.written[o.Conn], l)
+						h.writtenInOrder = append(h.writtenInOrder, writtenLine{o.Conn, l})
 					}
 				}
 			case Close:
-				b.closed[o.Conn] = true
+				h.closed[o.Conn] = true
 			case Dial:
-				b.dials = append(b.dials, o)
+				h.pendingDials = append(h.pendingDials, o)
 			case Exit:
-				b.exit = true
+				h.exited = true
 			}
 		}
 	}
 }
 
-// send hands lines to the proxy.
-func (b *bed) send(id ConnID, lines ...string) {
-	b.Receive(b.at, id, []byte(strings.Join(lines, "\n")+"\n"))
-	b.take()
+// receiveLines passes lines received on a connection to the proxy.
+func (h *harness) receiveLines(id ConnID, lines ...string) {
+	h.Receive(h.clock, id, []byte(strings.Join(lines, "\n")+"\n"))
+	h.collectOutputs()
 }
 
-// round hands over what was found on several connections at once.
-func (b *bed) round(in ...Input) {
-	b.ProcessBatch(b.at, in)
-	b.take()
+// processBatch passes the inputs of several connections to the proxy in one batch.
+func (h *harness) processBatch(inputs ...Input) {
+	h.ProcessBatch(h.clock, inputs)
+	h.collectOutputs()
 }
 
-func piece(lines ...string) []byte { return []byte(strings.Join(lines, "\n") + "\n") }
+func joinLines(lines ...string) []byte { return []byte(strings.Join(lines, "\n") + "\n") }
 
-func (b *bed) pass(d time.Duration) {
-	until := b.at + d
+func (h *harness) advance(d time.Duration) {
+	until := h.clock + d
 	for {
-		next, ok := b.NextWakeUp()
+		next, ok := h.NextWakeUp()
 		if !ok || next > until {
 			break
 		}
-		b.at = max(b.at, next)
-		b.Advance(b.at)
-		b.take()
+		h.clock = max(h.clock, next)
+		h.Advance(h.clock)
+		h.collectOutputs()
 	}
-	b.at = until
-	b.Advance(b.at)
-	b.take()
+	h.clock = until
+	h.Advance(h.clock)
+	h.collectOutputs()
 }
 
-func (b *bed) accept() ConnID {
-	id := b.Accept(b.at)
-	b.take()
+func (h *harness) accept() ConnID {
+	id := h.Accept(h.clock)
+	h.collectOutputs()
 	return id
 }
 
-// got takes the lines written to a connection.
-func (b *bed) got(id ConnID) []jsonl.Message {
-	b.t.Helper()
+// takeLines returns the lines written to a connection and clears them.
+func (h *harness) takeLines(id ConnID) []jsonl.Message {
+	h.t.Helper()
 	var out []jsonl.Message
-	for _, l := range b.lines[id] {
+	for _, l := range h.written[id] {
 		m, err := jsonl.Parse([]byte(l))
 		if err != nil {
-			b.t.Fatalf("the proxy wrote %q: %v", l, err)
+			h.t.Fatalf("the proxy wrote %q: %v", l, err)
 		}
 		out = append(out, m)
 	}
-	delete(b.lines, id)
+	delete(h.written, id)
 	return out
 }
 
-// want takes the lines written to a connection and compares them in short: type, last digits of ref, cause.
-func (b *bed) want(id ConnID, want ...string) []jsonl.Message {
-	b.t.Helper()
-	got := b.got(id)
+// expectLines takes the lines written to a connection and compares them in short form: type, last digits of the reference,
+// cause.
+func (h *harness) expectLines(id ConnID, want ...string) []jsonl.Message {
+	h.t.Helper()
+	got := h.takeLines(id)
 	var short []string
 	for _, m := range got {
 		s := m.Type
@@ -195,16 +199,16 @@
 		short = append(short, s)
 	}
 	if !slices.Equal(short, want) {
-		b.t.Fatalf("at %v connection %d got %q, want %q", b.at, id, short, want)
+		h.t.Fatalf("at %v connection %d got %q, want %q", h.clock, id, short, want)
 	}
 	return got
 }
 
 func ref(n int) string { return fmt.Sprintf("%016x", n) }
 
-func setUp(n, dest int, more string) string {
+func setUp(n, dest int, extras string) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"voice","left":"1500","key":"7f3a9c21e0b4d6%02x","extras":"dest:%d;width:1;via:-1%s"},"d":%s}`,
-		ref(n), n%256, dest, more, desc)
+		ref(n), n%256, dest, extras, description)
 }
 
 func up(n int) string { return fmt.Sprintf(`{"t":"up","ref":"%s","f":{},"d":"answer %d"}`, ref(n), n) }
@@ -216,10 +220,10 @@
 	return fmt.Sprintf(`{"t":"down","ref":"%s","f":{%s},"c":%d}`, ref(n), note, cause)
 }
 
-// list tells a change of the list.
-func (b *bed) list(number uint64, entries ...coordinator.Entry) {
-	b.Receive(b.at, b.coord, coordinator.AppendFrame(nil, coordinator.Event{Index: number, Entries: entries}))
-	b.take()
+// updateList sends a change of the exchange list.
+func (h *harness) updateList(index uint64, entries ...coordinator.Entry) {
+	h.Receive(h.clock, h.coordConn, coordinator.AppendFrame(nil, coordinator.Event{Index: index, Entries: entries}))
+	h.collectOutputs()
 }
 
 func entry(id uint32, number, host int, phase decide.Phase) coordinator.Entry {
@@ -227,17 +231,18 @@
 		Addr: netip.MustParseAddrPort(fmt.Sprintf("127.0.1.%d:5060", host))}
 }
 
-// quiet checks that nothing is left over.
-func (b *bed) quiet() {
-	b.t.Helper()
-	outs := 0
-	for _, l := range b.links {
-		outs += len(l.out)
+// expectIdle checks that no call, attempt or unsent release is left.
+func (h *harness) expectIdle() {
+	h.t.Helper()
+	attemptsAndCalls := 0
+	for _, l := range h.links {
+		attemptsAndCalls += len(l.openAttempts)
 	}
-	for _, f := range b.Core.switches {
-		outs += len(f.waiting) + f.standing
+	for _, n := range h.Core.switches {
+		attemptsAndCalls += len(n.waitingAttempts) + n.standingCalls
 	}
-	if len(b.calls) != 0 || len(b.byID) != 0 || b.open != 0 || outs != 0 || len(b.homeless) != 0 {
-		b.t.Fatalf("left over: %d calls, %d known to the module, %d open, %d out, %d lines", len(b.calls), len(b.byID), b.open, outs, len(b.homeless))
+	if len(h.calls) != 0 || len(h.callsByID) != 0 || h.openSetUps != 0 || attemptsAndCalls != 0 || len(h.orphanedReleases) != 0 {
+		h.t.Fatalf("left over: %d calls, %d known to the module, %d without an answer, %d attempts, %d unsent releases",
+			len(h.calls), len(h.callsByID), h.openSetUps, attemptsAndCalls, len(h.orphanedReleases))
 	}
 }
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -12,80 +12,82 @@
 	"pipitring/internal/jsonl"
 )
 
-// Bounds of callers' connections.
+// Timeouts of callers' connections.
 const (
-	speakWithin = 2 * time.Second        // one that asked for nothing after this is closed,
-	speakSoon   = 300 * time.Millisecond // one that comes to ask does so by then, mostly
-	idleFor     = 10 * time.Second       // and one that has had no set-up open for this long
+	firstRequestTimeout = 2 * time.Second        // without a request by then, or with an incomplete line, the connection is closed
+	firstRequestGrace   = 300 * time.Millisecond // most callers send their first request within this time; until then they are not evicted first
+	callerIdleTimeout   = 10 * time.Second       // a connection without a call for this long is closed
 )
 
-// caller is a connection from callers.
+// caller is a connection from a caller.
 type caller struct {
-	core   *Core
-	id     ConnID
-	lines  jsonl.LineSplitter
-	opened time.Duration
-	used   time.Duration // last time a set-up was open on it
-	asked  bool          // has sent something good
-	open   int           // set-ups owed an answer
-	stands int           // calls that stand, whose set-up came on it
-	served int           // set-ups that were answered
-	gone   bool          // it has ended, though bytes from it are still to be read
-	ended  bool
-
-	got    []parsed // read and not yet acted upon
-	gotErr error    // what follows it cannot be read
+	core           *Core
+	id             ConnID
+	lines          jsonl.LineSplitter
+	opened         time.Duration
+	lastUsed       time.Duration // when a set-up was last open on it
+	hasRequested   bool          // a valid request was received
+	openSetUps     int           // set-ups that await their final answer
+	standingCalls  int           // standing calls that were set up on it
+	answeredSetUps int           // set-ups that were answered on it
+	eof            bool          // the peer has closed it, but received bytes are still to be handled
+	closed         bool
+
+	received []parsedLine // received, not handled yet
+	splitErr error        // set if the bytes after the received lines cannot be split
 }
 
-// Accept takes a connection from a caller; the runtime hands on what it brings under the handle. Over the budget of
-// descriptors the one that has been silent longest gives way.
+// Accept registers a connection from a caller and returns its ID, under which the runtime passes on its input. If
+// callers exceed their budget of descriptors, the connection whose loss costs least is evicted.
 func (c *Core) Accept(now time.Duration) ConnID {
-	c.tell(now)
-	c.lastConn++
-	p := &caller{core: c, id: c.lastConn, opened: c.now, used: c.now}
+	c.advanceClock(now)
+	c.lastConnID++
+	p := &caller{core: c, id: c.lastConnID, opened: c.now, lastUsed: c.now}
 	c.callers[p.id] = p
-	if len(c.callers) > c.cfg.budget(len(c.switches)) {
+	if len(c.callers) > c.cfg.callerBudget(len(c.switches)) {
 		c.Stats.EvictedCallers++
-		c.leastUsed().end(false)
+		c.evictionCandidate().close(false)
 	}
 	return p.id
 }
 
-// EvictCaller ends the caller's connection whose loss costs least, if it bears no call: descriptors have run out.
+// EvictCaller closes the caller's connection whose loss costs least if it carries no call. The runtime calls it when
+// descriptors have run out.
 func (c *Core) EvictCaller(now time.Duration) {
-	c.tell(now)
-	c.makeRoom()
+	c.advanceClock(now)
+	c.evictIdleCaller()
 }
 
-func (c *Core) makeRoom() bool {
-	p := c.leastUsed()
-	if p == nil || p.open > 0 || p.stands > 0 {
+func (c *Core) evictIdleCaller() bool {
+	p := c.evictionCandidate()
+	if p == nil || p.openSetUps > 0 || p.standingCalls > 0 {
 		return false
 	}
 	c.Stats.EvictedCallers++
-	p.end(false)
+	p.close(false)
 	return true
 }
 
-// descriptors is the number that may be in use now.
-func (c *Core) descriptors() int { return ownSockets + len(c.links) + len(c.callers) }
+// descriptorsInUse returns an upper bound of the descriptors in use.
+func (c *Core) descriptorsInUse() int { return reservedDescriptors + len(c.links) + len(c.callers) }
 
-// shareRoom ends callers' connections over the budget, which shrinks as the list grows, as far as they bear no call.
-func (c *Core) shareRoom() {
-	for len(c.callers) > c.cfg.budget(len(c.switches)) && c.makeRoom() {
+// enforceCallerBudget closes callers' connections without calls until the budget holds. The budget shrinks as the
+// exchange list grows.
+func (c *Core) enforceCallerBudget() {
+	for len(c.callers) > c.cfg.callerBudget(len(c.switches)) && c.evictIdleCaller() {
 	}
 }
 
-// leastUsed is the connection whose loss costs least: one that has been silent since it came, else one without a call
-// that is open or stands, longest unused first, else the newest. A release finds its way without the connection of its
-// set-up only if the callers' other ones can be told from strangers'.
-func (c *Core) leastUsed() *caller {
+// evictionCandidate returns the connection whose loss costs least: first one that never sent a request, then one without
+// open or standing calls, longest unused first, then the newest. Those with calls rank last: a release whose own
+// connection is gone can only be sent if the callers' connections can be distinguished from those of unknown peers.
+func (c *Core) evictionCandidate() *caller {
 	var best *caller
 	rank := func(p *caller) int {
 		switch {
-		case p.open > 0 || p.stands > 0:
+		case p.openSetUps > 0 || p.standingCalls > 0:
 			return 2
-		case p.asked || c.now-p.opened < speakSoon:
+		case p.hasRequested || c.now-p.opened < firstRequestGrace:
 			return 1
 		}
 		return 0
@@ -95,162 +97,162 @@
 		case best == nil, rank(p) < rank(best):
 			best = p
 		case rank(p) > rank(best):
-		case rank(p) == 2 && p.id > best.id, rank(p) < 2 && (p.used < best.used || p.used == best.used && p.id < best.id):
+		case rank(p) == 2 && p.id > best.id, rank(p) < 2 && (p.lastUsed < best.lastUsed || p.lastUsed == best.lastUsed && p.id < best.id):
 			best = p
 		}
 	}
 	return best
 }
 
-// watchCallers closes connections of no use: too little said, or nothing open for long.
-func (c *Core) watchCallers() {
-	var gone []*caller
+// closeIdleCallers closes connections that sent no request in time or had no call for long.
+func (c *Core) closeIdleCallers() {
+	var idle []*caller
 	for _, p := range c.callers {
-		limit := idleFor
-		if !p.asked || p.lines.Partial() {
-			limit = speakWithin
+		limit := callerIdleTimeout
+		if !p.hasRequested || p.lines.Partial() {
+			limit = firstRequestTimeout
 		}
-		if p.open == 0 && p.stands == 0 && c.now-p.used > limit {
-			gone = append(gone, p)
+		if p.openSetUps == 0 && p.standingCalls == 0 && c.now-p.lastUsed > limit {
+			idle = append(idle, p)
 		}
 	}
-	for _, p := range inOrder(gone) {
-		p.end(true)
+	for _, p := range sortByAge(idle) {
+		p.close(true)
 	}
 }
 
-// inOrder sorts connections by age, so that two runs agree.
-func inOrder(list []*caller) []*caller {
+// sortByAge sorts connections by age, which makes runs reproducible.
+func sortByAge(list []*caller) []*caller {
 	slices.SortFunc(list, func(a, b *caller) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
 
-func (c *Core) callersInOrder() []*caller { return inOrder(slices.Collect(maps.Values(c.callers))) }
+func (c *Core) callersByAge() []*caller { return sortByAge(slices.Collect(maps.Values(c.callers))) }
 
-// end closes a caller's connection; set-ups that are open on it get their final answer before.
-func (p *caller) end(gently bool) {
-	if p.ended {
+// close closes a caller's connection, after sending the final answers of the set-ups that are open on it.
+func (p *caller) close(graceful bool) {
+	if p.closed {
 		return
 	}
-	p.ended = true
-	p.answerAll()
+	p.closed = true
+	p.answerOpenCalls()
 	delete(p.core.callers, p.id)
-	p.core.close(p.id, gently)
+	p.core.close(p.id, graceful)
 }
 
-// answerAll gives up the set-ups that are open on a connection and answers them: what never left is refused, the rest has
-// failed.
-func (p *caller) answerAll() {
-	open := p.core.openOn(p)
-	p.core.giveUp(open)
+// answerOpenCalls ends the set-ups that are open on a connection and answers them: those without an attempt are refused,
+// the others have failed.
+func (p *caller) answerOpenCalls() {
+	open := p.core.openCallsOf(p)
+	p.core.endOpenCalls(open)
 	for _, k := range open {
 		if k.attempts == 0 {
 			p.core.Stats.Refused++
-			p.down(k.ref, jsonl.CauseCongestion, p.core.stayAway())
+			p.sendDown(k.ref, jsonl.CauseCongestion, p.core.retryAfter())
 		} else {
 			p.core.Stats.Failed++
-			p.down(k.ref, jsonl.CauseTemporaryFailure, 0)
+			p.sendDown(k.ref, jsonl.CauseTemporaryFailure, 0)
 		}
 	}
 }
 
-func (p *caller) down(ref string, cause int, wait time.Duration) {
-	p.core.line(p.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, wait) })
+func (p *caller) sendDown(ref string, cause int, wait time.Duration) {
+	p.core.write(p.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, wait) })
 }
 
-// parsed is one line.
-type parsed struct {
+// parsedLine is one received line and its parse error.
+type parsedLine struct {
 	jsonl.Message
 	err error
 }
 
-// takeIn reads bytes; act does what they ask for.
-func (p *caller) takeIn(b []byte) {
+// parseInput parses received bytes into lines. handleLines acts on them.
+func (p *caller) parseInput(b []byte) {
 	err := p.lines.Push(b, func(line []byte) bool {
 		m, err := jsonl.Parse(line)
-		p.got = append(p.got, parsed{m, err})
+		p.received = append(p.received, parsedLine{m, err})
 		return err == nil
 	})
-	p.gotErr = cmp.Or(p.gotErr, err)
+	p.splitErr = cmp.Or(p.splitErr, err)
 }
 
-// act does what was read together: a set-up that is given up further on in it is never begun.
-func (p *caller) act() {
-	got, err := p.got, p.gotErr
-	p.got, p.gotErr = nil, nil
-	givenUp := map[string]int{} // where the last give-up of a reference stands
-	for i := range got {
-		if got[i].Type == jsonl.TypeDown {
-			givenUp[got[i].Ref] = i
+// handleLines handles the lines that were received together. A set-up that a later line abandons is not started.
+func (p *caller) handleLines() {
+	lines, err := p.received, p.splitErr
+	p.received, p.splitErr = nil, nil
+	abandonedAt := map[string]int{} // reference to the index of the last line that abandons it
+	for i := range lines {
+		if lines[i].Type == jsonl.TypeDown {
+			abandonedAt[lines[i].Ref] = i
 		}
 	}
-	for i := range got {
-		if p.message(&got[i], givenUp[got[i].Ref] > i); p.ended {
+	for i := range lines {
+		if p.handleMessage(&lines[i], abandonedAt[lines[i].Ref] > i); p.closed {
 			return
 		}
 	}
 	if err != nil {
-		p.bad("")
+		p.protocolError("")
 	}
 }
 
-// bad answers what cannot be used with a failure, where it names a call, and ends the connection.
-func (p *caller) bad(ref string) {
+// protocolError answers an unusable line with a failure, if it names a call, and closes the connection.
+func (p *caller) protocolError(ref string) {
 	p.core.Stats.CallerErrors++
 	if ref != "" {
-		p.down(ref, jsonl.CauseTemporaryFailure, 0)
+		p.sendDown(ref, jsonl.CauseTemporaryFailure, 0)
 	}
-	p.end(true)
+	p.close(true)
 }
 
-func (p *caller) message(m *parsed, givenUp bool) {
+func (p *caller) handleMessage(m *parsedLine, abandoned bool) {
 	if m.err != nil {
 		ref := m.Ref
-		if k := p.core.calls[ref]; k != nil && k.from == p {
-			ref = "" // it gets its one answer when the connection ends
+		if k := p.core.calls[ref]; k != nil && k.caller == p {
+			ref = "" // the call gets its one final answer when the connection closes
 		}
-		p.bad(ref)
+		p.protocolError(ref)
 		return
 	}
 	switch m.Type {
 	case jsonl.TypeNew:
-		p.setUp(&m.Message, givenUp)
+		p.handleSetUp(&m.Message, abandoned)
 	case jsonl.TypeDown:
-		p.release(&m.Message)
+		p.handleRelease(&m.Message)
 	case jsonl.TypeHeartbeat:
-		p.asked, p.used = true, p.core.now
-		p.core.line(p.id, func(b []byte) []byte { return jsonl.AppendHeartbeatOK(b, m.Ref, p.core.Ready()) })
+		p.hasRequested, p.lastUsed = true, p.core.now
+		p.core.write(p.id, func(b []byte) []byte { return jsonl.AppendHeartbeatOK(b, m.Ref, p.core.Ready()) })
 	case jsonl.TypeAck, jsonl.TypeWait, jsonl.TypeHeartbeatOK:
 	default:
-		p.bad(m.Ref)
+		p.protocolError(m.Ref)
 	}
 }
 
-// offer is what a caller's set-up says.
-type offer struct {
+// callOffer is a caller's set-up request.
+type callOffer struct {
 	decide.Offer
-	at   decide.ExchangeID // a call that stands there already
-	isAt bool
-	key  []byte // as a JSON string; nil is none
+	standingAt decide.ExchangeID // the switch where the call stands already, if isStanding
+	isStanding bool
+	key        []byte // a JSON string; nil if absent
 }
 
 const (
-	mostLeft = int64(24 * time.Hour / time.Millisecond)
-	mostDest = 1<<16 - 1
-	// A line to a switch holds less than the caller's did but for escapes in names; a description over this could
-	// pass the limit.
-	mostDesc = jsonl.MaxLine - 512
+	maxTimeLeftMS  = int64(24 * time.Hour / time.Millisecond)
+	maxDestination = 1<<16 - 1
+	// A line to a switch is shorter than the caller's except for escapes in names. A longer description could exceed
+	// the line limit.
+	maxDescription = jsonl.MaxLine - 512
 )
 
-// read checks a set-up's fields. Nothing that a switch could not read gets past it.
-func (p *caller) read(m *jsonl.Message) (o offer, ok bool) {
-	class, known := p.core.classes[m.Fields["class"]]
-	left, good := m.IntField("left", 0, mostLeft)
-	if !known || !good || len(m.Desc) > mostDesc {
+// parseOffer validates a set-up's fields, so that nothing a switch cannot read is forwarded.
+func (p *caller) parseOffer(m *jsonl.Message) (o callOffer, ok bool) {
+	class, classOK := p.core.classes[m.Fields["class"]]
+	left, leftOK := m.IntField("left", 0, maxTimeLeftMS)
+	if !classOK || !leftOK || len(m.Desc) > maxDescription {
 		return o, false
 	}
 	o.Class, o.Patience = class, time.Duration(left)*time.Millisecond
-	// A call without a tenant is nobody's; one of a tenant that the settings do not have is a mistake.
+	// A call without a tenant belongs to none. A tenant missing from the settings is an error.
 	o.Tenant = decide.Unknown
 	if tenants := p.core.cfg.Setup.TenantNames; len(tenants) > 0 && m.Fields["tenant"] != "" {
 		if o.Tenant = slices.Index(tenants, m.Fields["tenant"]); o.Tenant < 0 {
@@ -258,27 +260,27 @@
 		}
 	}
 	o.Dest, o.Width, o.AdvisedTandem = decide.Unknown, p.core.cfg.Setup.Settings.Classes[class].Width, decide.Unknown
-	if key, has := m.Fields["key"]; has {
+	if key, present := m.Fields["key"]; present {
 		n, err := strconv.ParseUint(key, 16, 64)
 		if err != nil || !jsonl.IsHex(key) {
 			return o, false
 		}
 		o.CalledNumber, o.key = n, jsonl.Quote(key)
 	}
-	if r, has := m.Fields["retry"]; has && r != "0" {
+	if r, present := m.Fields["retry"]; present && r != "0" {
 		if r != "1" {
 			return o, false
 		}
 		o.Redial = true
 	}
-	if !o.extras(m.Fields["extras"]) || m.Desc == nil && !o.isAt {
+	if !o.parseExtras(m.Fields["extras"]) || m.Desc == nil && !o.isStanding {
 		return o, false
 	}
 	return o, true
 }
 
-// extras reads figures in the form of dest:2;width:1;via:-1. Unknown names are ignored.
-func (o *offer) extras(text string) bool {
+// parseExtras parses figures of the form dest:2;width:1;via:-1. Unknown names are ignored.
+func (o *callOffer) parseExtras(text string) bool {
 	via := decide.Unknown
 	for name, value := range pairs(text) {
 		if name == "at" {
@@ -286,11 +288,11 @@
 			if err != nil {
 				return false
 			}
-			o.at, o.isAt = decide.ExchangeID(id), true
+			o.standingAt, o.isStanding = decide.ExchangeID(id), true
 			continue
 		}
 		n, err := strconv.ParseFloat(value, 64)
-		if err != nil || n != float64(int(n)) || n < -1 || n > mostDest {
+		if err != nil || n != float64(int(n)) || n < -1 || n > maxDestination {
 			return false
 		}
 		switch name {
@@ -310,126 +312,126 @@
 		}
 	}
 	if !o.Transit {
-		o.AdvisedTandem = via // in transit it is where the call comes from
+		o.AdvisedTandem = via // on a transit call via is the exchange that the call comes from
 	}
-	return o.Dest >= 0 || o.isAt
+	return o.Dest >= 0 || o.isStanding
 }
 
-// setUp takes a set-up; the caller may have given it up by now.
-func (p *caller) setUp(m *jsonl.Message, givenUp bool) {
+// handleSetUp handles a set-up, which the caller may have abandoned by now.
+func (p *caller) handleSetUp(m *jsonl.Message, abandoned bool) {
 	c := p.core
-	o, ok := p.read(m)
+	o, ok := p.parseOffer(m)
 	if k := c.calls[m.Ref]; k != nil {
 		switch {
-		case ok && o.isAt: // named again: it is held already
+		case ok && o.isStanding: // repeated adoption: the call is known already
 			if k.standing {
-				k.from.stands--
-				k.from = p
-				p.stands++
+				k.caller.standingCalls--
+				k.caller = p
+				p.standingCalls++
 			}
-		case k.from == p && !k.standing:
-			// Both set-ups bear one reference, so one answer is all that can be told: the first call is given up
-			// and the failure ends them both.
-			p.bad("")
+		case k.caller == p && !k.standing:
+			// Both set-ups have the same reference, so only one answer can be sent: the failure ends both calls.
+			p.protocolError("")
 		default:
-			p.bad(m.Ref)
+			p.protocolError(m.Ref)
 		}
 		return
 	}
 	if !ok {
 		c.Stats.CallerErrors++
-		p.down(m.Ref, jsonl.CauseTemporaryFailure, 0)
+		p.sendDown(m.Ref, jsonl.CauseTemporaryFailure, 0)
 		return
 	}
-	if o.isAt {
-		c.adopt(p, m.Ref, o)
+	if o.isStanding {
+		c.adoptCall(p, m.Ref, o)
 		return
 	}
-	p.asked, p.used = true, c.now
-	if givenUp || p.gone { // nobody waits for it any more
+	p.hasRequested, p.lastUsed = true, c.now
+	if abandoned || p.eof { // the caller no longer waits
 		c.Stats.Abandoned++
 		return
 	}
-	c.sendHomeless(p)
-	if most := c.cfg.Setup.MaxOpenCalls; most > 0 && c.open >= most || c.isClosing() {
+	c.sendOrphanedReleases(p)
+	if limit := c.cfg.Setup.MaxOpenCalls; limit > 0 && c.openSetUps >= limit || c.pastAnswerDeadline() {
 		c.Stats.Refused++
-		p.down(m.Ref, jsonl.CauseCongestion, c.stayAway())
+		p.sendDown(m.Ref, jsonl.CauseCongestion, c.retryAfter())
 		return
 	}
-	c.offer(p, m, o)
+	c.offerCall(p, m, o)
 }
 
-// stayAway is the time that a caller is told to stay away where the settings allow it.
-func (c *Core) stayAway() time.Duration {
+// retryAfter returns the jittered retry-after time to send to a caller, or 0 if the settings do not allow it.
+func (c *Core) retryAfter() time.Duration {
 	if s := c.cfg.Setup.Settings; s.SendRetryAfter {
 		return c.jitter(s.MaxRetryAfter)
 	}
 	return 0
 }
 
-// release ends what a caller names: an open set-up, which only its own connection may give up, or a standing call.
-func (p *caller) release(m *jsonl.Message) {
+// handleRelease ends the named call: an open set-up, which only its own connection may abandon, or a standing call.
+func (p *caller) handleRelease(m *jsonl.Message) {
 	k := p.core.calls[m.Ref]
 	switch {
 	case k == nil:
 	case k.standing:
-		p.asked, p.used = true, p.core.now
-		p.core.hangUp(k, m.Cause)
-	case k.from == p:
-		p.core.left([]*call{k})
+		p.hasRequested, p.lastUsed = true, p.core.now
+		p.core.releaseFromCaller(k, m.Cause)
+	case k.caller == p:
+		p.core.abandonCalls([]*call{k})
 	}
 }
 
-// lost takes in that a caller's connection has ended: set-ups open on it are given up, standing calls are not.
-func (p *caller) lost() {
-	if p.ended {
+// handleClose handles the end of a caller's connection: set-ups open on it are abandoned, standing calls stay.
+func (p *caller) handleClose() {
+	if p.closed {
 		return
 	}
-	p.ended, p.gone = true, true
+	p.closed, p.eof = true, true
 	delete(p.core.callers, p.id)
-	p.core.left(p.core.openOn(p))
+	p.core.abandonCalls(p.core.openCallsOf(p))
 }
 
-// tellCaller sends a line about a standing call: on its own connection, else on the one that callers use most, else on
-// the next that asks for something.
-func (c *Core) tellCaller(k *call, cause int) {
-	to := k.from
-	if to.ended || to.gone {
-		to = c.mostServed()
+// notifyCaller sends the release of a standing call: on its own connection, else on the one with the most answered
+// set-ups, else on the next connection that sends a request.
+func (c *Core) notifyCaller(k *call, cause int) {
+	to := k.caller
+	if to.closed || to.eof {
+		to = c.busiestCaller()
 	}
 	if to != nil {
-		to.down(k.ref, cause, 0)
+		to.sendDown(k.ref, cause, 0)
 		return
 	}
 	line := string(jsonl.AppendDown(nil, k.ref, cause, 0))
-	c.homeless = append(c.homeless, line)
-	c.after(releaseFor, func() {
-		if len(c.homeless) > 0 && c.homeless[0] == line {
-			c.homeless = c.homeless[1:]
+	c.orphanedReleases = append(c.orphanedReleases, line)
+	c.after(releaseLifetime, func() {
+		if len(c.orphanedReleases) > 0 && c.orphanedReleases[0] == line {
+			c.orphanedReleases = c.orphanedReleases[1:]
 		}
 	})
 }
 
-// mostServed is the connection on which most set-ups were answered: strangers have none. Else it is any that has asked
-// for something.
-func (c *Core) mostServed() (best *caller) {
+// busiestCaller returns the connection with the most answered set-ups, since unknown peers have none. Without any it
+// returns the newest one that sent a request, or nil.
+func (c *Core) busiestCaller() (best *caller) {
 	for _, p := range c.callers {
-		if p.asked && !p.gone && (best == nil || p.served > best.served || p.served == best.served && p.id > best.id) {
+		if p.hasRequested && !p.eof && (best == nil || p.answeredSetUps > best.answeredSetUps ||
+			p.answeredSetUps == best.answeredSetUps && p.id > best.id) {
 			best = p
 		}
 	}
 	return best
 }
 
-func (c *Core) sendHomeless(p *caller) {
-	if len(c.homeless) == 0 {
+func (c *Core) sendOrphanedReleases(p *caller) {
+	if len(c.orphanedReleases) == 0 {
 		return
 	}
-	c.line(p.id, func(b []byte) []byte {
-		for _, l := range c.homeless {
+	c.write(p.id, func(b []byte) []byte {
+		for _, l := range c.orphanedReleases {
 			b = append(b, l...)
 		}
 		return b
 	})
-	c.homeless = nil
+	c.orphanedReleases = nil
 }
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -10,287 +10,287 @@
 	"pipitring/internal/timers"
 )
 
-// call is one call, from its set-up to its end.
+// call is one call, from its set-up to its release.
 type call struct {
-	ref      string
-	id       decide.CallID // 0 for a call taken over by 'at', which the module was never offered
-	from     *caller       // where its set-up came
-	class    int
-	key      []byte
-	desc     []byte
-	end      time.Duration // the caller waits no longer
-	attempts int
-	out      *attempt // that is out, or waits for a connection; nil if none
-	timer    timers.Entry[func()]
+	ref         string
+	id          decide.CallID // 0 for a call adopted by "at", which was never offered to the decision module
+	caller      *caller       // connection of its set-up, or of its adoption
+	class       int
+	key         []byte
+	desc        []byte
+	deadline    time.Duration // when the caller stops waiting
+	attempts    int
+	openAttempt *attempt // the attempt that is sent or waits for a link; nil if none
+	timer       timers.Entry[func()]
 
-	standing bool
-	at       *far  // where it stands
-	on       *link // the connection of its set-up
+	standing  bool
+	neighbour *neighbour // the switch where it stands
+	link      *link      // the link of its set-up
 }
 
-// attempt is one set-up towards a switch.
+// attempt is one set-up sent to a switch.
 type attempt struct {
-	call  *call
-	no    int
-	to    *far
-	on    *link // nil while it waits for a connection
-	began time.Duration
-	limit time.Duration // the answer is waited for until then
-	timer timers.Entry[func()]
+	call      *call
+	number    int
+	neighbour *neighbour
+	link      *link // nil while it waits for a link
+	startedAt time.Duration
+	deadline  time.Duration // the attempt times out then
+	timer     timers.Entry[func()]
 }
 
-// offer hands a call to the module.
-func (c *Core) offer(p *caller, m *jsonl.Message, o offer) {
+// offerCall offers a call to the decision module.
+func (c *Core) offerCall(p *caller, m *jsonl.Message, o callOffer) {
 	c.Stats.Calls++
-	c.lastCall++
-	k := &call{ref: m.Ref, id: c.lastCall, from: p, class: o.Class, key: o.key, desc: m.Desc}
-	if c.stopping != 0 {
-		o.Patience = min(o.Patience, c.lastAnswers-c.now)
+	c.lastCallID++
+	k := &call{ref: m.Ref, id: c.lastCallID, caller: p, class: o.Class, key: o.key, desc: m.Desc}
+	if c.stoppingSince != 0 {
+		o.Patience = min(o.Patience, c.answerDeadline-c.now)
 	}
-	o.Call, o.Patience = k.id, max(0, o.Patience-overlap)
-	k.end = c.now + o.Patience
-	c.calls[k.ref], c.byID[k.id] = k, k
-	c.open++
-	p.open++
+	o.Call, o.Patience = k.id, max(0, o.Patience-answerMargin)
+	k.deadline = c.now + o.Patience
+	c.calls[k.ref], c.callsByID[k.id] = k, k
+	c.openSetUps++
+	p.openSetUps++
 	c.feed(o.Offer)
 }
 
-// unowe notes that a call is owed no answer any more.
-func (c *Core) unowe(k *call) {
-	c.open--
-	k.from.open--
-	k.from.used = c.now
+// concludeSetUp records that a call no longer awaits a final answer.
+func (c *Core) concludeSetUp(k *call) {
+	c.openSetUps--
+	k.caller.openSetUps--
+	k.caller.lastUsed = c.now
 }
 
-// forget drops a call that is over.
-func (c *Core) forget(k *call) {
-	c.queue.Stop(&k.timer)
+// removeCall removes a call that is over.
+func (c *Core) removeCall(k *call) {
+	c.timerQueue.Stop(&k.timer)
 	delete(c.calls, k.ref)
-	delete(c.byID, k.id)
+	delete(c.callsByID, k.id)
 }
 
-func (c *Core) refuse(a decide.Refuse) {
+func (c *Core) refuseCall(a decide.Refuse) {
 	c.Stats.Refused++
 	c.answerDown(a.Call, jsonl.CauseCongestion, a.RetryAfter)
 }
 
-func (c *Core) fail(id decide.CallID) {
+func (c *Core) failCall(id decide.CallID) {
 	c.Stats.Failed++
 	c.answerDown(id, jsonl.CauseTemporaryFailure, 0)
 }
 
-// answerDown gives a call its final answer.
+// answerDown sends a call's final answer.
 func (c *Core) answerDown(id decide.CallID, cause int, wait time.Duration) {
-	k := c.byID[id]
+	k := c.callsByID[id]
 	if k == nil || k.standing {
 		return
 	}
-	c.unowe(k)
-	c.forget(k)
-	if !k.from.ended {
-		k.from.down(k.ref, cause, wait)
+	c.concludeSetUp(k)
+	c.removeCall(k)
+	if !k.caller.closed {
+		k.caller.sendDown(k.ref, cause, wait)
 	}
-	if k.out != nil { // the module answers only between attempts; if ever not, none stays out
-		c.cancel(k.out, decide.Cancelled)
+	if k.openAttempt != nil { // the module answers only between attempts, but none may stay open if it does not
+		c.cancelAttempt(k.openAttempt, decide.Cancelled)
 	}
 }
 
-// left takes in that callers wait no longer for their calls.
-func (c *Core) left(list []*call) {
-	c.Stats.Abandoned += uint64(len(list))
-	c.giveUp(list)
+// abandonCalls ends calls that their callers have abandoned.
+func (c *Core) abandonCalls(calls []*call) {
+	c.Stats.Abandoned += uint64(len(calls))
+	c.endOpenCalls(calls)
 }
 
-// giveUp ends calls whose callers wait no longer. The module knows of all of them before any attempt is called off, or what
-// one frees would be used for the next.
-func (c *Core) giveUp(list []*call) {
-	c.dismiss(list)
-	c.callOff(list)
+// endOpenCalls ends calls without an answer. The decision module is notified of all of them before any attempt is
+// cancelled; otherwise it would use the circuit that one frees for the next.
+func (c *Core) endOpenCalls(calls []*call) {
+	c.dropCalls(calls)
+	c.cancelAttempts(calls)
 }
 
-// dismiss drops calls that are owed no answer any more; attempts may be out still.
-func (c *Core) dismiss(list []*call) {
-	for _, k := range list {
-		c.unowe(k)
-		c.forget(k)
+// dropCalls removes calls that need no final answer. Their attempts may still be open.
+func (c *Core) dropCalls(calls []*call) {
+	for _, k := range calls {
+		c.concludeSetUp(k)
+		c.removeCall(k)
 		c.feed(decide.CallerAbandoned{Call: k.id})
 	}
 }
 
-// callOff takes back what is out of calls that were dismissed. An attempt that was waited for to the caller's end has
-// timed out, which tells more of the switch.
-func (c *Core) callOff(list []*call) {
-	for _, k := range list {
+// cancelAttempts cancels the open attempts of removed calls. An attempt that was open until the caller's deadline is
+// reported as timed out, which says more about the switch than a cancellation.
+func (c *Core) cancelAttempts(calls []*call) {
+	for _, k := range calls {
 		switch {
-		case k.out == nil:
-		case k.out.on != nil && c.now+clockSlack >= k.end:
-			c.cancel(k.out, decide.TimedOut)
+		case k.openAttempt == nil:
+		case k.openAttempt.link != nil && c.now+clockTolerance >= k.deadline:
+			c.cancelAttempt(k.openAttempt, decide.TimedOut)
 		default:
-			c.cancel(k.out, decide.Cancelled)
+			c.cancelAttempt(k.openAttempt, decide.Cancelled)
 		}
 	}
 }
 
-// cancel takes an attempt back and tells the module how it ended.
-func (c *Core) cancel(a *attempt, o decide.Outcome) {
-	c.withdraw(a)
-	c.endedAs(a, o)
+// cancelAttempt withdraws an attempt and reports its outcome to the decision module.
+func (c *Core) cancelAttempt(a *attempt, o decide.Outcome) {
+	c.withdrawAttempt(a)
+	c.endAttempt(a, o)
 }
 
-// openOn lists the calls that are owed an answer on a connection, oldest first.
-func (c *Core) openOn(p *caller) (list []*call) {
-	if p.open == 0 {
+// openCallsOf returns the calls of a connection that await their final answer, oldest first.
+func (c *Core) openCallsOf(p *caller) (calls []*call) {
+	if p.openSetUps == 0 {
 		return nil
 	}
 	for _, k := range c.calls {
-		if k.from == p && !k.standing {
-			list = append(list, k)
+		if k.caller == p && !k.standing {
+			calls = append(calls, k)
 		}
 	}
-	slices.SortFunc(list, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
-	return list
+	slices.SortFunc(calls, func(a, b *call) int { return cmp.Compare(a.id, b.id) })
+	return calls
 }
 
-// setUp sends a call towards a switch, or tells why it did not leave.
-func (c *Core) setUp(s decide.SetUp) {
-	k, to := c.byID[s.Call], c.switches[s.Exchange]
-	a := &attempt{call: k, to: to, began: c.now}
-	if k == nil || k.standing || k.out != nil || to == nil || to.phase != decide.Ready {
-		no := 0
+// startAttempt sends a call's set-up to a switch, or reports why it was not sent.
+func (c *Core) startAttempt(s decide.SetUp) {
+	k, to := c.callsByID[s.Call], c.switches[s.Exchange]
+	a := &attempt{call: k, neighbour: to, startedAt: c.now}
+	if k == nil || k.standing || k.openAttempt != nil || to == nil || to.phase != decide.Ready {
+		number := 0
 		if k != nil {
-			no, k.attempts = k.attempts, k.attempts+1
+			number, k.attempts = k.attempts, k.attempts+1
 		}
-		c.feed(decide.AttemptEnded{Call: s.Call, Attempt: no, Exchange: s.Exchange, Outcome: decide.NotSent,
+		c.feed(decide.AttemptEnded{Call: s.Call, Attempt: number, Exchange: s.Exchange, Outcome: decide.NotSent,
 			Concluded: k == nil || k.standing, Report: decide.NoReport})
 		return
 	}
-	a.no = k.attempts
+	a.number = k.attempts
 	k.attempts++
 	c.Stats.Attempts++
-	k.out, a.limit = a, k.end
+	k.openAttempt, a.deadline = a, k.deadline
 	if s.Timeout > 0 {
-		a.limit = min(a.limit, c.now+s.Timeout)
+		a.deadline = min(a.deadline, c.now+s.Timeout)
 	}
-	if a.limit <= c.now {
-		c.endedAs(a, decide.NotSent)
+	if a.deadline <= c.now {
+		c.endAttempt(a, decide.NotSent)
 		return
 	}
-	if l := to.pick(); l != nil {
-		c.send(a, l)
+	if l := to.pickLink(); l != nil {
+		c.sendSetUp(a, l)
 		return
 	}
-	to.waiting = append(to.waiting, a)
-	a.timer.Value = func() { c.cancel(a, decide.Unreachable) } // nothing ran
-	c.queue.Set(&a.timer, min(a.limit, c.now+c.cfg.Setup.ConnectTimeout))
+	to.waitingAttempts = append(to.waitingAttempts, a)
+	a.timer.Value = func() { c.cancelAttempt(a, decide.Unreachable) } // no processor has worked on it
+	c.timerQueue.Set(&a.timer, min(a.deadline, c.now+c.cfg.Setup.ConnectTimeout))
 	to.connect()
 }
 
-// send puts a set-up on a connection.
-func (c *Core) send(a *attempt, l *link) {
+// sendSetUp sends a set-up on a link.
+func (c *Core) sendSetUp(a *attempt, l *link) {
 	k := a.call
-	a.on = l
-	l.out[k.ref] = a
-	s := jsonl.SetUp{Ref: k.ref, Class: c.quoted[k.class], Key: k.key, TimeLeft: a.limit - c.now, Desc: k.desc}
-	c.line(l.id, s.Append)
-	l.expect()
-	a.timer.Value = func() { c.cancel(a, decide.TimedOut) }
-	c.queue.Set(&a.timer, a.limit)
+	a.link = l
+	l.openAttempts[k.ref] = a
+	s := jsonl.SetUp{Ref: k.ref, Class: c.quotedClasses[k.class], Key: k.key, TimeLeft: a.deadline - c.now, Desc: k.desc}
+	c.write(l.id, s.Append)
+	l.expectLine()
+	a.timer.Value = func() { c.cancelAttempt(a, decide.TimedOut) }
+	c.timerQueue.Set(&a.timer, a.deadline)
 }
 
-// withdraw takes an attempt back, wherever it is. An answer that crosses this is dropped: for the switch the give-up
-// that it then reads is the release of a call that stands.
-func (c *Core) withdraw(a *attempt) {
-	if a.on == nil {
-		a.to.unwait(a)
+// withdrawAttempt withdraws an attempt that is sent or waits for a link. An answer that crosses the withdrawal is
+// dropped: the switch then treats the withdrawal as the release of a standing call.
+func (c *Core) withdrawAttempt(a *attempt) {
+	if a.link == nil {
+		a.neighbour.removeWaiting(a)
 		return
 	}
-	if a.on.out[a.call.ref] == a {
-		delete(a.on.out, a.call.ref)
-		a.on.down(a.call.ref, jsonl.CauseNormal)
+	if a.link.openAttempts[a.call.ref] == a {
+		delete(a.link.openAttempts, a.call.ref)
+		a.link.sendDown(a.call.ref, jsonl.CauseNormal)
 	}
 }
 
-// endedAs tells the module how an attempt ended that nothing was reported with.
-func (c *Core) endedAs(a *attempt, o decide.Outcome) {
-	c.ended(a, decide.AttemptEnded{Outcome: o, Report: decide.NoReport})
+// endAttempt reports the outcome of an attempt that ended without a load report.
+func (c *Core) endAttempt(a *attempt, o decide.Outcome) {
+	c.endAttemptWith(a, decide.AttemptEnded{Outcome: o, Report: decide.NoReport})
 }
 
-// ended tells the module how an attempt ended, once. An answer is owed still, unless the call is forgotten.
-func (c *Core) ended(a *attempt, e decide.AttemptEnded) {
+// endAttemptWith reports how an attempt ended, once. The call's final answer is still due unless the call was removed.
+func (c *Core) endAttemptWith(a *attempt, e decide.AttemptEnded) {
 	k := a.call
-	if k.out != a {
+	if k.openAttempt != a {
 		return
 	}
-	c.queue.Stop(&a.timer)
-	if a.on != nil && a.on.out[k.ref] == a {
-		delete(a.on.out, k.ref)
+	c.timerQueue.Stop(&a.timer)
+	if a.link != nil && a.link.openAttempts[k.ref] == a {
+		delete(a.link.openAttempts, k.ref)
 	}
-	k.out = nil
+	k.openAttempt = nil
 	c.Stats.AttemptOutcomes[e.Outcome]++
-	e.Call, e.Attempt, e.Exchange, e.Took = k.id, a.no, a.to.id, c.now-a.began
-	e.Concluded = c.byID[k.id] == nil
+	e.Call, e.Attempt, e.Exchange, e.Took = k.id, a.number, a.neighbour.id, c.now-a.startedAt
+	e.Concluded = c.callsByID[k.id] == nil
 	c.feed(e)
 }
 
-// answered passes a switch's answer on: the call stands.
-func (c *Core) answered(a *attempt, desc []byte) {
+// handleAnswer passes a switch's answer on to the caller. The call stands from now on.
+func (c *Core) handleAnswer(a *attempt, desc []byte) {
 	k := a.call
 	c.Stats.Answered++
-	c.queue.Stop(&a.timer)
-	delete(a.on.out, k.ref)
-	c.unowe(k)
-	k.standing, k.at, k.on, k.desc, k.out = true, a.to, a.on, nil, nil
-	a.to.standing++
-	k.from.stands++
-	k.from.served++
-	c.line(k.from.id, func(b []byte) []byte { return jsonl.AppendUp(b, k.ref, desc) })
-	c.feed(decide.Standing{Call: k.id, Attempt: a.no, Exchange: a.to.id, Took: c.now - a.began})
+	c.timerQueue.Stop(&a.timer)
+	delete(a.link.openAttempts, k.ref)
+	c.concludeSetUp(k)
+	k.standing, k.neighbour, k.link, k.desc, k.openAttempt = true, a.neighbour, a.link, nil, nil
+	a.neighbour.standingCalls++
+	k.caller.standingCalls++
+	k.caller.answeredSetUps++
+	c.write(k.caller.id, func(b []byte) []byte { return jsonl.AppendUp(b, k.ref, desc) })
+	c.feed(decide.Standing{Call: k.id, Attempt: a.number, Exchange: a.neighbour.id, Took: c.now - a.startedAt})
 }
 
-// over ends a standing call and tells the module.
-func (c *Core) over(k *call, o decide.Outcome, r decide.Report) {
-	k.at.standing--
-	k.from.stands--
-	k.from.used = c.now
-	c.forget(k)
+// endStandingCall ends a standing call and reports it to the decision module.
+func (c *Core) endStandingCall(k *call, o decide.Outcome, r decide.Report) {
+	k.neighbour.standingCalls--
+	k.caller.standingCalls--
+	k.caller.lastUsed = c.now
+	c.removeCall(k)
 	if k.id != 0 {
-		c.feed(decide.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.at.id, Outcome: o, Concluded: true, Report: r})
+		c.feed(decide.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.neighbour.id, Outcome: o, Concluded: true, Report: r})
 	}
 }
 
-// released takes the switch's release of a standing call in and passes it on.
-func (c *Core) released(k *call, cause int, r decide.Report) {
+// releaseFromSwitch handles a switch's release of a standing call and passes it on to the caller.
+func (c *Core) releaseFromSwitch(k *call, cause int, r decide.Report) {
 	o := decide.Completed
 	if cause != jsonl.CauseNormal {
 		o = decide.Cut
 	}
-	c.tellCaller(k, cause)
-	c.over(k, o, r)
+	c.notifyCaller(k, cause)
+	c.endStandingCall(k, o, r)
 }
 
-// hangUp passes a caller's release of a standing call on.
-func (c *Core) hangUp(k *call, cause int) {
-	k.at.release(k, cause)
-	c.over(k, decide.Cancelled, decide.NoReport)
+// releaseFromCaller passes a caller's release of a standing call on to the switch.
+func (c *Core) releaseFromCaller(k *call, cause int) {
+	k.neighbour.sendRelease(k, cause)
+	c.endStandingCall(k, decide.Cancelled, decide.NoReport)
 }
 
-// adopt takes over a call that stands already, from before this process's start.
-func (c *Core) adopt(p *caller, ref string, o offer) {
+// adoptCall takes over a call that stood before this process started.
+func (c *Core) adoptCall(p *caller, ref string, o callOffer) {
 	c.Stats.Adopted++
-	to := c.switches[o.at]
-	if e, known := c.early[ref]; known || to == nil {
-		delete(c.early, ref)
+	to := c.switches[o.standingAt]
+	if e, known := c.earlyReleases[ref]; known || to == nil {
+		delete(c.earlyReleases, ref)
 		if !known {
 			e.cause = jsonl.CauseTemporaryFailure
 		}
-		p.down(ref, e.cause, 0)
+		p.sendDown(ref, e.cause, 0)
 		return
 	}
-	k := &call{ref: ref, from: p, class: o.Class, standing: true, at: to}
+	k := &call{ref: ref, caller: p, class: o.Class, standing: true, neighbour: to}
 	c.calls[ref] = k
-	to.standing++
-	p.stands++
-	k.timer.Value = func() { c.released(k, jsonl.CauseTemporaryFailure, decide.NoReport) }
-	c.queue.Set(&k.timer, c.now+adoptedFor)
-	to.keepUp()
+	to.standingCalls++
+	p.standingCalls++
+	k.timer.Value = func() { c.releaseFromSwitch(k, jsonl.CauseTemporaryFailure, decide.NoReport) }
+	c.timerQueue.Set(&k.timer, c.now+adoptedCallLifetime)
+	to.maintainLinks()
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,6 +1,7 @@
-// Package platform is one signalling proxy on the users' platform, without I/O: callers and switches that speak JSON
-// lines, the coordinator's list, calls, attempts and standing calls. It gives the decision module the events that the
-// simulator would, and carries out its actions; it decides no route, no refusal by load and no wait.
+// Package platform is one signalling proxy of the users' platform, without I/O. It holds the callers and switches that
+// speak JSON lines, the exchange list from the coordinator, calls, attempts and standing calls. It feeds the decision
+// module the same events as the simulator does and executes its actions; it decides no route, load-based refusal or wait
+// itself.
 package platform
 
 import (
@@ -15,23 +16,23 @@
 	"pipitring/internal/wire"
 )
 
-// Config is what a proxy is told at its start.
+// Config is a proxy's start-up configuration.
 type Config struct {
 	Name        string
 	Listen      netip.AddrPort
 	Coordinator netip.AddrPort
 	Seed        uint64
 	Cores       float64
-	Memory      int64 // bytes; 0 is no limit
-	Sockets     int   // descriptors
+	Memory      int64 // memory limit in bytes; 0 is no limit
+	Sockets     int   // limit of file descriptors
 	Setup       wire.InstanceSettings
 	KnownEvents []coordinator.Event
-	LastIndex   uint64 // number of the last event known
+	LastIndex   uint64 // index of the last known event
 }
 
-const leastSockets = 64 // descriptors; with fewer nothing sensible can be held
+const minSockets = 64 // descriptors; the minimum for a useful service
 
-// ParseConfig reads a configuration; an error names the key. Unknown keys are ignored.
+// ParseConfig parses a configuration in JSON. An error names the key; unknown keys are ignored.
 func ParseConfig(text []byte) (*Config, error) {
 	var t struct {
 		Name        string `json:"name"`
@@ -51,10 +52,10 @@
 	}
 	c := &Config{Name: t.Name, Cores: t.Limits.Cores, Memory: int64(t.Limits.MemoryMB * (1 << 20)), Sockets: t.Limits.Sockets}
 	var errs [5]error
-	c.Listen, errs[0] = address("listen", t.Listen)
-	c.Coordinator, errs[1] = address("coordinator", t.Coordinator)
+	c.Listen, errs[0] = parseAddress("listen", t.Listen)
+	c.Coordinator, errs[1] = parseAddress("coordinator", t.Coordinator)
 	if c.Seed, errs[2] = strconv.ParseUint(t.Seed, 16, 64); errs[2] != nil {
-		errs[2] = fmt.Errorf("seed: %q is not a number of 64 bits in hex digits", t.Seed)
+		errs[2] = fmt.Errorf("seed: %q is not a 64-bit number in hex digits", t.Seed)
 	}
 	switch {
 	case len(t.Settings) == 0:
@@ -68,13 +69,13 @@
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
-	if c.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	if c.Sockets < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.Sockets, minSockets)
 	}
 	return c, nil
 }
 
-func address(key, text string) (netip.AddrPort, error) {
+func parseAddress(key, text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || !a.Addr().Is4() || a.Port() == 0 {
 		return a, fmt.Errorf("%s: %q is not an IPv4 address with a port", key, text)
@@ -82,16 +83,16 @@
 	return a, nil
 }
 
-// budget is the number of descriptors that callers may hold together: what is left when the listener, the
-// coordinator, each switch's connections and a few that change hands are taken off.
-func (c *Config) budget(switches int) int {
-	return max(leastCallers, c.Sockets-ownSockets-maxLinks*switches)
+// callerBudget returns the number of descriptors available to callers' connections: the limit, less the reserved ones
+// and the links to each switch.
+func (c *Config) callerBudget(switches int) int {
+	return max(minCallerDescriptors, c.Sockets-reservedDescriptors-maxLinks*switches)
 }
 
 const (
-	ownSockets   = 56 // standard streams, poller, listener, coordinator, connections that change hands or end gently
-	leastCallers = 16
-	maxLinks     = 4 // connections to one switch that a report comes on
+	reservedDescriptors  = 56 // standard streams, poller, listener, coordinator, connections being handed over or closed gracefully
+	minCallerDescriptors = 16 // lower limit of the callers' budget
+	maxLinks             = 4  // links to one switch; load reports arrive on each of them
 
-	clockAhead = time.Hour // starts before our own are still after 0 on the module's clock
+	clockOffset = time.Hour // keeps starts before the proxy's own above 0 on the decision module's clock
 )
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -7,9 +7,9 @@
 	"pipitring/internal/standin"
 )
 
-// TestConfigurationKeepsItsKeys guards against a field whose key in the configuration changes with its Go name: keys
-// without a field are ignored, and most of them may be absent.
-func TestConfigurationKeepsItsKeys(t *testing.T) {
+// TestConfigKeys guards against a configuration key that changes with the Go name of its field. Unknown keys are ignored
+// and most keys are optional, so no other test would fail.
+func TestConfigKeys(t *testing.T) {
 	listen, coordinator := netip.MustParseAddrPort("127.0.0.2:5060"), netip.MustParseAddrPort("127.0.0.3:5061")
 	c, err := ParseConfig(standin.PlatformConfig(listen, coordinator, 70, netip.MustParseAddrPort("127.0.0.4:5062")))
 	if err != nil {
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -12,20 +12,20 @@
 	"pipitring/internal/timers"
 )
 
-// ConnID is the handle of a connection; 0 is none.
+// ConnID identifies a connection; 0 is none.
 type ConnID uint64
 
-// DialFailure tells how dialling a connection failed.
+// DialFailure is the reason why a connection was not established.
 type DialFailure uint8
 
-// Kinds of DialError.
+// Values of DialFailure.
 const (
-	DialTimedOut      DialFailure = iota // not up in time
-	DialRefused                          // nobody listens there: the process is dead
-	DialNoDescriptors                    // our own want of descriptors: it says nothing of the far end
+	DialTimedOut      DialFailure = iota // not established within the timeout
+	DialRefused                          // nothing listens at the address: the process is dead
+	DialNoDescriptors                    // the proxy has no descriptors left; the peer's state is unknown
 )
 
-// Output is something that the runtime has to do: one of the types below.
+// Output is an action for the runtime: one of the types below.
 type Output interface{ output() }
 
 type (
@@ -34,13 +34,13 @@
 		Conn  ConnID
 		Bytes []byte
 	}
-	// Close ends a connection. Gently, what was written is still delivered: this side ends first and reads on for
-	// a short while.
+	// Close closes a connection. If Graceful, bytes already written are still delivered: the runtime shuts down its
+	// side and reads on for a short time.
 	Close struct {
 		Conn     ConnID
 		Graceful bool
 	}
-	// Dial asks for a connection that goes by Conn from now on.
+	// Dial asks for a connection, which has the ID Conn from now on.
 	Dial struct {
 		Conn    ConnID
 		To      netip.AddrPort
@@ -48,7 +48,7 @@
 	}
 	// LogLine is a line for the log.
 	LogLine struct{ Text string }
-	// Exit ends the process: it was told to stop, nothing is open and no more can be coming.
+	// Exit ends the process: it is shutting down, no call is left and no more can arrive.
 	Exit struct{}
 )
 
@@ -58,131 +58,133 @@
 func (LogLine) output() {}
 func (Exit) output()    {}
 
-// Limits that no setting names.
+// Limits that no setting covers.
 const (
-	readyWithin = 1500 * time.Millisecond // a switch that says nothing does not hold up readiness longer
-	overlap     = 5 * time.Millisecond    // the proxy's answer is on its way this long before the caller gives up
-	clockSlack  = 20 * time.Millisecond   // a caller that leaves so near its end waited its time: clocks and ways differ
-	moreComing  = 800 * time.Millisecond  // set-ups still come after SIGTERM
-	// A process that is told to end is killed no sooner than the longest deadline, counted as killDeadline where it is longer,
-	// and killGrace later. Calls in transit go on coming until then; every one has its answer lastLook before.
-	killDeadline = 3 * time.Second
-	killGrace    = 700 * time.Millisecond
-	lastLook     = 100 * time.Millisecond
-	releaseFor   = 8 * time.Second  // a release that could not be sent is of no use after this
-	adoptedFor   = 10 * time.Minute // a call named by 'at' that nobody ever ends is forgotten
-	earlyKept    = 1024             // releases that came before their call was named by 'at'
-	houseKeeping = 250 * time.Millisecond
+	readyTimeout    = 1500 * time.Millisecond // a switch that does not report delays readiness no longer than this
+	answerMargin    = 5 * time.Millisecond    // the proxy's answer leaves this long before the caller's deadline
+	clockTolerance  = 20 * time.Millisecond   // a caller that leaves this close to its deadline has waited it out: clocks and paths differ
+	minShutdownTime = 800 * time.Millisecond  // set-ups still arrive for this long after SIGTERM
+	// After SIGTERM the platform kills the process no sooner than the longest deadline, of which at most maxKillDeadline
+	// counts, plus killGrace. Transit calls keep arriving until then, so each must have its final answer
+	// answerDeadlineMargin before.
+	maxKillDeadline      = 3 * time.Second
+	killGrace            = 700 * time.Millisecond
+	answerDeadlineMargin = 100 * time.Millisecond
+	releaseLifetime      = 8 * time.Second  // a release that could not be sent within this time is dropped
+	adoptedCallLifetime  = 10 * time.Minute // a call adopted by "at" is removed after this time without a release
+	maxEarlyReleases     = 1024             // releases stored for calls that "at" may still name
+	maintenanceInterval  = 250 * time.Millisecond
 )
 
-// Stats count what a proxy does.
+// Stats counts what a proxy has done.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Abandoned uint64
 	Attempts                                    uint64
-	AttemptOutcomes                             [decide.NotSent + 1]uint64 // of attempts before an answer, by outcome
-	Adopted                                     uint64                     // taken over by 'at'
+	AttemptOutcomes                             [decide.NotSent + 1]uint64 // attempts that ended before an answer, by outcome
+	Adopted                                     uint64                     // calls adopted by "at"
 	CallerErrors, SwitchErrors, EvictedCallers  uint64
 }
 
-// reportEvery is how often the log gets a line of counts and one of what is believed of each far end.
-const reportEvery = 5 * time.Second
+// reportInterval is the time between two reports in the log.
+const reportInterval = 5 * time.Second
 
-// reportLine writes to the log what was done since the start, and what the module holds true now.
-func (c *Core) reportLine() {
-	c.after(reportEvery, c.reportLine)
+// logReport logs the counts since the start and the decision module's estimates, and schedules the next report.
+func (c *Core) logReport() {
+	c.after(reportInterval, c.logReport)
 	s := &c.Stats
-	c.note(fmt.Sprintf("calls %d: answered %d, refused %d, failed %d, left %d; open %d, held %d, known %d, adopted %d; attempts %d, ended %v; "+
-		"callers' connections %d, bad %d, turned away %d; switches' connections %d, bad %d", s.Calls, s.Answered, s.Refused, s.Failed,
-		s.Abandoned, c.open, c.QueuedCalls(), len(c.calls), s.Adopted, s.Attempts, s.AttemptOutcomes, len(c.callers), s.CallerErrors, s.EvictedCallers, len(c.links), s.SwitchErrors))
+	c.logLine(fmt.Sprintf("calls %d: answered %d, refused %d, failed %d, abandoned %d; awaiting an answer %d, queued %d, known %d, adopted %d; attempts %d, outcomes %v; "+
+		"caller connections %d, errors %d, evicted %d; switch connections %d, errors %d",
+		s.Calls, s.Answered, s.Refused, s.Failed, s.Abandoned, c.openSetUps, c.QueuedCalls(), len(c.calls), s.Adopted, s.Attempts,
+		s.AttemptOutcomes, len(c.callers), s.CallerErrors, s.EvictedCallers, len(c.links), s.SwitchErrors))
 	text := "believed:"
 	for _, b := range c.Estimates(c.now) {
 		text += " [" + b.String() + "]"
 	}
-	c.note(text)
+	c.logLine(text)
 }
 
-// Estimates is what the module holds true of each far end.
+// Estimates returns the decision module's estimate of each neighbour's state.
 func (c *Core) Estimates(now time.Duration) []decide.Estimate {
-	c.tell(now)
-	return c.ctl.Estimates(c.moduleTime())
+	c.advanceClock(now)
+	return c.controller.Estimates(c.moduleTime())
 }
 
-// QueuedCalls is the number of calls that wait for a circuit or their turn.
-func (c *Core) QueuedCalls() int { return c.ctl.QueuedCalls() }
+// QueuedCalls returns the number of calls in the decision module's wait queue.
+func (c *Core) QueuedCalls() int { return c.controller.QueuedCalls() }
 
-// CallerConnections is the number of callers' connections.
+// CallerConnections returns the number of callers' connections.
 func (c *Core) CallerConnections() int { return len(c.callers) }
 
-// Core is the state of one proxy. All times are since its start; it is not safe for concurrent use.
+// Core is the state of one proxy. All times are since its start. It is not safe for concurrent use.
 type Core struct {
 	Stats Stats
 
-	cfg   *Config
-	rng   *rand.Rand
-	ctl   *decide.Controller
-	wall  time.Time // at time 0
-	now   time.Duration
-	queue timers.Queue[func()]
-
-	outs     []Output
-	lastConn ConnID
-
-	pending []decide.Event
-	feeding bool
-
-	calls    map[string]*call // open and standing, by reference
-	byID     map[decide.CallID]*call
-	open     int // owed an answer
-	lastCall decide.CallID
-
-	callers  map[ConnID]*caller
-	homeless []string // lines for callers that have no connection
-	classes  map[string]int
-	quoted   [][]byte // names of the classes as JSON strings
-
-	switches map[decide.ExchangeID]*far
-	links    map[ConnID]*link
-	early    map[string]early
-
-	coord    listFeed
-	stopping time.Duration // when SIGTERM came; 0 is not
-	// Once it has come: what is open by then is answered, and what comes later is refused at once.
-	lastAnswers time.Duration
-	keeper      timers.Entry[func()]
-	exited      bool
+	cfg        *Config
+	rng        *rand.Rand
+	controller *decide.Controller
+	wallStart  time.Time // wall-clock time at time 0
+	now        time.Duration
+	timerQueue timers.Queue[func()]
+
+	outputs    []Output
+	lastConnID ConnID
+
+	pendingEvents []decide.Event
+	feeding       bool
+
+	calls      map[string]*call // open and standing calls, by reference
+	callsByID  map[decide.CallID]*call
+	openSetUps int // set-ups that await their final answer
+	lastCallID decide.CallID
+
+	callers          map[ConnID]*caller
+	orphanedReleases []string // encoded releases that could not be sent to any caller yet
+	classes          map[string]int
+	quotedClasses    [][]byte // class names as JSON strings
+
+	switches      map[decide.ExchangeID]*neighbour
+	links         map[ConnID]*link
+	earlyReleases map[string]earlyRelease
+
+	discovery     discoveryClient
+	stoppingSince time.Duration // when SIGTERM arrived; 0 if it has not
+	// After SIGTERM, open calls are answered at this time and later ones are refused at once.
+	answerDeadline   time.Duration
+	maintenanceTimer timers.Entry[func()]
+	exited           bool
 }
 
-// early is a release of a call that is not known here, kept for when 'at' names the call.
-type early struct {
-	at    time.Duration
-	cause int
+// earlyRelease is the release of an unknown call, stored in case "at" names the call later.
+type earlyRelease struct {
+	receivedAt time.Duration
+	cause      int
 }
 
-// New makes a proxy at time 0, which is wall on the wall's clock.
+// New returns a proxy at time 0, which is the wall-clock time wall.
 func New(cfg *Config, wall time.Time) *Core {
-	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), wall: wall, ctl: decide.New(cfg.Setup.Settings, cfg.Seed),
-		calls: map[string]*call{}, byID: map[decide.CallID]*call{}, callers: map[ConnID]*caller{}, classes: map[string]int{},
-		switches: map[decide.ExchangeID]*far{}, links: map[ConnID]*link{}, early: map[string]early{}}
+	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), wallStart: wall, controller: decide.New(cfg.Setup.Settings, cfg.Seed),
+		calls: map[string]*call{}, callsByID: map[decide.CallID]*call{}, callers: map[ConnID]*caller{}, classes: map[string]int{},
+		switches: map[decide.ExchangeID]*neighbour{}, links: map[ConnID]*link{}, earlyReleases: map[string]earlyRelease{}}
 	for i, name := range cfg.Setup.ClassNames {
 		c.classes[name] = i
-		c.quoted = append(c.quoted, jsonl.Quote(name))
+		c.quotedClasses = append(c.quotedClasses, jsonl.Quote(name))
 	}
-	c.takeList(decide.ListCached, cfg.KnownEvents)
-	c.coord.begin(c, cfg.LastIndex)
-	c.keeper.Value = c.keepHouse
-	c.queue.Set(&c.keeper, c.jitter(houseKeeping))
-	c.after(reportEvery, c.reportLine)
+	c.applyList(decide.ListCached, cfg.KnownEvents)
+	c.discovery.start(c, cfg.LastIndex)
+	c.maintenanceTimer.Value = c.maintain
+	c.timerQueue.Set(&c.maintenanceTimer, c.jitter(maintenanceInterval))
+	c.after(reportInterval, c.logReport)
 	return c
 }
 
-// NextWakeUp is when Advance is wanted.
-func (c *Core) NextWakeUp() (time.Duration, bool) { return c.queue.Next() }
+// NextWakeUp returns the time at which Advance is due, and false if no timer is set.
+func (c *Core) NextWakeUp() (time.Duration, bool) { return c.timerQueue.Next() }
 
-// Advance does what is due.
+// Advance runs the timers that are due.
 func (c *Core) Advance(now time.Duration) {
-	c.tell(now)
+	c.advanceClock(now)
 	for {
-		e := c.queue.Due(c.now)
+		e := c.timerQueue.Due(c.now)
 		if e == nil {
 			return
 		}
@@ -190,87 +192,88 @@
 	}
 }
 
-// tell takes the time in; it never goes back.
-func (c *Core) tell(now time.Duration) { c.now = max(c.now, now) }
+// advanceClock sets the current time, which never goes back.
+func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Outputs takes what is to be done, in the order in which it came about: what a switch is sent before a caller is told
-// leaves before.
+// Outputs returns the pending outputs and clears them. They are in order: what a switch is sent before a caller is
+// notified also leaves before.
 func (c *Core) Outputs() []Output {
-	out := c.outs
-	c.outs = nil
-	return out
+	outputs := c.outputs
+	c.outputs = nil
+	return outputs
 }
 
-// line writes to a connection: the build function appends the bytes.
-func (c *Core) line(id ConnID, build func(b []byte) []byte) {
-	if n := len(c.outs); n > 0 {
-		if w, ok := c.outs[n-1].(Write); ok && w.Conn == id {
-			c.outs[n-1] = Write{id, build(w.Bytes)}
+// write appends bytes to a connection's output. The build function appends them to its argument.
+func (c *Core) write(id ConnID, build func(b []byte) []byte) {
+	if n := len(c.outputs); n > 0 {
+		if w, ok := c.outputs[n-1].(Write); ok && w.Conn == id {
+			c.outputs[n-1] = Write{id, build(w.Bytes)}
 			return
 		}
 	}
-	c.outs = append(c.outs, Write{id, build(nil)})
+	c.outputs = append(c.outputs, Write{id, build(nil)})
 }
 
-// close asks for a connection's end, behind what was written to it.
-func (c *Core) close(id ConnID, gently bool) { c.outs = append(c.outs, Close{id, gently}) }
+// close requests that a connection be closed after the bytes already written to it.
+func (c *Core) close(id ConnID, graceful bool) { c.outputs = append(c.outputs, Close{id, graceful}) }
 
-func (c *Core) dial(to netip.AddrPort, wait time.Duration) ConnID {
-	c.lastConn++
-	c.outs = append(c.outs, Dial{c.lastConn, to, wait})
-	return c.lastConn
+func (c *Core) dial(to netip.AddrPort, timeout time.Duration) ConnID {
+	c.lastConnID++
+	c.outputs = append(c.outputs, Dial{c.lastConnID, to, timeout})
+	return c.lastConnID
 }
 
-func (c *Core) note(text string) { c.outs = append(c.outs, LogLine{text}) }
+func (c *Core) logLine(text string) { c.outputs = append(c.outputs, LogLine{text}) }
 
-// moduleTime is now on the module's clock.
-func (c *Core) moduleTime() time.Duration { return c.now + clockAhead }
+// moduleTime returns the current time on the decision module's clock.
+func (c *Core) moduleTime() time.Duration { return c.now + clockOffset }
 
-// feed gives the module an event and carries out its actions, in order; events that those cause wait their turn.
+// feed passes an event to the decision module and executes the actions it returns, in order. Events caused by those
+// actions are queued behind it.
 func (c *Core) feed(ev decide.Event) {
-	c.pending = append(c.pending, ev)
+	c.pendingEvents = append(c.pendingEvents, ev)
 	if c.feeding {
 		return
 	}
 	c.feeding = true
-	for i := 0; i < len(c.pending); i++ {
-		for _, a := range c.ctl.Feed(c.moduleTime(), c.pending[i]) {
-			c.carryOut(a)
+	for i := 0; i < len(c.pendingEvents); i++ {
+		for _, a := range c.controller.Feed(c.moduleTime(), c.pendingEvents[i]) {
+			c.execute(a)
 		}
 	}
-	clear(c.pending)
-	c.pending, c.feeding = c.pending[:0], false
+	clear(c.pendingEvents)
+	c.pendingEvents, c.feeding = c.pendingEvents[:0], false
 }
 
-func (c *Core) carryOut(a decide.Action) {
+func (c *Core) execute(a decide.Action) {
 	switch a := a.(type) {
 	case decide.SetUp:
-		c.setUp(a)
+		c.startAttempt(a)
 	case decide.Refuse:
-		c.refuse(a)
+		c.refuseCall(a)
 	case decide.Fail:
-		c.fail(a.Call)
+		c.failCall(a.Call)
 	case decide.Timer:
 		c.after(a.After, func() { c.feed(decide.TimerExpired{Token: a.Token}) })
 	case decide.Subscribe:
-		// Changes come unasked; an empty one says that the list is current.
+		// The coordinator pushes updates without a request. An empty update tells the module that the list is current.
 		c.feed(decide.ListUpdate{Kind: decide.ListChanges})
 	case decide.LogLine:
-		c.note(a.Text)
+		c.logLine(a.Text)
 	}
 }
 
-// jitter is a time between half of d and d, so that a fleet does not do in one instant what each of it does for one cause.
+// jitter returns a random time from d/2 to d, so that a fleet does not react to one cause at the same instant.
 func (c *Core) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(c.rng.Int64N(int64(d/2)+1))
 }
 
 func (c *Core) after(d time.Duration, f func()) {
-	c.queue.Set(&timers.Entry[func()]{Value: f}, c.now+max(d, 0))
+	c.timerQueue.Set(&timers.Entry[func()]{Value: f}, c.now+max(d, 0))
 }
 
-// takeList takes events of the coordinator in; kind is that of a whole list.
-func (c *Core) takeList(kind decide.ListKind, events []coordinator.Event) {
+// applyList applies events of the coordinator. Kind is the kind given to a full list.
+func (c *Core) applyList(kind decide.ListKind, events []coordinator.Event) {
 	for _, ev := range events {
 		list := decide.ListUpdate{Kind: decide.ListChanges}
 		if ev.Full {
@@ -278,83 +281,85 @@
 		}
 		for _, e := range ev.Entries {
 			list.Entries = append(list.Entries, decide.Entry{Exchange: decide.ExchangeID(e.ID), Number: e.Number,
-				Zone: e.Zone, Phase: e.Phase, Started: c.started(e.Started)})
+				Zone: e.Zone, Phase: e.Phase, Started: c.moduleStart(e.Started)})
 		}
-		changed := c.learn(ev) // before the module may use it,
+		changed := c.applyEvent(ev) // before the module can use the entries
 		c.feed(list)
-		for _, f := range changed { // and what follows from it once the module knows
-			f.settle()
+		for _, n := range changed { // after the module has handled the update
+			n.handleListChange()
 		}
 	}
-	c.shareRoom()
+	c.enforceCallerBudget()
 }
 
-// started puts a start, in Unix milliseconds, on the module's clock; 0 is long ago. Stamps are by the clock that
-// ours is set by, so they are believed as they stand.
-func (c *Core) started(unixMs int64) time.Duration {
+// moduleStart converts a start time in Unix milliseconds to the decision module's clock; 0 means long ago. The stamps
+// are from the clock that also sets the proxy's, so they are not corrected.
+func (c *Core) moduleStart(unixMs int64) time.Duration {
 	if unixMs <= 0 {
 		return 0
 	}
-	return max(1, min(c.moduleTime(), time.UnixMilli(unixMs).Sub(c.wall)+clockAhead))
+	return max(1, min(c.moduleTime(), time.UnixMilli(unixMs).Sub(c.wallStart)+clockOffset))
 }
 
-// Stop tells that the process is to end: tests fail from now, and what comes is still served, as far as there is time
+// Stop starts the shutdown: heartbeats fail from now on, and calls are still served as long as they can be answered
 // before the process may be killed.
 func (c *Core) Stop(now time.Duration) {
-	c.tell(now)
-	if c.stopping != 0 {
+	c.advanceClock(now)
+	if c.stoppingSince != 0 {
 		return
 	}
-	c.stopping = max(1, c.now)
+	c.stoppingSince = max(1, c.now)
 	var longest time.Duration
 	for _, class := range c.cfg.Setup.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	c.lastAnswers = c.stopping + min(longest, killDeadline) + killGrace - lastLook
-	c.after(c.lastAnswers-c.now, c.answerAll)
+	c.answerDeadline = c.stoppingSince + min(longest, maxKillDeadline) + killGrace - answerDeadlineMargin
+	c.after(c.answerDeadline-c.now, c.answerAllOpenCalls)
 }
 
-// answerAll ends what is open when the process may soon be killed: what never left is refused, the rest has failed.
-func (c *Core) answerAll() {
-	for _, p := range c.callersInOrder() {
-		p.answerAll()
+// answerAllOpenCalls answers the open calls of all callers shortly before the process may be killed: those without an
+// attempt are refused, the others have failed.
+func (c *Core) answerAllOpenCalls() {
+	for _, p := range c.callersByAge() {
+		p.answerOpenCalls()
 	}
 }
 
-// isClosing tells whether no further call can be given its answer for sure.
-func (c *Core) isClosing() bool { return c.stopping != 0 && c.now >= c.lastAnswers }
+// pastAnswerDeadline reports whether it is too late in the shutdown to answer another call for certain.
+func (c *Core) pastAnswerDeadline() bool { return c.stoppingSince != 0 && c.now >= c.answerDeadline }
 
-// Ready tells whether the proxy passes tests: the list is known, and what each switch's group has.
+// Ready reports whether heartbeats succeed: the proxy is not shutting down, the list is known, and each switch has
+// reported, cannot be reached or needs no link. From readyTimeout on only the first counts.
 func (c *Core) Ready() bool {
-	if c.stopping != 0 {
+	if c.stoppingSince != 0 {
 		return false
 	}
-	if c.now >= readyWithin {
+	if c.now >= readyTimeout {
 		return true
 	}
-	for _, f := range c.switches {
-		if f.wanted() && !f.heardFrom && !f.down {
+	for _, n := range c.switches {
+		if n.needsLink() && !n.hasReported && !n.lastDialFailed {
 			return false
 		}
 	}
 	return len(c.switches) > 0
 }
 
-// keepHouse looks after what has no event of its own.
-func (c *Core) keepHouse() {
-	c.queue.Set(&c.keeper, c.now+houseKeeping)
-	c.watchCallers()
-	for _, f := range c.farInOrder() {
-		f.watch()
+// maintain does the periodic maintenance.
+func (c *Core) maintain() {
+	c.timerQueue.Set(&c.maintenanceTimer, c.now+maintenanceInterval)
+	c.closeIdleCallers()
+	for _, n := range c.switchesByID() {
+		n.checkLiveness()
 	}
-	for ref, e := range c.early {
-		if c.now-e.at > releaseFor {
-			delete(c.early, ref)
+	for ref, e := range c.earlyReleases {
+		if c.now-e.receivedAt > releaseLifetime {
+			delete(c.earlyReleases, ref)
 		}
 	}
-	c.coord.watch()
-	if c.stopping != 0 && !c.exited && c.now-c.stopping > moreComing && len(c.calls) == 0 && len(c.homeless) == 0 {
+	c.discovery.checkSilence()
+	if c.stoppingSince != 0 && !c.exited && c.now-c.stoppingSince > minShutdownTime && len(c.calls) == 0 && len(c.orphanedReleases) == 0 {
 		c.exited = true
-		c.outs = append(c.outs, Exit{})
+		c.outputs = append(c.outputs, Exit{})
 	}
 }
--- a/internal/platform/departed_test.go
+++ b/internal/platform/departed_test.go
@@ -10,213 +10,216 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestAGiveUpInTheSamePiece: set-ups that are given up further on in what was read together never begin; the others do.
-func TestAGiveUpInTheSamePiece(t *testing.T) {
-	b := upBed(t)
-	p, sw := b.accept(), b.switches[1]
-	b.round(Input{Conn: p, Kind: InputData, Bytes: piece(setUp(7, 1, ""))}, Input{Conn: p, Kind: InputData, Bytes: piece(down(7, 16, ""), down(7, 16, ""))})
-	b.want(sw)
-	b.send(p, setUp(1, 1, ""), setUp(2, 1, ""), down(1, 16, ""), setUp(3, 1, ""), down(9, 16, ""), down(3, 16, ""))
-	b.want(sw, "new 2")
-	b.want(p)
-	b.send(p, setUp(1, 1, "")) // the reference is free again
-	b.want(sw, "new 1")
+// TestCallAbandonedInSameInput checks that set-ups abandoned by a later line of the same input are not started, and that
+// the others are.
+func TestCallAbandonedInSameInput(t *testing.T) {
+	h := newConnectedHarness(t)
+	p, sw := h.accept(), h.switchConns[1]
+	h.processBatch(Input{Conn: p, Kind: InputData, Bytes: joinLines(setUp(7, 1, ""))}, Input{Conn: p, Kind: InputData, Bytes: joinLines(down(7, 16, ""), down(7, 16, ""))})
+	h.expectLines(sw)
+	h.receiveLines(p, setUp(1, 1, ""), setUp(2, 1, ""), down(1, 16, ""), setUp(3, 1, ""), down(9, 16, ""), down(3, 16, ""))
+	h.expectLines(sw, "new 2")
+	h.expectLines(p)
+	h.receiveLines(p, setUp(1, 1, "")) // the reference may be used again
+	h.expectLines(sw, "new 1")
 	for _, n := range []int{1, 2} {
-		b.send(sw, up(n))
-		b.send(p, down(n, 16, ""))
+		h.receiveLines(sw, up(n))
+		h.receiveLines(p, down(n, 16, ""))
 	}
-	b.want(sw, "down 1 16", "down 2 16")
-	b.quiet()
+	h.expectLines(sw, "down 1 16", "down 2 16")
+	h.expectIdle()
 }
 
-// TestDeparted: of what a caller brought before it went nothing begins, and open set-ups are called off; releases of
-// calls that stand count, whoever they come from, and what is owed to callers goes to others.
-func TestDeparted(t *testing.T) {
-	b := upBed(t)
-	p, q, sw := b.accept(), b.accept(), b.switches[1]
-	b.send(p, setUp(1, 1, ""), setUp(2, 1, ""))
-	b.send(sw, up(1))
-	b.send(q, setUp(3, 1, ""), setUp(4, 1, ""))
-	b.send(sw, up(3), up(4))
-	b.want(sw, "new 1", "new 2", "new 3", "new 4")
-	b.want(p, "up 1")
-	b.want(q, "up 3", "up 4")
-	b.round(Input{Conn: p, Kind: InputData, Bytes: piece(setUp(5, 1, ""), down(3, 16, ""), setUp(6, 1, "")), EOF: true}, Input{Conn: p, Kind: InputClosed})
-	b.want(sw, "down 2 16", "down 3 16")
-	b.want(p)
-	b.send(sw, down(1, 16, "")) // its own connection has gone
-	b.want(p)
-	b.want(q, "down 1 16")
-	b.send(q, down(4, 16, ""))
-	b.want(sw, "down 4 16")
-	b.quiet()
+// TestCallerDeparture checks that nothing is started for a caller that has left, and that its open set-ups are cancelled.
+// Releases of standing calls are handled whichever caller sends them, and releases for the lost caller go to another one.
+func TestCallerDeparture(t *testing.T) {
+	h := newConnectedHarness(t)
+	p, q, sw := h.accept(), h.accept(), h.switchConns[1]
+	h.receiveLines(p, setUp(1, 1, ""), setUp(2, 1, ""))
+	h.receiveLines(sw, up(1))
+	h.receiveLines(q, setUp(3, 1, ""), setUp(4, 1, ""))
+	h.receiveLines(sw, up(3), up(4))
+	h.expectLines(sw, "new 1", "new 2", "new 3", "new 4")
+	h.expectLines(p, "up 1")
+	h.expectLines(q, "up 3", "up 4")
+	h.processBatch(Input{Conn: p, Kind: InputData, Bytes: joinLines(setUp(5, 1, ""), down(3, 16, ""), setUp(6, 1, "")), EOF: true}, Input{Conn: p, Kind: InputClosed})
+	h.expectLines(sw, "down 2 16", "down 3 16")
+	h.expectLines(p)
+	h.receiveLines(sw, down(1, 16, "")) // the connection of its set-up is closed
+	h.expectLines(p)
+	h.expectLines(q, "down 1 16")
+	h.receiveLines(q, down(4, 16, ""))
+	h.expectLines(sw, "down 4 16")
+	h.expectIdle()
 }
 
-// TestARoundIsTakenByWhatItMeans: whatever the order in which a round's news was found, nothing leaves for a caller that
-// has gone or given up, to a switch told to drain, or on a connection that is lost; and an answer that crosses a give-up
-// is not passed on.
-func TestARoundIsTakenByWhatItMeans(t *testing.T) {
+// TestBatchOrderByInputType checks that, in whatever order the inputs of a batch were found, no set-up is sent for a caller
+// that has left or abandoned the call, to a draining switch or on a lost connection, and that an answer that crosses a
+// cancellation is not passed on.
+func TestBatchOrderByInputType(t *testing.T) {
 	drain := coordinator.AppendFrame(nil, coordinator.Event{Index: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
-	free := piece(`{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
+	free := joinLines(`{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
 	for name, c := range map[string]struct {
-		late   func(b *bed, p ConnID) []Input
-		caller string // what the caller of call 2 is told
-		out    string // what its switch is told
+		inputs   func(h *harness, p ConnID) []Input
+		toCaller string // sent to the caller of call 2
+		toSwitch string // sent to its switch
 	}{
-		"a circuit is free, the caller gone": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputClosed}}
+		"a circuit is free, the caller left": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: h.switchConns[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputClosed}}
 		}, "", ""},
-		"a circuit is free, the call given up": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputData, Bytes: piece(down(2, 16, ""))}}
+		"a circuit is free, the call abandoned": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: h.switchConns[1], Kind: InputData, Bytes: free}, {Conn: p, Kind: InputData, Bytes: joinLines(down(2, 16, ""))}}
 		}, "", ""},
-		"a circuit is free": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}}
+		"a circuit is free": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: h.switchConns[1], Kind: InputData, Bytes: free}}
 		}, "", "new 2"},
-		"a circuit is free, the switch drains": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: b.switches[1], Kind: InputData, Bytes: free}, {Conn: b.coord, Kind: InputData, Bytes: drain}}
+		"a circuit is free, the switch drains": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: h.switchConns[1], Kind: InputData, Bytes: free}, {Conn: h.coordConn, Kind: InputData, Bytes: drain}}
 		}, "", ""},
-		"asked beside a drain": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: p, Kind: InputData, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.coord, Kind: InputData, Bytes: drain},
-				{Conn: b.switches[1], Kind: InputData, Bytes: free}}
+		"set-up beside a drain": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: p, Kind: InputData, Bytes: joinLines(setUp(3, 1, ""))}, {Conn: h.coordConn, Kind: InputData, Bytes: drain},
+				{Conn: h.switchConns[1], Kind: InputData, Bytes: free}}
 		}, "", ""},
-		"asked beside a loss": {func(b *bed, p ConnID) []Input {
-			return []Input{{Conn: p, Kind: InputData, Bytes: piece(setUp(3, 1, ""))}, {Conn: b.switches[1], Kind: InputData, Bytes: free},
-				{Conn: b.switches[1], Kind: InputClosed}}
+		"set-up beside a lost connection": {func(h *harness, p ConnID) []Input {
+			return []Input{{Conn: p, Kind: InputData, Bytes: joinLines(setUp(3, 1, ""))}, {Conn: h.switchConns[1], Kind: InputData, Bytes: free},
+				{Conn: h.switchConns[1], Kind: InputClosed}}
 		}, "down 2", "new 2"},
 	} {
-		b := upBed(t)
-		p, sw := b.accept(), b.switches[1]
-		for _, l := range b.switches {
-			b.send(l, `{"t":"gauge","f":{"load":"idle:0;circuits:10"}}`)
+		h := newConnectedHarness(t)
+		p, sw := h.accept(), h.switchConns[1]
+		for _, l := range h.switchConns {
+			h.receiveLines(l, `{"t":"gauge","f":{"load":"idle:0;circuits:10"}}`)
 		}
-		b.send(p, setUp(2, 1, ""))
-		if b.QueuedCalls() != 1 {
-			t.Fatal("the call is not held")
+		h.receiveLines(p, setUp(2, 1, ""))
+		if h.QueuedCalls() != 1 {
+			t.Fatal("the call is not queued")
 		}
-		b.round(c.late(b, p)...)
-		var out, told []string
-		for _, l := range b.got(sw) {
-			out = append(out, l.Type+" "+strings.TrimLeft(l.Ref, "0"))
+		h.processBatch(c.inputs(h, p)...)
+		var toSwitch, toCaller []string
+		for _, l := range h.takeLines(sw) {
+			toSwitch = append(toSwitch, l.Type+" "+strings.TrimLeft(l.Ref, "0"))
 		}
-		for _, l := range b.got(p) {
-			told = append(told, l.Type+" "+strings.TrimLeft(l.Ref, "0"))
+		for _, l := range h.takeLines(p) {
+			toCaller = append(toCaller, l.Type+" "+strings.TrimLeft(l.Ref, "0"))
 		}
-		if strings.Join(out, ", ") != c.out || strings.Join(told, ", ") != c.caller {
-			t.Errorf("%s: to the switch %q, want %q; to the caller %q, want %q", name, out, c.out, told, c.caller)
+		if strings.Join(toSwitch, ", ") != c.toSwitch || strings.Join(toCaller, ", ") != c.toCaller {
+			t.Errorf("%s: to the switch %q, want %q; to the caller %q, want %q", name, toSwitch, c.toSwitch, toCaller, c.toCaller)
 		}
 	}
 }
 
-// TestWhatOneDepartureFreesIsNotUsedForAnother: a caller goes with a call that is out and one that waits for its turn at a
-// cold switch. The process has stood still, so the turn has come; it is not taken because the first call was called off.
-func TestWhatOneDepartureFreesIsNotUsedForAnother(t *testing.T) {
-	b := upBed(t)
-	p, sw := b.accept(), b.switches[1]
-	fresh := entry(1, 1, 2, decide.Ready)
-	fresh.Started = b.wall.UnixMilli()
-	b.list(2, fresh)
+// TestFreedSlotNotUsedForDepartedCaller: a caller leaves with one call at a cold switch and another queued for it. The
+// process was paused, so the second call is due, but must not be sent when the first is cancelled.
+func TestFreedSlotNotUsedForDepartedCaller(t *testing.T) {
+	h := newConnectedHarness(t)
+	p, sw := h.accept(), h.switchConns[1]
+	coldSwitch := entry(1, 1, 2, decide.Ready)
+	coldSwitch.Started = h.wallStart.UnixMilli()
+	h.updateList(2, coldSwitch)
 	n := 0
-	for b.QueuedCalls() == 0 || len(b.lines[sw]) == 0 {
-		if b.QueuedCalls() == 1 { // not one out yet: its turn comes
-			b.pass(10 * ms)
+	for h.QueuedCalls() == 0 || len(h.written[sw]) == 0 {
+		if h.QueuedCalls() == 1 { // queued although none is open yet: wait until it is sent
+			h.advance(10 * ms)
 			continue
 		}
 		n++
-		b.send(p, setUp(n, 1, ""))
+		h.receiveLines(p, setUp(n, 1, ""))
 	}
-	out := len(b.got(sw))
-	b.at += 900 * ms // the waiting call's patience is longer
-	b.round(Input{Conn: p, Kind: InputClosed})
-	for _, m := range b.got(sw) {
+	sent := len(h.takeLines(sw))
+	h.clock += 900 * ms // less than the time that the queued call may wait
+	h.processBatch(Input{Conn: p, Kind: InputClosed})
+	for _, m := range h.takeLines(sw) {
 		if m.Type == jsonl.TypeNew {
-			t.Fatalf("of %d calls %d were out; %s left for a caller that had gone", n, out, m.Ref)
+			t.Fatalf("of %d calls %d were sent; %s was sent for a caller that had left", n, sent, m.Ref)
 		}
 	}
-	b.quiet()
+	h.expectIdle()
 }
 
-// TestWhatADepartureFreesIsNotSentToADrainingSwitch: another caller's call waits for its turn at the same cold switch; the
-// drain is told in the same round.
-func TestWhatADepartureFreesIsNotSentToADrainingSwitch(t *testing.T) {
-	b := upBed(t)
-	p, q, sw := b.accept(), b.accept(), b.switches[1]
-	fresh := entry(1, 1, 2, decide.Ready)
-	fresh.Started = b.wall.UnixMilli()
-	b.list(2, fresh)
-	for n := 1; len(b.lines[sw]) == 0; n++ {
-		b.send(p, setUp(n, 1, ""))
-		b.pass(100 * ms)
+// TestFreedSlotNotUsedAtDrainingSwitch: another caller's call is queued for the same cold switch, and the drain is notified
+// in the same batch as the departure that frees a slot.
+func TestFreedSlotNotUsedAtDrainingSwitch(t *testing.T) {
+	h := newConnectedHarness(t)
+	p, q, sw := h.accept(), h.accept(), h.switchConns[1]
+	coldSwitch := entry(1, 1, 2, decide.Ready)
+	coldSwitch.Started = h.wallStart.UnixMilli()
+	h.updateList(2, coldSwitch)
+	for n := 1; len(h.written[sw]) == 0; n++ {
+		h.receiveLines(p, setUp(n, 1, ""))
+		h.advance(100 * ms)
 	}
-	for n, held := 100, b.QueuedCalls(); b.QueuedCalls() == held; n++ {
-		b.send(q, setUp(n, 1, ""))
+	for n, queued := 100, h.QueuedCalls(); h.QueuedCalls() == queued; n++ {
+		h.receiveLines(q, setUp(n, 1, ""))
 	}
-	b.got(sw)
-	b.at += 900 * ms
-	b.round(Input{Conn: p, Kind: InputClosed},
-		Input{Conn: b.coord, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: 3, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})})
-	for _, m := range b.got(sw) {
+	h.takeLines(sw)
+	h.clock += 900 * ms
+	h.processBatch(Input{Conn: p, Kind: InputClosed},
+		Input{Conn: h.coordConn, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: 3, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})})
+	for _, m := range h.takeLines(sw) {
 		if m.Type == jsonl.TypeNew {
-			t.Fatalf("%s left for a switch told to drain", m.Ref)
+			t.Fatalf("%s was sent to a draining switch", m.Ref)
 		}
 	}
 }
 
-// TestWantOfDescriptorsSaysNothingOfASwitch: a connection that could not be made for want of descriptors ends no call and
-// leaves the attempt that waits for it, has a silent caller's connection ended, and is tried again.
-func TestWantOfDescriptorsSaysNothingOfASwitch(t *testing.T) {
-	b := upBed(t)
-	p := b.accept()
-	b.send(p, setUp(1, 1, ""))
-	b.send(b.switches[1], up(1))
-	b.want(p, "up 1")
-	silent := b.accept()
-	b.pass(time.Second)
-	b.Closed(b.at, b.switches[1]) // its calls stand on
-	b.send(p, setUp(2, 1, ""))
-	d := b.dialled()
-	b.DialFailed(b.at, d[0].Conn, DialNoDescriptors)
-	b.take()
-	if !b.closed[silent] || b.closed[p] {
-		t.Fatalf("ended: the silent caller %t, the usual one %t", b.closed[silent], b.closed[p])
+// TestDialWithoutDescriptors checks that a dial that fails for lack of descriptors says nothing about the switch: no call
+// ends, the attempt that waits for the link stays, an idle caller is evicted and the dial is retried.
+func TestDialWithoutDescriptors(t *testing.T) {
+	h := newConnectedHarness(t)
+	p := h.accept()
+	h.receiveLines(p, setUp(1, 1, ""))
+	h.receiveLines(h.switchConns[1], up(1))
+	h.expectLines(p, "up 1")
+	idle := h.accept()
+	h.advance(time.Second)
+	h.Closed(h.clock, h.switchConns[1]) // its calls keep standing
+	h.receiveLines(p, setUp(2, 1, ""))
+	d := h.takeDials()
+	h.DialFailed(h.clock, d[0].Conn, DialNoDescriptors)
+	h.collectOutputs()
+	if !h.closed[idle] || h.closed[p] {
+		t.Fatalf("closed: the idle caller %t, the one with a call %t", h.closed[idle], h.closed[p])
 	}
-	b.want(p)
-	b.pass(100 * ms)
-	b.connect(b.dialled()[0])
-	b.want(b.switches[1], "new 2")
+	h.expectLines(p)
+	h.advance(100 * ms)
+	h.connect(h.takeDials()[0])
+	h.expectLines(h.switchConns[1], "new 2")
 }
 
-// TestRoomIsMadeWhenTheListGrows: each switch more takes descriptors from the callers' part; those that bear calls stay.
-func TestRoomIsMadeWhenTheListGrows(t *testing.T) {
-	b := upBed(t)
-	p := b.accept()
-	b.send(p, setUp(1, 1, ""))
-	most := b.cfg.budget(len(b.Core.switches))
-	for len(b.callers) < most {
-		b.accept()
+// TestCallersEvictedWhenListGrows checks that each new switch reduces the descriptors for callers, and that callers with
+// calls are kept.
+func TestCallersEvictedWhenListGrows(t *testing.T) {
+	h := newConnectedHarness(t)
+	p := h.accept()
+	h.receiveLines(p, setUp(1, 1, ""))
+	before := h.cfg.callerBudget(len(h.Core.switches))
+	for len(h.callers) < before {
+		h.accept()
 	}
-	var more []coordinator.Entry
+	var added []coordinator.Entry
 	for n := 3; n < 13; n++ {
-		more = append(more, entry(uint32(n), n, n+1, decide.Ready))
+		added = append(added, entry(uint32(n), n, n+1, decide.Ready))
 	}
-	b.list(2, more...)
-	if now := b.cfg.budget(len(b.Core.switches)); len(b.callers) != now || now >= most || b.closed[p] {
-		t.Fatalf("%d callers of %d, before %d; the usual one ended: %t", len(b.callers), now, most, b.closed[p])
+	h.updateList(2, added...)
+	if budget := h.cfg.callerBudget(len(h.Core.switches)); len(h.callers) != budget || budget >= before || h.closed[p] {
+		t.Fatalf("%d callers, budget %d, before %d; the one with a call closed: %t", len(h.callers), budget, before, h.closed[p])
 	}
 }
 
-// TestAPieceOfManyLines: lines behind one that cannot be read are not acted upon, and it ends the connection once.
-func TestAPieceOfManyLines(t *testing.T) {
-	b := upBed(t)
-	p := b.accept()
-	b.send(p, setUp(1, 1, ""), `{"t":"new"`, setUp(2, 1, ""), down(1, 16, ""))
-	b.want(b.switches[1], "new 1", "down 1 16")
-	b.want(p, "down 1 41")
-	if !b.closed[p] {
-		t.Fatal("it stays open")
+// TestLinesAfterInvalidLineIgnored checks that lines after an invalid one are not handled, and that it closes the connection
+// once.
+func TestLinesAfterInvalidLineIgnored(t *testing.T) {
+	h := newConnectedHarness(t)
+	p := h.accept()
+	h.receiveLines(p, setUp(1, 1, ""), `{"t":"new"`, setUp(2, 1, ""), down(1, 16, ""))
+	h.expectLines(h.switchConns[1], "new 1", "down 1 16")
+	h.expectLines(p, "down 1 41")
+	if !h.closed[p] {
+		t.Fatal("connection not closed")
 	}
-	q := b.accept()
-	b.Receive(b.at, q, []byte(setUp(3, 1, "")+"\n"+strings.Repeat("x", jsonl.MaxLine+1)))
-	b.take()
-	b.want(q, "down 3 41")
-	b.quiet()
+	q := h.accept()
+	h.Receive(h.clock, q, []byte(setUp(3, 1, "")+"\n"+strings.Repeat("x", jsonl.MaxLine+1)))
+	h.collectOutputs()
+	h.expectLines(q, "down 3 41")
+	h.expectIdle()
 }
--- a/internal/platform/listfeed.go
+++ b/internal/platform/listfeed.go
@@ -8,96 +8,96 @@
 	"pipitring/internal/coordinator"
 )
 
-// The coordinator sends a frame each second. What it would have told counts as told soon after it breaks off or falls
-// silent, so a connection that says nothing for long is made anew at once, and later ones after a short pause.
+// The coordinator sends a frame every second. Soon after the connection closes or goes silent, the platform counts
+// further updates as delivered, so a silent connection is replaced at once. Further retries follow after a short delay.
 const (
-	listSilence   = 1800 * time.Millisecond
-	listDialWait  = time.Second
-	listPause     = 50 * time.Millisecond // doubling
-	listPauseMost = 800 * time.Millisecond
+	listSilenceTimeout = 1800 * time.Millisecond
+	listDialTimeout    = time.Second
+	listRetryMin       = 50 * time.Millisecond  // doubled on each further retry
+	listRetryMax       = 800 * time.Millisecond // upper limit of the retry delay
 )
 
-// listFeed is the connection to the coordinator.
-type listFeed struct {
-	core   *Core
-	addr   netip.AddrPort
-	frames coordinator.Decoder
-	conn   ConnID // 0 is none
-	up     bool
-	heard  time.Duration
-	pause  time.Duration
+// discoveryClient is the client of the coordinator's exchange list.
+type discoveryClient struct {
+	core         *Core
+	addr         netip.AddrPort
+	decoder      coordinator.Decoder
+	conn         ConnID // 0 if there is none
+	up           bool
+	lastReceived time.Duration
+	retryDelay   time.Duration
 }
 
-func (l *listFeed) begin(c *Core, last uint64) {
-	l.core, l.addr, l.frames.LastIndex = c, c.cfg.Coordinator, last
-	l.connect()
+func (d *discoveryClient) start(c *Core, last uint64) {
+	d.core, d.addr, d.decoder.LastIndex = c, c.cfg.Coordinator, last
+	d.connect()
 }
 
-func (l *listFeed) connect() {
-	l.frames.Reset()
-	l.up, l.heard = false, l.core.now
-	l.conn = l.core.dial(l.addr, listDialWait)
+func (d *discoveryClient) connect() {
+	d.decoder.Reset()
+	d.up, d.lastReceived = false, d.core.now
+	d.conn = d.core.dial(d.addr, listDialTimeout)
 }
 
-// lost makes the connection anew: at once if it had worked, else after a pause.
-func (l *listFeed) lost() {
-	l.conn = 0
-	if l.up && l.pause == 0 {
-		l.pause = listPause
-		l.connect()
+// connectionLost reconnects: at once if the connection had worked, else after a retry delay.
+func (d *discoveryClient) connectionLost() {
+	d.conn = 0
+	if d.up && d.retryDelay == 0 {
+		d.retryDelay = listRetryMin
+		d.connect()
 		return
 	}
-	wait := max(l.pause, listPause)
-	l.pause = min(2*wait, listPauseMost)
-	l.core.after(l.core.jitter(wait), func() {
-		if l.conn == 0 {
-			l.connect()
+	wait := max(d.retryDelay, listRetryMin)
+	d.retryDelay = min(2*wait, listRetryMax)
+	d.core.after(d.core.jitter(wait), func() {
+		if d.conn == 0 {
+			d.connect()
 		}
 	})
 }
 
-// drop ends the connection and makes a new one.
-func (l *listFeed) drop(why string) {
-	l.core.note("coordinator " + l.addr.String() + ": " + why + ", asked again")
-	l.core.close(l.conn, false)
-	l.lost()
+// drop closes the connection and opens a new one.
+func (d *discoveryClient) drop(reason string) {
+	d.core.logLine("coordinator " + d.addr.String() + ": " + reason + ", reconnecting")
+	d.core.close(d.conn, false)
+	d.connectionLost()
 }
 
-func (l *listFeed) watch() {
-	if l.conn != 0 && l.up && l.core.now-l.heard > listSilence {
-		l.drop("silent")
+func (d *discoveryClient) checkSilence() {
+	if d.conn != 0 && d.up && d.core.now-d.lastReceived > listSilenceTimeout {
+		d.drop("silent")
 	}
 }
 
-func (l *listFeed) opened() {
-	l.up, l.heard = true, l.core.now
-	l.core.line(l.conn, func(b []byte) []byte { return append(b, l.frames.Hello()...) })
+func (d *discoveryClient) connected() {
+	d.up, d.lastReceived = true, d.core.now
+	d.core.write(d.conn, func(b []byte) []byte { return append(b, d.decoder.Hello()...) })
 }
 
-func (l *listFeed) receive(b []byte) {
-	l.heard = l.core.now
-	events, err := l.frames.Push(b)
+func (d *discoveryClient) receive(b []byte) {
+	d.lastReceived = d.core.now
+	events, err := d.decoder.Push(b)
 	if len(events) > 0 || err == nil {
-		l.pause = 0
+		d.retryDelay = 0
 	}
-	l.core.takeList(decide.ListFull, events)
+	d.core.applyList(decide.ListFull, events)
 	if err != nil {
-		l.frames.AllowGap = err == coordinator.ErrMissingEvents && !l.frames.AllowGap
-		l.drop(err.Error())
+		d.decoder.AllowGap = err == coordinator.ErrMissingEvents && !d.decoder.AllowGap
+		d.drop(err.Error())
 	}
 }
 
-// SetCoordinator takes another address of the coordinator over; the numbers go on.
-func (c *Core) SetCoordinator(now time.Duration, to netip.AddrPort) {
-	c.tell(now)
-	if to == c.coord.addr {
+// SetCoordinator switches to another address of the coordinator. Event indexes continue there.
+func (c *Core) SetCoordinator(now time.Duration, addr netip.AddrPort) {
+	c.advanceClock(now)
+	if addr == c.discovery.addr {
 		return
 	}
-	c.note("coordinator moved to " + to.String())
-	c.coord.addr = to
-	if c.coord.conn != 0 {
-		c.close(c.coord.conn, false)
+	c.logLine("coordinator address changed to " + addr.String())
+	c.discovery.addr = addr
+	if c.discovery.conn != 0 {
+		c.close(c.discovery.conn, false)
 	}
-	c.coord.pause = 0
-	c.coord.connect()
+	c.discovery.retryDelay = 0
+	c.discovery.connect()
 }
--- a/internal/platform/round.go
+++ b/internal/platform/round.go
@@ -7,91 +7,92 @@
 	"pipitring/internal/jsonl"
 )
 
-// InputKind is what happened on a connection.
+// InputKind is the kind of an Input.
 type InputKind uint8
 
-// Kinds of News.
+// Kinds of Input.
 const (
-	InputOpened InputKind = iota // one that was dialled is up
-	InputData                    // bytes
-	InputClosed                  // the other end closed it, or it broke
+	InputOpened InputKind = iota // a dialled connection is established
+	InputData                    // bytes were received
+	InputClosed                  // the peer closed the connection, or it failed
 )
 
-// Input is one piece of news.
+// Input is one event on a connection.
 type Input struct {
 	Conn  ConnID
 	Kind  InputKind
 	Bytes []byte
-	EOF   bool // a caller's end was seen behind its bytes; Ended follows, maybe in a later round
+	EOF   bool // the end of a caller's stream was read behind Bytes; InputClosed follows, possibly in a later batch
 }
 
-// ProcessBatch takes in what was found on all connections at once, and then does what is due. What is found together may have
-// waited for any time, in any order, so the order is by what it means: departures and give-ups of callers, then the
-// list's news, then switches, then what callers ask for. So no set-up leaves for a caller that has gone, to a switch known
-// to drain or on a connection known to be lost, because of the order in which sockets happen to be read.
-func (c *Core) ProcessBatch(now time.Duration, in []Input) {
-	c.tell(now)
-	gone := c.departures(in)
-	c.Stats.Abandoned += uint64(len(gone))
-	c.dismiss(gone)
+// ProcessBatch handles the inputs that were read from all connections in one pass of the event loop, and then what is
+// due. Inputs read together may have waited for any time and come in any order, so they are handled by type: first
+// callers that left or abandoned calls, then list updates, then switches, then new requests of callers. The order in
+// which sockets are read therefore never sends a set-up for a caller that has left, to a switch known to be draining or
+// on a connection known to be lost.
+func (c *Core) ProcessBatch(now time.Duration, inputs []Input) {
+	c.advanceClock(now)
+	abandoned := c.departures(inputs)
+	c.Stats.Abandoned += uint64(len(abandoned))
+	c.dropCalls(abandoned)
 	var list, switches, callers []Input
-	for _, i := range in {
+	for _, input := range inputs {
 		switch {
-		case i.Conn == c.coord.conn:
-			list = append(list, i)
-		case c.callers[i.Conn] == nil:
-			switches = append(switches, i)
+		case input.Conn == c.discovery.conn:
+			list = append(list, input)
+		case c.callers[input.Conn] == nil:
+			switches = append(switches, input)
 		default:
-			callers = append(callers, i)
+			callers = append(callers, input)
 		}
 	}
-	c.take(list)
-	c.callOff(gone) // what this frees may be used at once, so not before the list is known
-	c.take(switches)
-	c.take(callers)
+	c.handleInputs(list)
+	c.cancelAttempts(abandoned) // the freed circuits may be reused at once, so the list must be current
+	c.handleInputs(switches)
+	c.handleInputs(callers)
 	c.Advance(now)
 }
 
-func (c *Core) take(in []Input) {
-	for _, i := range in {
-		switch i.Kind {
+func (c *Core) handleInputs(inputs []Input) {
+	for _, input := range inputs {
+		switch input.Kind {
 		case InputOpened:
-			c.Connected(c.now, i.Conn)
+			c.Connected(c.now, input.Conn)
 		case InputData:
-			if p := c.callers[i.Conn]; p != nil {
-				p.act()
+			if p := c.callers[input.Conn]; p != nil {
+				p.handleLines()
 			} else {
-				c.Receive(c.now, i.Conn, i.Bytes)
+				c.Receive(c.now, input.Conn, input.Bytes)
 			}
 		case InputClosed:
-			c.Closed(c.now, i.Conn)
+			c.Closed(c.now, input.Conn)
 		}
 	}
 }
 
-// departures reads what callers brought, and lists the calls that they have no more use for. Nothing is begun yet.
-func (c *Core) departures(in []Input) (gone []*call) {
-	for _, i := range in {
-		p := c.callers[i.Conn]
+// departures parses what callers sent and returns the open calls that they have abandoned. It starts no calls.
+func (c *Core) departures(inputs []Input) (abandoned []*call) {
+	for _, input := range inputs {
+		p := c.callers[input.Conn]
 		if p == nil {
 			continue
 		}
-		p.takeIn(i.Bytes)
-		if !p.gone && (i.EOF || i.Kind == InputClosed) {
-			p.gone = true
-			gone = append(gone, c.openOn(p)...)
+		p.parseInput(input.Bytes)
+		if !p.eof && (input.EOF || input.Kind == InputClosed) {
+			p.eof = true
+			abandoned = append(abandoned, c.openCallsOf(p)...)
 		}
 	}
-	for _, i := range in {
-		p := c.callers[i.Conn]
-		if p == nil || p.gone {
+	for _, input := range inputs {
+		p := c.callers[input.Conn]
+		if p == nil || p.eof {
 			continue
 		}
-		for _, m := range p.got {
-			if k := c.calls[m.Ref]; m.Type == jsonl.TypeDown && k != nil && k.from == p && !k.standing && !slices.Contains(gone, k) {
-				gone = append(gone, k)
+		for _, m := range p.received {
+			if k := c.calls[m.Ref]; m.Type == jsonl.TypeDown && k != nil && k.caller == p && !k.standing && !slices.Contains(abandoned, k) {
+				abandoned = append(abandoned, k)
 			}
 		}
 	}
-	return gone
+	return abandoned
 }
--- a/internal/platform/round_test.go
+++ b/internal/platform/round_test.go
@@ -11,111 +11,112 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestRoundsOfAnyOrder: rounds of news in any order, of callers that ask, give up and go, switches that answer, refuse, free
-// and lose connections, and drains. Nothing leaves for a call that its caller gave up or left in that round or before, or to
-// a switch told to drain by then; each call gets one answer at most, and exactly one if its caller stays; nothing is left over.
-func TestRoundsOfAnyOrder(t *testing.T) {
+// TestBatchesInAnyOrder processes batches of inputs in any order: callers that request and abandon calls and leave, switches
+// that answer, refuse, report free circuits, lose links and drain. No set-up may be sent for a call that was abandoned in
+// that batch or before, or to a switch known to be draining. Each call gets at most one final answer, and exactly one if its
+// caller stays. Nothing may be left over.
+func TestBatchesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := upBed(t)
-		callers := []ConnID{b.accept(), b.accept(), b.accept()}
-		gone, drained := map[ConnID]bool{}, map[byte]bool{}
-		type seen struct {
+		h := newConnectedHarness(t)
+		callers := []ConnID{h.accept(), h.accept(), h.accept()}
+		departed, drained := map[ConnID]bool{}, map[byte]bool{}
+		type callState struct {
 			from     ConnID
 			left     bool
 			answered int
 		}
-		calls := map[string]*seen{}
+		calls := map[string]*callState{}
 		number, event := 0, uint64(2)
-		var in []Input
-		bring := func(id ConnID, line string) {
-			in = append(in, Input{Conn: id, Kind: InputData, Bytes: piece(line)})
+		var inputs []Input
+		receive := func(id ConnID, line string) {
+			inputs = append(inputs, Input{Conn: id, Kind: InputData, Bytes: joinLines(line)})
 		}
 		draw := func(what string, from, to int) int { return rapid.IntRange(from, to).Draw(t, what) }
-		news := func() {
+		drawInput := func() {
 			p, sw := callers[draw("caller", 0, 2)], byte(draw("switch", 1, 2))
-			link := b.switches[sw]
+			link := h.switchConns[sw]
 			anyRef := func() string { return ref(draw("ref", 1, max(1, number))) }
 			switch draw("what", 0, 8) {
 			case 0, 1, 2:
-				if !gone[p] {
+				if !departed[p] {
 					number++
-					calls[ref(number)] = &seen{from: p}
-					bring(p, setUp(number, draw("dest", 1, 2), ""))
+					calls[ref(number)] = &callState{from: p}
+					receive(p, setUp(number, draw("dest", 1, 2), ""))
 				}
 			case 3:
 				r := anyRef()
-				if k := calls[r]; k != nil && !gone[k.from] {
-					bring(k.from, `{"t":"down","ref":"`+r+`","f":{},"c":16}`)
+				if k := calls[r]; k != nil && !departed[k.from] {
+					receive(k.from, `{"t":"down","ref":"`+r+`","f":{},"c":16}`)
 					k.left = true
 				}
 			case 4:
-				if !gone[p] && draw("goes", 0, 3) == 0 {
-					gone[p] = true
+				if !departed[p] && draw("goes", 0, 3) == 0 {
+					departed[p] = true
 					if draw("seen behind bytes", 0, 1) == 1 {
-						in = append(in, Input{Conn: p, Kind: InputData, EOF: true})
+						inputs = append(inputs, Input{Conn: p, Kind: InputData, EOF: true})
 					}
-					in = append(in, Input{Conn: p, Kind: InputClosed})
+					inputs = append(inputs, Input{Conn: p, Kind: InputClosed})
 				}
 			case 5:
-				bring(link, `{"t":"up","ref":"`+anyRef()+`","f":{},"d":"answer"}`)
+				receive(link, `{"t":"up","ref":"`+anyRef()+`","f":{},"d":"answer"}`)
 			case 6:
-				bring(link, `{"t":"down","ref":"`+anyRef()+`","f":{"note":"blocked","load":"idle:0;circuits:10"},"c":34}`)
+				receive(link, `{"t":"down","ref":"`+anyRef()+`","f":{"note":"blocked","load":"idle:0;circuits:10"},"c":34}`)
 			case 7:
-				bring(link, `{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
+				receive(link, `{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
 			case 8:
 				if draw("how", 0, 1) == 0 {
-					in = append(in, Input{Conn: link, Kind: InputClosed})
+					inputs = append(inputs, Input{Conn: link, Kind: InputClosed})
 				} else if !drained[sw] {
 					drained[sw] = true
-					in = append(in, Input{Conn: b.coord, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: event,
+					inputs = append(inputs, Input{Conn: h.coordConn, Kind: InputData, Bytes: coordinator.AppendFrame(nil, coordinator.Event{Index: event,
 						Entries: []coordinator.Entry{entry(uint32(sw), int(sw), int(sw)+1, decide.Draining)}})})
 					event++
 				}
 			}
 		}
-		judge := func() {
-			b.take()
-			for _, w := range b.wire {
+		checkOutputs := func() {
+			h.collectOutputs()
+			for _, w := range h.writtenInOrder {
 				m, err := jsonl.Parse([]byte(w.line))
 				if err != nil {
-					t.Fatalf("the proxy wrote %q: %v", w.line, err)
+					t.Fatalf("proxy wrote %q: %v", w.line, err)
 				}
 				k := calls[m.Ref]
 				switch {
-				case m.Type == jsonl.TypeNew && (k.left || gone[k.from] || k.answered > 0):
-					t.Fatalf("%s leaves after its end", m.Ref)
-				case m.Type == jsonl.TypeNew && (w.to == b.switches[1] && drained[1] || w.to == b.switches[2] && drained[2]):
-					t.Fatalf("%s leaves for a switch that drains", m.Ref)
+				case m.Type == jsonl.TypeNew && (k.left || departed[k.from] || k.answered > 0):
+					t.Fatalf("%s sent after its end", m.Ref)
+				case m.Type == jsonl.TypeNew && (w.to == h.switchConns[1] && drained[1] || w.to == h.switchConns[2] && drained[2]):
+					t.Fatalf("%s sent to a draining switch", m.Ref)
 				case k != nil && w.to == k.from && (m.Type == jsonl.TypeUp || m.Type == jsonl.TypeDown && k.answered == 0):
 					if k.answered++; k.answered > 1 {
-						t.Fatalf("a second answer to %s", m.Ref)
+						t.Fatalf("second final answer to %s", m.Ref)
 					}
 				}
 			}
-			b.wire = b.wire[:0]
+			h.writtenInOrder = h.writtenInOrder[:0]
 		}
 		for range draw("rounds", 1, 25) {
-			in = nil
+			inputs = nil
 			for range draw("news", 1, 8) {
-				news()
+				drawInput()
 			}
-			b.at += time.Duration(draw("ms", 0, 300)) * ms
-			b.round(in...)
-			judge()
-			for _, d := range b.dialled() {
-				b.connect(d)
+			h.clock += time.Duration(draw("ms", 0, 300)) * ms
+			h.processBatch(inputs...)
+			checkOutputs()
+			for _, d := range h.takeDials() {
+				h.connect(d)
 			}
-			judge()
+			checkOutputs()
 		}
-		b.pass(5 * time.Second)
-		judge()
+		h.advance(5 * time.Second)
+		checkOutputs()
 		for r, k := range calls {
-			if k.answered == 0 && !k.left && !gone[k.from] {
-				t.Fatalf("%s has no answer", r)
+			if k.answered == 0 && !k.left && !departed[k.from] {
+				t.Fatalf("%s has no final answer", r)
 			}
 		}
-		if b.open != 0 || b.QueuedCalls() != 0 {
-			t.Fatalf("%d are owed an answer, %d held", b.open, b.QueuedCalls())
+		if h.openSetUps != 0 || h.QueuedCalls() != 0 {
+			t.Fatalf("%d calls without an answer, %d queued", h.openSetUps, h.QueuedCalls())
 		}
 	})
 }
--- a/internal/platform/stopping_test.go
+++ b/internal/platform/stopping_test.go
@@ -8,33 +8,33 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestEveryCallHasItsAnswerBeforeTheProcessMayBeKilled: calls in transit go on coming after SIGTERM for as long as the process
-// runs, as calls stand, and the switch answers none of them. SIGKILL may come the longest deadline, 3 s at most, and 0.7 s
-// after SIGTERM.
-func TestEveryCallHasItsAnswerBeforeTheProcessMayBeKilled(t *testing.T) {
+// TestCallsAnsweredBeforeKill: transit calls keep arriving after SIGTERM as long as the process runs, which a standing call
+// keeps alive, and the switch answers none of them. SIGKILL may come 0.7 s after the longest deadline, of which at most 3 s
+// count.
+func TestCallsAnsweredBeforeKill(t *testing.T) {
 	for _, c := range []struct {
-		deadlines [2]string // of voice and alarm
+		deadlines [2]string // of classes voice and alarm
 		kill      time.Duration
 	}{{[2]string{"3", "2"}, 3700 * ms}, {[2]string{"9", "2"}, 3700 * ms}, {[2]string{"0.9", "1.2"}, 1900 * ms}} {
 		text := strings.Replace(config, `"deadlineS":3`, `"deadlineS":`+c.deadlines[0], 1)
 		text = strings.Replace(text, `"deadlineS":2`, `"deadlineS":`+c.deadlines[1], 1)
-		b := bedOf(t, text)
-		for _, d := range b.dialled() {
-			b.connect(d)
+		h := newHarnessWithConfig(t, text)
+		for _, d := range h.takeDials() {
+			h.connect(d)
 		}
-		p, sw := b.accept(), b.switches[1]
-		long := func(n int) string { return strings.Replace(setUp(n, 1, ";transit:1"), `"1500"`, `"9000"`, 1) }
-		b.send(p, long(1), setUp(500, 1, ""))
-		b.send(sw, up(500)) // it stands to the end
-		b.Stop(b.at)
-		stop, n := b.at, 1
-		for b.at < stop+c.kill-50*ms {
-			b.pass(50 * ms)
+		p, sw := h.accept(), h.switchConns[1]
+		transitSetUp := func(n int) string { return strings.Replace(setUp(n, 1, ";transit:1"), `"1500"`, `"9000"`, 1) }
+		h.receiveLines(p, transitSetUp(1), setUp(500, 1, ""))
+		h.receiveLines(sw, up(500)) // stands until the end
+		h.Stop(h.clock)
+		stoppedAt, n := h.clock, 1
+		for h.clock < stoppedAt+c.kill-50*ms {
+			h.advance(50 * ms)
 			n++
-			b.send(p, long(n))
+			h.receiveLines(p, transitSetUp(n))
 		}
 		answered, refused := map[string]int{}, 0
-		for _, m := range b.got(p) {
+		for _, m := range h.takeLines(p) {
 			answered[m.Ref]++
 			if m.Cause == jsonl.CauseCongestion {
 				refused++
@@ -46,9 +46,9 @@
 			}
 		}
 		if refused == n {
-			t.Error("all are refused, though there was time")
+			t.Error("all calls refused despite enough time")
 		}
-		b.send(p, long(n+1)) // SIGKILL is late
-		b.want(p, "down "+strings.TrimLeft(ref(n+1), "0")+" 42")
+		h.receiveLines(p, transitSetUp(n+1)) // in case SIGKILL comes late
+		h.expectLines(p, "down "+strings.TrimLeft(ref(n+1), "0")+" 42")
 	}
 }
--- a/internal/platform/switches.go
+++ b/internal/platform/switches.go
@@ -17,290 +17,293 @@
 	"pipitring/internal/wire"
 )
 
-// Connections to switches.
+// Limits of links to switches.
 const (
-	spreadOver   = 8                      // set-ups out on each connection before another one is made
-	linkPause    = 50 * time.Millisecond  // before a connection that did not come up is tried again, doubling
-	linkPauseMax = 800 * time.Millisecond // up to this
-	linkWait     = 500 * time.Millisecond // for a connection to come up, where no setting says
-	// A machine that vanished says nothing, and nor does a connection that is of no further use. Where calls stand and
-	// nothing was heard for quietFor on a single connection, or for silentFor on several, a new one proves life, and so
-	// does its refusal: a switch that drains takes no more. Where none comes up for vanishedFor, the calls
-	// are over.
-	quietFor    = 300 * time.Millisecond
-	silentFor   = 1500 * time.Millisecond
-	vanishedFor = 5 * time.Second
-	lateUp      = time.Second // connections come up, and processors under load answer a test, as late as this
-	// A switch tells a release also on the next connection that is opened. What it wrote before it saw the loss of one
-	// is told only by a connection opened after that, so one is made this long after a loss.
-	lossSeen    = 150 * time.Millisecond
-	spreadLinks = maxLinks - 1 // the last one is for that
-	// A set-up changes the group's state, which is told at once on every connection, and so is it on a new one. One
-	// that brings no whole line for so long after it should, while another does, is of no further use.
-	deafAfter  = 200 * time.Millisecond
-	deafProof  = 50 * time.Millisecond // and this is left to it when another one speaks: both may have been held up
-	mostUnsent = 256 << 10             // bytes of releases that wait for a connection
+	setUpsPerLink         = 8                      // open set-ups on each link before another link is opened
+	linkRetryMin          = 50 * time.Millisecond  // before a failed dial is retried; doubled on each further failure
+	linkRetryMax          = 800 * time.Millisecond // upper limit of the retry delay
+	defaultConnectTimeout = 500 * time.Millisecond // connect timeout if the settings have none
+	// A lost machine sends nothing, and neither does a half-open connection. If calls stand and nothing was received for
+	// singleLinkIdleTimeout on a single link, or for multiLinkIdleTimeout on several, a new link is dialled as a liveness
+	// probe. A refusal proves life too, since a draining switch accepts no connections. If no link comes up within
+	// hostLossTimeout, the calls are over.
+	singleLinkIdleTimeout = 300 * time.Millisecond
+	multiLinkIdleTimeout  = 1500 * time.Millisecond
+	hostLossTimeout       = 5 * time.Second
+	maxResponseDelay      = time.Second // longest time to establish a connection, or for an overloaded processor to answer a heartbeat
+	// A switch also sends its releases on the next link that is opened. Releases that it wrote before it detected the
+	// loss of a link are repeated only on a link opened after that, so one is opened this long after a loss.
+	lossDetectionDelay = 150 * time.Millisecond
+	maxSetUpLinks      = maxLinks - 1 // the last link is reserved for repeated releases
+	// A set-up changes the trunk group's state, which the switch reports at once on every link and on each new one. A
+	// link that delivers no complete line for this long after one was due, while another link does, is half-open.
+	halfOpenTimeout = 200 * time.Millisecond
+	halfOpenGrace   = 50 * time.Millisecond // extra time for a half-open link once another link delivers, as both may have been delayed
+	maxUnsentBytes  = 256 << 10             // bytes of releases that wait for a link
 )
 
-// far is one switch on the list: its process, known by its id, not by its address.
-type far struct {
-	core      *Core
-	id        decide.ExchangeID
-	number    int
-	addr      netip.AddrPort
-	phase     decide.Phase
-	started   int64
-	replaced  bool    // another id has its address
-	restarted bool    // the list told of a new start
-	links     []*link // up
-	dialling  ConnID  // 0 is none
-	retry     bool    // a dial is due after a pause
-	pause     time.Duration
-	heard     time.Duration // the last message from it
-	probed    time.Duration
-	heardFrom bool
-	down      bool          // the last dial failed,
-	mute      bool          // and nothing came back
-	broken    time.Duration // when the far end closed or reset the last connection; 0 is not
-	asked     time.Duration // when a test was asked that nothing has answered yet; 0 is none
-	waiting   []*attempt
-	standing  int
-	unsent    []byte        // releases that wait for a connection
-	again     time.Duration // a connection opened from then on tells again what a lost one took along; 0 is none owed
-	dialledAt time.Duration
+// neighbour is one switch on the exchange list. It is a process, identified by its ID, not its address.
+type neighbour struct {
+	core             *Core
+	id               decide.ExchangeID
+	number           int
+	addr             netip.AddrPort
+	phase            decide.Phase
+	started          int64
+	replaced         bool    // another ID has taken over its address
+	restarted        bool    // the list announced a new start
+	links            []*link // established links
+	dialling         ConnID  // 0 if no dial is in progress
+	retryScheduled   bool    // a dial is due after the retry delay
+	retryDelay       time.Duration
+	lastReceived     time.Duration // when something was last received from it
+	lastProbe        time.Duration
+	hasReported      bool
+	lastDialFailed   bool          // the last dial failed
+	lastDialTimedOut bool          // the last dial failed by timeout
+	linkClosedAt     time.Duration // when it last closed or reset a link; 0 after a link comes up or a heartbeat is answered
+	heartbeatSentAt  time.Duration // when a heartbeat was sent that nothing has answered yet; 0 if none
+	waitingAttempts  []*attempt
+	standingCalls    int
+	unsentReleases   []byte        // encoded releases that wait for a link
+	recoveryLinkAt   time.Duration // a link opened from then on repeats the releases lost with a link; 0 if none is due
+	dialledAt        time.Duration
 }
 
 // link is one connection to a switch.
 type link struct {
-	id    ConnID
-	to    *far
-	lines jsonl.LineSplitter
-	out   map[string]*attempt // set-ups out on it
-	ended bool
+	id           ConnID
+	neighbour    *neighbour
+	lines        jsonl.LineSplitter
+	openAttempts map[string]*attempt // open attempts, by reference
+	closed       bool
 
-	owes     time.Duration // it should have brought a line since then; 0 is owing nothing
-	deaf     bool          // and has not for long
-	lastLine time.Duration // when it last brought a whole line; 0 is never
-	check    timers.Entry[func()]
+	lineDueSince time.Duration // since when a line is due; 0 if none is
+	halfOpen     bool          // a line has been overdue for halfOpenTimeout
+	lastLineAt   time.Duration // when it last delivered a complete line; 0 if never
+	checkTimer   timers.Entry[func()]
 }
 
-// expect notes that a line should come on a connection.
-func (l *link) expect() {
-	if l.owes != 0 || l.ended {
+// expectLine records that a line is due on the link.
+func (l *link) expectLine() {
+	if l.lineDueSince != 0 || l.closed {
 		return
 	}
-	l.owes = max(1, l.to.core.now)
-	if !l.check.Running() {
-		l.to.core.queue.Set(&l.check, l.owes+deafAfter)
+	l.lineDueSince = max(1, l.neighbour.core.now)
+	if !l.checkTimer.Running() {
+		l.neighbour.core.timerQueue.Set(&l.checkTimer, l.lineDueSince+halfOpenTimeout)
 	}
 }
 
-// overdue looks whether what should have come has. A line that stops short is never continued.
-func (l *link) overdue() {
-	c := l.to.core
+// checkOverdue checks whether the line that is due has arrived. A connection with an incomplete line is closed, since
+// the rest will not follow.
+func (l *link) checkOverdue() {
+	c := l.neighbour.core
 	switch {
-	case l.owes == 0:
-	case c.now < l.owes+deafAfter:
-		c.queue.Set(&l.check, l.owes+deafAfter)
+	case l.lineDueSince == 0:
+	case c.now < l.lineDueSince+halfOpenTimeout:
+		c.timerQueue.Set(&l.checkTimer, l.lineDueSince+halfOpenTimeout)
 	case l.lines.Partial():
-		l.spoil()
-	case !l.deaf:
-		l.deaf = true
-		l.to.connect()
+		l.closeFaulty()
+	case !l.halfOpen:
+		l.halfOpen = true
+		l.neighbour.connect()
 	}
 }
 
-// spoke notes that a whole line came on a connection. A change of the group is told on all of them at once, so one that
-// brought nothing just now either should soon. The first report on a new one is for that one alone. Those that should
-// have spoken long ago are of no use.
-func (l *link) spoke(group bool) {
-	if l.to.asked != 0 {
-		l.to.asked, l.to.broken = 0, 0 // it is there, whatever ended
+// lineReceived records that a complete line arrived on the link. A change of the trunk group is reported on all links at
+// once, so a line is due on each link that has delivered none just now. This does not hold for the first report on a new
+// link, which is sent there alone. Half-open links are closed after a grace time.
+func (l *link) lineReceived(isReport bool) {
+	if l.neighbour.heartbeatSentAt != 0 {
+		l.neighbour.heartbeatSentAt, l.neighbour.linkClosedAt = 0, 0 // the switch is alive, whichever link has ended
 	}
-	now, first := l.to.core.now, l.lastLine == 0
-	l.owes, l.deaf, l.lastLine = 0, false, max(1, now)
-	for _, o := range l.to.links {
+	now, first := l.neighbour.core.now, l.lastLineAt == 0
+	l.lineDueSince, l.halfOpen, l.lastLineAt = 0, false, max(1, now)
+	for _, other := range l.neighbour.links {
 		switch {
-		case o == l:
-		case o.deaf:
-			l.to.core.after(deafProof, func() {
-				if o.deaf && !o.ended {
-					o.spoil()
+		case other == l:
+		case other.halfOpen:
+			l.neighbour.core.after(halfOpenGrace, func() {
+				if other.halfOpen && !other.closed {
+					other.closeFaulty()
 				}
 			})
-		case group && !first && o.lastLine < now-deafProof:
-			o.expect()
+		case isReport && !first && other.lastLineAt < now-halfOpenGrace:
+			other.expectLine()
 		}
 	}
 }
 
-func (l *link) down(ref string, cause int) {
-	l.to.core.line(l.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, 0) })
+func (l *link) sendDown(ref string, cause int) {
+	l.neighbour.core.write(l.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, 0) })
 }
 
-// wanted tells whether a connection is kept up: for reports while set-ups may go there, for releases while calls stand.
-func (f *far) wanted() bool {
-	return f.phase == decide.Ready && f.number != f.core.cfg.Setup.Settings.OwnExchange || f.standing > 0 || len(f.waiting) > 0 ||
-		len(f.unsent) > 0
+// needsLink reports whether a link is kept open: for load reports while set-ups may be sent, for releases while calls
+// stand.
+func (n *neighbour) needsLink() bool {
+	return n.phase == decide.Ready && n.number != n.core.cfg.Setup.Settings.OwnExchange || n.standingCalls > 0 || len(n.waitingAttempts) > 0 ||
+		len(n.unsentReleases) > 0
 }
 
-// pick chooses the connection with the fewest set-ups out, and has another one made when all have many: what spoils a
-// connection cuts all that is out on it.
-func (f *far) pick() (best *link) {
-	for _, l := range f.links {
-		if best == nil || best.deaf && !l.deaf || best.deaf == l.deaf && len(l.out) < len(best.out) {
+// pickLink returns the link with the fewest open set-ups, or nil if there is none, and opens another link when all have
+// many: the loss of a link cuts all set-ups on it.
+func (n *neighbour) pickLink() (best *link) {
+	for _, l := range n.links {
+		if best == nil || best.halfOpen && !l.halfOpen || best.halfOpen == l.halfOpen && len(l.openAttempts) < len(best.openAttempts) {
 			best = l
 		}
 	}
-	if best != nil && len(best.out) >= spreadOver && len(f.links) < spreadLinks {
-		f.connect()
+	if best != nil && len(best.openAttempts) >= setUpsPerLink && len(n.links) < maxSetUpLinks {
+		n.connect()
 	}
 	return best
 }
 
-// connect makes one more connection, unless one is being made. A further one is not worth the last descriptors.
-func (f *far) connect() {
-	if f.dialling != 0 || len(f.links) >= maxLinks || len(f.links) > 0 && f.core.descriptors() >= f.core.cfg.Sockets {
+// connect opens one more link unless a dial is in progress. The last descriptors are not spent on an additional link.
+func (n *neighbour) connect() {
+	if n.dialling != 0 || len(n.links) >= maxLinks || len(n.links) > 0 && n.core.descriptorsInUse() >= n.core.cfg.Sockets {
 		return
 	}
-	wait := f.core.cfg.Setup.ConnectTimeout
-	if wait <= 0 {
-		wait = linkWait
+	timeout := n.core.cfg.Setup.ConnectTimeout
+	if timeout <= 0 {
+		timeout = defaultConnectTimeout
 	}
-	f.dialledAt = f.core.now
-	f.dialling = f.core.dial(f.addr, wait)
-	l := &link{id: f.dialling, to: f, out: map[string]*attempt{}}
-	l.check.Value = l.overdue
-	f.core.links[l.id] = l
+	n.dialledAt = n.core.now
+	n.dialling = n.core.dial(n.addr, timeout)
+	l := &link{id: n.dialling, neighbour: n, openAttempts: map[string]*attempt{}}
+	l.checkTimer.Value = l.checkOverdue
+	n.core.links[l.id] = l
 }
 
-// keepUp sees that there is a connection where one is wanted, and after a loss a new one while calls stand, though
-// others may be up.
-func (f *far) keepUp() {
-	want := len(f.links) == 0 && f.wanted() || f.again != 0 && f.core.now >= f.again && f.standing > 0
-	if want && !f.retry && f.phase != decide.Removed && !f.replaced {
-		f.connect()
+// maintainLinks opens a link if one is needed and none is up, and, while calls stand, a new one after a loss even if
+// others are up.
+func (n *neighbour) maintainLinks() {
+	needed := len(n.links) == 0 && n.needsLink() || n.recoveryLinkAt != 0 && n.core.now >= n.recoveryLinkAt && n.standingCalls > 0
+	if needed && !n.retryScheduled && n.phase != decide.Removed && !n.replaced {
+		n.connect()
 	}
 }
 
-// up takes a connection that was made.
-func (f *far) up(l *link) {
-	f.dialling, f.pause, f.down, f.mute, f.broken = 0, 0, false, false, 0
-	if f.dialledAt >= f.again {
-		f.again = 0
+// linkUp registers an established link.
+func (n *neighbour) linkUp(l *link) {
+	n.dialling, n.retryDelay, n.lastDialFailed, n.lastDialTimedOut, n.linkClosedAt = 0, 0, false, false, 0
+	if n.dialledAt >= n.recoveryLinkAt {
+		n.recoveryLinkAt = 0
 	}
-	f.heard = f.core.now
-	f.links = append(f.links, l)
-	l.expect() // its first report
-	if len(f.unsent) > 0 {
-		f.core.line(l.id, func(b []byte) []byte { return append(b, f.unsent...) })
-		f.unsent = nil
+	n.lastReceived = n.core.now
+	n.links = append(n.links, l)
+	l.expectLine() // the first load report
+	if len(n.unsentReleases) > 0 {
+		n.core.write(l.id, func(b []byte) []byte { return append(b, n.unsentReleases...) })
+		n.unsentReleases = nil
 	}
-	waiting := f.waiting
-	f.waiting = nil
+	waiting := n.waitingAttempts
+	n.waitingAttempts = nil
 	for _, a := range waiting {
-		f.core.send(a, l)
+		n.core.sendSetUp(a, l)
 	}
-	f.keepUp()
+	n.maintainLinks()
 }
 
-// notUp takes in that no connection came up. Refused without one, the process is dead, and its calls with it; so it is
-// where it ended its last connection and takes no new one. Refused beside others it drains: it takes no more, but is there.
-// A machine that vanished leaves its connections open.
-func (f *far) notUp(l *link, why DialFailure) {
-	f.dialling = 0
-	delete(f.core.links, l.id)
-	if why == DialNoDescriptors { // attempts that wait have their own limit, and calls that stand are not in doubt
-		f.core.makeRoom()
-		f.redial()
+// handleDialFailure handles a failed dial. If the dial was refused and no link is up, the process is dead and its calls
+// are over. The same holds if the switch closed its last link and no new one is established within
+// maxResponseDelay. If the dial was refused while other links are up, the switch may be draining: it accepts no
+// connections but is alive. A lost machine leaves its connections open.
+func (n *neighbour) handleDialFailure(l *link, reason DialFailure) {
+	n.dialling = 0
+	delete(n.core.links, l.id)
+	if reason == DialNoDescriptors { // waiting attempts have their own timeout, and standing calls are not in doubt
+		n.core.evictIdleCaller()
+		n.scheduleReconnect()
 		return
 	}
-	f.down, f.mute = true, why == DialTimedOut
-	f.endWaiting(decide.Unreachable)
+	n.lastDialFailed, n.lastDialTimedOut = true, reason == DialTimedOut
+	n.endWaitingAttempts(decide.Unreachable)
 	switch {
-	case len(f.links) == 0 && (why == DialRefused || f.broken != 0 && f.core.now-f.broken > lateUp):
-		f.cutAll("takes no connection")
-	case len(f.links) > 0 && why == DialRefused && f.standing > 0:
-		f.test()
+	case len(n.links) == 0 && (reason == DialRefused || n.linkClosedAt != 0 && n.core.now-n.linkClosedAt > maxResponseDelay):
+		n.cutStandingCalls("accepts no new connections")
+	case len(n.links) > 0 && reason == DialRefused && n.standingCalls > 0:
+		n.probeLiveness()
 	}
-	f.redial()
+	n.scheduleReconnect()
 }
 
-// test looks whether a switch that takes no new connection is there still. It may drain, and say nothing as no set-up
-// comes; or its process is dead and what is left are connections that were of no use when it died, which no reset ends. A
-// test costs the far end work, so one is asked only once another connection was ended or nothing was heard for long: first
-// where it spoke last, then on all, and where no line comes the calls are over.
-func (f *far) test() {
-	c := f.core
-	if f.asked != 0 || f.broken == 0 && c.now-f.heard < vanishedFor {
+// probeLiveness checks whether a switch that accepts no new link is alive. It may be draining, and silent as no set-ups
+// arrive, or its process is dead and the remaining links were half-open when it died, so that no reset ends them. A
+// heartbeat costs the switch work, so it is sent only after another link was closed or nothing was received for long:
+// first on the link that delivered last, then on all. If no line arrives, the calls are over.
+func (n *neighbour) probeLiveness() {
+	c := n.core
+	if n.heartbeatSentAt != 0 || n.linkClosedAt == 0 && c.now-n.lastReceived < hostLossTimeout {
 		return
 	}
-	asked := max(1, c.now)
-	f.asked = asked
-	newest := slices.MaxFunc(f.links, func(a, b *link) int { return cmp.Compare(a.lastLine, b.lastLine) })
-	newest.test()
-	c.after(deafAfter, func() {
-		for _, l := range f.links {
-			if f.asked == asked && l != newest {
-				l.test()
+	sentAt := max(1, c.now)
+	n.heartbeatSentAt = sentAt
+	newest := slices.MaxFunc(n.links, func(a, b *link) int { return cmp.Compare(a.lastLineAt, b.lastLineAt) })
+	newest.sendHeartbeat()
+	c.after(halfOpenTimeout, func() {
+		for _, l := range n.links {
+			if n.heartbeatSentAt == sentAt && l != newest {
+				l.sendHeartbeat()
 			}
 		}
 	})
-	c.after(lateUp, func() {
-		if f.asked != asked {
+	c.after(maxResponseDelay, func() {
+		if n.heartbeatSentAt != sentAt {
 			return
 		}
-		f.asked = 0
-		for _, l := range slices.Clone(f.links) {
-			l.spoil()
+		n.heartbeatSentAt = 0
+		for _, l := range slices.Clone(n.links) {
+			l.closeFaulty()
 		}
-		f.cutAll("answers no test and takes no connection")
+		n.cutStandingCalls("answers no heartbeat and accepts no new connections")
 	})
 }
 
-func (l *link) test() {
-	c := l.to.core
-	c.line(l.id, func(b []byte) []byte { return jsonl.AppendHeartbeat(b, c.rng.Uint64()) })
+func (l *link) sendHeartbeat() {
+	c := l.neighbour.core
+	c.write(l.id, func(b []byte) []byte { return jsonl.AppendHeartbeat(b, c.rng.Uint64()) })
 }
 
-// redial makes another connection after a pause.
-func (f *far) redial() {
-	f.pause = min(max(2*f.pause, linkPause), linkPauseMax)
-	f.retry = true
-	f.core.after(f.core.jitter(f.pause), func() {
-		f.retry = false
-		f.keepUp()
+// scheduleReconnect dials again after the retry delay.
+func (n *neighbour) scheduleReconnect() {
+	n.retryDelay = min(max(2*n.retryDelay, linkRetryMin), linkRetryMax)
+	n.retryScheduled = true
+	n.core.after(n.core.jitter(n.retryDelay), func() {
+		n.retryScheduled = false
+		n.maintainLinks()
 	})
 }
 
-// endWaiting ends the attempts that wait for a connection.
-func (f *far) endWaiting(o decide.Outcome) {
-	waiting := f.waiting
-	f.waiting = nil
+// endWaitingAttempts ends the attempts that wait for a link.
+func (n *neighbour) endWaitingAttempts(o decide.Outcome) {
+	waiting := n.waitingAttempts
+	n.waitingAttempts = nil
 	for _, a := range waiting {
-		f.core.endedAs(a, o)
+		n.core.endAttempt(a, o)
 	}
 }
 
-// unwait takes an attempt off those that wait for a connection.
-func (f *far) unwait(a *attempt) {
-	f.waiting = slices.DeleteFunc(f.waiting, func(o *attempt) bool { return o == a })
+// removeWaiting removes an attempt from those that wait for a link.
+func (n *neighbour) removeWaiting(a *attempt) {
+	n.waitingAttempts = slices.DeleteFunc(n.waitingAttempts, func(o *attempt) bool { return o == a })
 }
 
-// cutAll ends the calls that stood at a process that is dead or gone.
-func (f *far) cutAll(why string) {
-	if f.standing == 0 {
+// cutStandingCalls ends the calls that stood at a process that is dead or removed.
+func (n *neighbour) cutStandingCalls(reason string) {
+	if n.standingCalls == 0 {
 		return
 	}
-	f.core.note(fmt.Sprintf("switch at %v %s: %d calls are over", f.addr, why, f.standing))
-	for _, k := range f.core.standingAt(f) {
-		f.core.released(k, jsonl.CauseTemporaryFailure, decide.NoReport)
+	n.core.logLine(fmt.Sprintf("switch at %v %s: releasing its %d standing calls", n.addr, reason, n.standingCalls))
+	for _, k := range n.core.standingCallsAt(n) {
+		n.core.releaseFromSwitch(k, jsonl.CauseTemporaryFailure, decide.NoReport)
 	}
 }
 
-func (c *Core) standingAt(f *far) (list []*call) {
+func (c *Core) standingCallsAt(n *neighbour) (list []*call) {
 	for _, k := range c.calls {
-		if k.standing && k.at == f {
+		if k.standing && k.neighbour == n {
 			list = append(list, k)
 		}
 	}
@@ -308,142 +311,142 @@
 	return list
 }
 
-// lost takes in that a connection has ended, or was spoilt: what was out on it is cut.
-func (l *link) lost() {
-	if l.ended {
+// handleLoss handles the end of a link, closed by either side: the open set-ups on it are cut.
+func (l *link) handleLoss() {
+	if l.closed {
 		return
 	}
-	f := l.to
-	l.forget()
-	f.links = slices.DeleteFunc(f.links, func(o *link) bool { return o == l })
-	f.again = f.core.now + lossSeen
-	f.core.after(lossSeen, f.keepUp)
-	outs := make([]*attempt, 0, len(l.out))
-	for _, a := range l.out {
-		outs = append(outs, a)
+	n := l.neighbour
+	l.remove()
+	n.links = slices.DeleteFunc(n.links, func(o *link) bool { return o == l })
+	n.recoveryLinkAt = n.core.now + lossDetectionDelay
+	n.core.after(lossDetectionDelay, n.maintainLinks)
+	attempts := make([]*attempt, 0, len(l.openAttempts))
+	for _, a := range l.openAttempts {
+		attempts = append(attempts, a)
 	}
-	slices.SortFunc(outs, func(a, b *attempt) int { return cmp.Compare(a.call.id, b.call.id) })
-	if len(f.links) == 0 && (f.phase == decide.Removed || f.replaced) {
-		f.cutAll("is gone and has closed its connections")
+	slices.SortFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.call.id, b.call.id) })
+	if len(n.links) == 0 && (n.phase == decide.Removed || n.replaced) {
+		n.cutStandingCalls("was removed from the list and has closed its connections")
 	}
-	for _, a := range outs {
-		f.core.endedAs(a, decide.Cut)
+	for _, a := range attempts {
+		n.core.endAttempt(a, decide.Cut)
 	}
-	f.keepUp()
-	f.core.tidy(f)
+	n.maintainLinks()
+	n.core.removeIfIdle(n)
 }
 
-// forget drops a connection that is over.
-func (l *link) forget() {
-	l.ended = true
-	l.to.core.queue.Stop(&l.check)
-	delete(l.to.core.links, l.id)
+// remove unregisters a link that has ended.
+func (l *link) remove() {
+	l.closed = true
+	l.neighbour.core.timerQueue.Stop(&l.checkTimer)
+	delete(l.neighbour.core.links, l.id)
 }
 
-// leave ends a connection from this side.
-func (l *link) leave() {
-	l.to.core.close(l.id, false)
-	l.lost()
+// close closes the link from this side.
+func (l *link) close() {
+	l.neighbour.core.close(l.id, false)
+	l.handleLoss()
 }
 
-// spoil ends a connection of no further use: it brought what cannot be read, or nothing.
-func (l *link) spoil() {
-	l.to.core.Stats.SwitchErrors++
-	l.leave()
+// closeFaulty closes a link that is unusable: its input was invalid, or nothing was received.
+func (l *link) closeFaulty() {
+	l.neighbour.core.Stats.SwitchErrors++
+	l.close()
 }
 
-// release sends the release of a standing call: on its set-up's connection, else on any, else on the next.
-func (f *far) release(k *call, cause int) {
-	on := k.on
-	if on == nil || on.ended {
-		if len(f.links) == 0 {
-			if len(f.unsent) < mostUnsent && f.phase != decide.Removed && !f.replaced {
-				f.unsent = jsonl.AppendDown(f.unsent, k.ref, cause, 0)
-				f.keepUp()
+// sendRelease sends the release of a standing call: on the link of its set-up, else on any, else on the next one opened.
+func (n *neighbour) sendRelease(k *call, cause int) {
+	on := k.link
+	if on == nil || on.closed {
+		if len(n.links) == 0 {
+			if len(n.unsentReleases) < maxUnsentBytes && n.phase != decide.Removed && !n.replaced {
+				n.unsentReleases = jsonl.AppendDown(n.unsentReleases, k.ref, cause, 0)
+				n.maintainLinks()
 			}
 			return
 		}
-		on = f.links[0]
+		on = n.links[0]
 	}
-	on.down(k.ref, cause)
+	on.sendDown(k.ref, cause)
 }
 
-// watch finds out about switches that fell silent while something is at stake, and keeps connections up.
-func (f *far) watch() {
-	f.keepUp()
-	if f.standing == 0 {
+// checkLiveness detects switches that do not respond while calls stand, and maintains the links.
+func (n *neighbour) checkLiveness() {
+	n.maintainLinks()
+	if n.standingCalls == 0 {
 		return
 	}
-	now := f.core.now
-	switch quiet := now - f.heard; {
-	case quiet > vanishedFor && f.mute:
-		f.cutAll("has vanished")
-	case quiet > quietFor && len(f.links) == 1, quiet > silentFor && now-f.probed > silentFor:
-		f.probed = now
-		if len(f.links) >= maxLinks {
-			f.pick().leave()
+	now := n.core.now
+	switch quiet := now - n.lastReceived; {
+	case quiet > hostLossTimeout && n.lastDialTimedOut:
+		n.cutStandingCalls("sends nothing and connection attempts time out")
+	case quiet > singleLinkIdleTimeout && len(n.links) == 1, quiet > multiLinkIdleTimeout && now-n.lastProbe > multiLinkIdleTimeout:
+		n.lastProbe = now
+		if len(n.links) >= maxLinks {
+			n.pickLink().close()
 		}
-		f.connect()
+		n.connect()
 	}
 }
 
 func (l *link) receive(b []byte) {
-	f := l.to
-	f.heard = f.core.now
+	n := l.neighbour
+	n.lastReceived = n.core.now
 	err := l.lines.Push(b, func(line []byte) bool {
 		m, err := jsonl.Parse(line)
 		if err != nil {
-			l.spoil()
+			l.closeFaulty()
 			return false
 		}
-		l.spoke(m.Type == jsonl.TypeGauge)
-		l.message(&m)
-		return !l.ended
+		l.lineReceived(m.Type == jsonl.TypeGauge)
+		l.handleMessage(&m)
+		return !l.closed
 	})
 	switch {
-	case l.ended:
+	case l.closed:
 	case err != nil:
-		l.spoil()
+		l.closeFaulty()
 	case l.lines.Partial():
-		l.expect()
+		l.expectLine()
 	}
 }
 
-func (l *link) message(m *jsonl.Message) {
-	f, c := l.to, l.to.core
+func (l *link) handleMessage(m *jsonl.Message) {
+	n, c := l.neighbour, l.neighbour.core
 	switch m.Type {
 	case jsonl.TypeUp:
-		a := l.out[m.Ref]
+		a := l.openAttempts[m.Ref]
 		switch {
-		case a == nil: // a second copy, an unknown id, or one that was given up
+		case a == nil: // a duplicate, an unknown reference or a withdrawn attempt
 		case m.Desc == nil:
-			l.spoil()
+			l.closeFaulty()
 		default:
-			c.answered(a, m.Desc)
+			c.handleAnswer(a, m.Desc)
 		}
 	case jsonl.TypeDown:
-		report := c.report(m)
-		if a := l.out[m.Ref]; a != nil {
-			o, cause := outcome(m)
-			c.ended(a, decide.AttemptEnded{Outcome: o, Cause: cause, Report: report})
+		report := c.parseReport(m)
+		if a := l.openAttempts[m.Ref]; a != nil {
+			o, cause := releaseOutcome(m)
+			c.endAttemptWith(a, decide.AttemptEnded{Outcome: o, Cause: cause, Report: report})
 			return
 		}
 		k := c.calls[m.Ref]
 		switch {
-		case k != nil && k.standing && k.at == f:
-			c.released(k, m.Cause, report)
-		case k == nil && c.now < releaseFor && len(c.early) < earlyKept:
-			c.early[m.Ref] = early{c.now, m.Cause}
+		case k != nil && k.standing && k.neighbour == n:
+			c.releaseFromSwitch(k, m.Cause, report)
+		case k == nil && c.now < releaseLifetime && len(c.earlyReleases) < maxEarlyReleases:
+			c.earlyReleases[m.Ref] = earlyRelease{c.now, m.Cause}
 		}
 	case jsonl.TypeGauge:
-		f.heardFrom = true
-		c.feed(decide.ReportReceived{Exchange: f.id, Outcome: decide.Completed, Report: c.report(m)})
+		n.hasReported = true
+		c.feed(decide.ReportReceived{Exchange: n.id, Outcome: decide.Completed, Report: c.parseReport(m)})
 	}
 }
 
-// outcome puts a release before the answer in the module's terms.
-func outcome(m *jsonl.Message) (decide.Outcome, decide.Cause) {
-	cause := notes[m.Fields["note"]]
+// releaseOutcome converts a release before the answer to the decision module's terms.
+func releaseOutcome(m *jsonl.Message) (decide.Outcome, decide.Cause) {
+	cause := causeByNote[m.Fields["note"]]
 	switch m.Cause {
 	case jsonl.CauseNoCircuit:
 		return decide.Rejected, cause
@@ -455,11 +458,11 @@
 	return decide.Cut, cause
 }
 
-var notes = map[string]decide.Cause{"blocked": decide.NoCircuit, "bounced": decide.TandemRejected,
+var causeByNote = map[string]decide.Cause{"blocked": decide.NoCircuit, "bounced": decide.TandemRejected,
 	"far_swamped": decide.TandemRejectedFull, "swamped": decide.ProcessorFull, "occupied": decide.LinesBusy}
 
-// report reads a load report.
-func (c *Core) report(m *jsonl.Message) decide.Report {
+// parseReport parses a load report.
+func (c *Core) parseReport(m *jsonl.Message) decide.Report {
 	r := decide.NoReport
 	for name, value := range pairs(m.Fields["load"]) {
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
@@ -469,7 +472,7 @@
 	return r
 }
 
-// pairs walks over text in the form of x0:12;x1:40.
+// pairs iterates over the names and values of text such as x0:12;x1:40.
 func pairs(text string) iter.Seq2[string, string] {
 	return func(yield func(string, string) bool) {
 		for part := range strings.SplitSeq(text, ";") {
@@ -480,145 +483,145 @@
 	}
 }
 
-// learn takes an event of the list in: where switches are, and which are gone. It returns those that changed.
-func (c *Core) learn(ev coordinator.Event) (changed []*far) {
+// applyEvent applies a list event to the switches' addresses and phases. It returns the switches that changed.
+func (c *Core) applyEvent(ev coordinator.Event) (changed []*neighbour) {
 	if ev.Full {
-		named := map[decide.ExchangeID]bool{}
+		listed := map[decide.ExchangeID]bool{}
 		for _, e := range ev.Entries {
-			named[decide.ExchangeID(e.ID)] = true
+			listed[decide.ExchangeID(e.ID)] = true
 		}
-		for _, f := range c.farInOrder() {
-			if !named[f.id] {
-				f.phase = decide.Removed
-				changed = append(changed, f)
+		for _, n := range c.switchesByID() {
+			if !listed[n.id] {
+				n.phase = decide.Removed
+				changed = append(changed, n)
 			}
 		}
 	}
 	for _, e := range ev.Entries {
-		f := c.switches[decide.ExchangeID(e.ID)]
-		if f == nil {
+		n := c.switches[decide.ExchangeID(e.ID)]
+		if n == nil {
 			if e.Phase == decide.Removed {
 				continue
 			}
-			f = &far{core: c, id: decide.ExchangeID(e.ID), started: e.Started, heard: c.now}
-			c.switches[f.id] = f
+			n = &neighbour{core: c, id: decide.ExchangeID(e.ID), started: e.Started, lastReceived: c.now}
+			c.switches[n.id] = n
 		}
-		f.restarted = f.restarted || e.Started > f.started
-		f.number, f.phase, f.started = e.Number, e.Phase, e.Started
-		changed = append(changed, f)
-		if e.Addr == f.addr {
+		n.restarted = n.restarted || e.Started > n.started
+		n.number, n.phase, n.started = e.Number, e.Phase, e.Started
+		changed = append(changed, n)
+		if e.Addr == n.addr {
 			continue
 		}
-		f.addr, f.replaced = e.Addr, false
-		for _, o := range c.farInOrder() {
-			if o != f && o.addr == e.Addr {
-				o.replaced = true
-				changed = append(changed, o)
+		n.addr, n.replaced = e.Addr, false
+		for _, other := range c.switchesByID() {
+			if other != n && other.addr == e.Addr {
+				other.replaced = true
+				changed = append(changed, other)
 			}
 		}
 	}
 	return changed
 }
 
-// settle does what follows from a change of the list.
-func (f *far) settle() {
-	if f.phase != decide.Ready || f.replaced {
-		f.endWaiting(decide.NotSent) // told while they waited for a connection: they do not leave
+// handleListChange acts on a change of the switch's list entry.
+func (n *neighbour) handleListChange() {
+	if n.phase != decide.Ready || n.replaced {
+		n.endWaitingAttempts(decide.NotSent) // the list changed while they waited for a link, so they are not sent
 	}
-	if len(f.links) == 0 && (f.phase == decide.Removed || f.replaced || f.restarted) {
-		f.cutAll("is told to be gone or new") // what stood before its end or its start is over
+	if len(n.links) == 0 && (n.phase == decide.Removed || n.replaced || n.restarted) {
+		n.cutStandingCalls("was removed, replaced or restarted according to the list") // calls from before its removal or start are over
 	}
-	f.restarted = false
-	f.keepUp()
-	f.core.tidy(f)
+	n.restarted = false
+	n.maintainLinks()
+	n.core.removeIfIdle(n)
 }
 
-// tidy drops what is left of a switch that is gone once nothing is out or stands there.
-func (c *Core) tidy(f *far) {
-	if f.phase != decide.Removed || f.standing > 0 || c.switches[f.id] != f {
+// removeIfIdle removes a switch that left the list once no attempt or call is left there.
+func (c *Core) removeIfIdle(n *neighbour) {
+	if n.phase != decide.Removed || n.standingCalls > 0 || c.switches[n.id] != n {
 		return
 	}
-	for _, l := range f.links {
-		if len(l.out) > 0 {
+	for _, l := range n.links {
+		if len(l.openAttempts) > 0 {
 			return
 		}
 	}
-	delete(c.switches, f.id)
-	links := f.links
-	f.links = nil
+	delete(c.switches, n.id)
+	links := n.links
+	n.links = nil
 	for _, l := range links {
-		l.forget()
+		l.remove()
 		c.close(l.id, false)
 	}
 }
 
-// farInOrder lists the switches by id, so that two runs agree.
-func (c *Core) farInOrder() []*far {
-	list := make([]*far, 0, len(c.switches))
-	for _, f := range c.switches {
-		list = append(list, f)
+// switchesByID returns the switches sorted by ID, which makes runs reproducible.
+func (c *Core) switchesByID() []*neighbour {
+	list := make([]*neighbour, 0, len(c.switches))
+	for _, n := range c.switches {
+		list = append(list, n)
 	}
-	slices.SortFunc(list, func(a, b *far) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *neighbour) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
 
-// Connected tells that a connection that was dialled is up.
+// Connected reports that a dialled connection is established.
 func (c *Core) Connected(now time.Duration, id ConnID) {
-	c.tell(now)
-	if id == c.coord.conn {
-		c.coord.opened()
+	c.advanceClock(now)
+	if id == c.discovery.conn {
+		c.discovery.connected()
 		return
 	}
-	if l := c.links[id]; l != nil && l.to.dialling == id {
-		if l.to.phase == decide.Removed && l.to.standing == 0 {
-			l.to.dialling = 0
+	if l := c.links[id]; l != nil && l.neighbour.dialling == id {
+		if l.neighbour.phase == decide.Removed && l.neighbour.standingCalls == 0 {
+			l.neighbour.dialling = 0
 			delete(c.links, id)
 			c.close(id, false)
 			return
 		}
-		l.to.up(l)
+		l.neighbour.linkUp(l)
 		return
 	}
-	c.close(id, false) // no longer wanted
+	c.close(id, false) // no longer needed
 }
 
-// DialFailed tells that a connection did not come up.
-func (c *Core) DialFailed(now time.Duration, id ConnID, why DialFailure) {
-	c.tell(now)
-	if id == c.coord.conn {
-		if why == DialNoDescriptors {
-			c.makeRoom()
+// DialFailed reports that a connection was not established.
+func (c *Core) DialFailed(now time.Duration, id ConnID, reason DialFailure) {
+	c.advanceClock(now)
+	if id == c.discovery.conn {
+		if reason == DialNoDescriptors {
+			c.evictIdleCaller()
 		}
-		c.coord.lost()
+		c.discovery.connectionLost()
 		return
 	}
-	if l := c.links[id]; l != nil && l.to.dialling == id {
-		l.to.notUp(l, why)
+	if l := c.links[id]; l != nil && l.neighbour.dialling == id {
+		l.neighbour.handleDialFailure(l, reason)
 	}
 }
 
-// Receive takes what a connection brought.
+// Receive handles bytes received on a connection.
 func (c *Core) Receive(now time.Duration, id ConnID, b []byte) {
-	c.tell(now)
+	c.advanceClock(now)
 	if p := c.callers[id]; p != nil {
-		p.takeIn(b)
-		p.act()
+		p.parseInput(b)
+		p.handleLines()
 	} else if l := c.links[id]; l != nil {
 		l.receive(b)
-	} else if id == c.coord.conn {
-		c.coord.receive(b)
+	} else if id == c.discovery.conn {
+		c.discovery.receive(b)
 	}
 }
 
-// Closed tells that the other end closed a connection, or that it broke.
+// Closed reports that the peer closed a connection, or that it failed.
 func (c *Core) Closed(now time.Duration, id ConnID) {
-	c.tell(now)
+	c.advanceClock(now)
 	if p := c.callers[id]; p != nil {
-		p.lost()
+		p.handleClose()
 	} else if l := c.links[id]; l != nil {
-		l.to.broken = max(1, c.now)
-		l.lost()
-	} else if id == c.coord.conn {
-		c.coord.lost()
+		l.neighbour.linkClosedAt = max(1, c.now)
+		l.handleLoss()
+	} else if id == c.discovery.conn {
+		c.discovery.connectionLost()
 	}
 }
