--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -7,37 +7,39 @@
 	"time"
 )
 
-// coldFleet is a fleet whose proxies share one far end's work; that starts anew, cold, at the middle of the run.
+// coldFleet is a fleet of proxies with calls to one exchange, whose processor starts anew in the middle of
+// the run.
 type coldFleet struct {
-	proxies  int
-	uneven   float64 // the largest share over the smallest, falling evenly
-	demand   float64 // calls after the start, in times the usual
-	fresh    bool    // the proxies start with the far end, with no history of their own
-	transit  float64 // part of the calls that come in transit
-	uncalled bool    // nobody calls until three seconds after the start: every budget has filled
+	proxies    int
+	unevenness float64 // largest share of traffic over the smallest; shares fall evenly between them
+	demand     float64 // calls after the start, as a multiple of the usual rate
+	fresh      bool    // the proxies start together with the processor, without observed rates
+	transit    float64 // share of the calls that come in transit
+	idleStart  bool    // no calls in the first three seconds after the start, so that every budget is full
 }
 
-// play returns when set-ups reached the starting processor, counted from its start; usual is the far end's rate before.
-func (f coldFleet) play(s Settings, usual float64) (sentAt []time.Duration) {
-	rng := uint64(f.proxies)*7919 + uint64(f.demand*13) + uint64(f.uneven)
+// run returns the times of the set-ups to the cold processor, counted from its start; usual is the fleet's
+// set-up rate before the start, per second.
+func (f coldFleet) run(s Settings, usual float64) (sentAt []time.Duration) {
+	rng := uint64(f.proxies)*7919 + uint64(f.demand*13) + uint64(f.unevenness)
 	draw := func() float64 { rng += 0x9e3779b97f4a7c15; return float64(mix(rng)>>11) / (1 << 53) }
 	shares, sum := make([]float64, f.proxies), 0.0
 	for i := range shares {
-		shares[i] = math.Pow(max(f.uneven, 1), -float64(i)/float64(f.proxies))
+		shares[i] = math.Pow(max(f.unevenness, 1), -float64(i)/float64(f.proxies))
 		sum += shares[i]
 	}
-	hold := s.Classes[0].HoldTime.Seconds()
+	holdTime := s.Classes[0].HoldTime.Seconds()
 	type proxy struct {
 		c    *Controller
 		rate float64
 		size float64
 	}
-	const far = 1
+	const dest = 1
 	start := 60 * time.Second
 	fleet := make([]*proxy, f.proxies)
 	for i := range fleet {
 		p := &proxy{rate: usual * shares[i] / sum}
-		load := p.rate * hold
+		load := p.rate * holdTime
 		p.size = math.Ceil(load + 1.2*math.Sqrt(load))
 		s := s
 		s.OwnExchange, s.Proxies = 100+i, f.proxies
@@ -57,34 +59,34 @@
 		begin = start
 	}
 	epoch := time.Hour
-	carry := func(p *proxy, now time.Duration, acts []Action) {
+	handle := func(p *proxy, now time.Duration, acts []Action) {
 		for _, a := range acts {
 			if a, ok := a.(SetUp); ok {
 				if now >= start {
 					sentAt = append(sentAt, now-start)
 				}
 				p.c.Feed(epoch+now, Standing{Call: a.Call, Exchange: a.Exchange, Took: 50 * ms})
-				end := now + time.Duration(-hold*math.Log(1-draw())*float64(time.Second))/step*step + step
+				end := now + time.Duration(-holdTime*math.Log(1-draw())*float64(time.Second))/step*step + step
 				ends[end] = append(ends[end], stand{p, a.Call, a.Exchange})
 			}
 		}
 	}
 	for _, p := range fleet {
-		e := Entry{Exchange: 1000, Number: far, Phase: Ready}
+		e := Entry{Exchange: 1000, Number: dest, Phase: Ready}
 		if f.fresh {
-			e = Entry{Exchange: 2000, Number: far, Phase: Ready, Started: epoch + start}
+			e = Entry{Exchange: 2000, Number: dest, Phase: Ready, Started: epoch + start}
 		}
-		p.c.Feed(epoch+begin, ListUpdate{Kind: ListCached, Entries: []Entry{{Exchange: 1, Number: p.c.s.OwnExchange, Phase: Ready}, e}})
+		p.c.Feed(epoch+begin, ListUpdate{Kind: ListCached, Entries: []Entry{{Exchange: 1, Number: p.c.settings.OwnExchange, Phase: Ready}, e}})
 		p.c.Feed(epoch+begin, ReportReceived{Exchange: e.Exchange, Report: Report{Free: p.size, Size: p.size}})
 	}
 	for now := begin; now < start+s.ColdDuration; now += step {
 		if now == start && !f.fresh {
 			for _, p := range fleet {
-				p.c.Feed(epoch+now, ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 1000, Number: far, Phase: Removed},
-					{Exchange: 2000, Number: far, Phase: Ready, Started: epoch + now}}})
+				p.c.Feed(epoch+now, ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 1000, Number: dest, Phase: Removed},
+					{Exchange: 2000, Number: dest, Phase: Ready, Started: epoch + now}}})
 				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}})
 			}
-			clear(ends) // what stood was cut
+			clear(ends) // standing calls were cut
 		}
 		for _, e := range ends[now] {
 			e.p.c.Feed(epoch+now, AttemptEnded{Call: e.call, Exchange: e.ex, Outcome: Completed, Concluded: true,
@@ -94,29 +96,30 @@
 			k := 1.0
 			if now >= start {
 				k = f.demand
-				if f.uncalled && now < start+3*time.Second {
+				if f.idleStart && now < start+3*time.Second {
 					k = 0
 				}
 			}
 			for x := p.rate * k * step.Seconds(); draw() < x; x-- {
 				call++
 				transit := draw() < f.transit
-				carry(p, now, p.c.Feed(epoch+now, Offer{Call: call, Dest: far, Width: 1, AdvisedTandem: Unknown, Patience: 9 * time.Second,
+				handle(p, now, p.c.Feed(epoch+now, Offer{Call: call, Dest: dest, Width: 1, AdvisedTandem: Unknown, Patience: 9 * time.Second,
 					Transit: transit, Tenant: Unknown}))
 			}
-			if now%tick == 0 {
-				carry(p, now, p.c.Feed(epoch+now, TimerExpired{tokenTick}))
+			if now%queueInterval == 0 {
+				handle(p, now, p.c.Feed(epoch+now, TimerExpired{tokenQueueTick}))
 			}
 			if now >= start && now%(200*ms) == 0 {
-				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // room enough: only the guard holds back
+				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // only slow start limits
 			}
 		}
 	}
 	return sentAt
 }
 
-// fullest is the window that comes nearest to what the rule allows, or passes it; capacity is that of the warm processor.
-func fullest(sentAt []time.Duration, s Settings, capacity float64, window time.Duration) (worst float64, text string) {
+// busiestWindow returns the highest ratio of set-ups to the limit in any window, and a text that describes
+// that window; capacity is that of the warm processor, in set-ups per second.
+func busiestWindow(sentAt []time.Duration, s Settings, capacity float64, window time.Duration) (worst float64, text string) {
 	for i, from := range sentAt {
 		n := 0
 		for _, at := range sentAt[i:] {
@@ -124,31 +127,33 @@
 				n++
 			}
 		}
-		// How it grows is not told; evenly, as the module takes it, and judged by the window's beginning.
+		// How the capacity grows is not specified: assume linear growth, as the Controller does, and take the
+		// value at the beginning of the window.
 		g := s.ColdCapacity + (1-s.ColdCapacity)*from.Seconds()/s.ColdDuration.Seconds()
 		allowed := s.OverloadMultiple * capacity * g * window.Seconds()
 		most := allowed + 2*math.Sqrt(allowed) + 2
 		if r := float64(n) / most; r > worst {
-			worst, text = r, fmt.Sprintf("%d within %v from %v after the start, allowed %.1f, with chance %.1f", n, window, from, allowed, most)
+			worst, text = r, fmt.Sprintf("%d within %v from %v after the start, allowed %.1f, with variation %.1f", n, window, from, allowed, most)
 		}
 	}
 	return worst, text
 }
 
-// TestColdFleetKeepsItsBudget: the rule counts what all proxies send together: N in the window, and 2·√N + 2 of chance.
-func TestColdFleetKeepsItsBudget(t *testing.T) {
-	unlike := settings()
-	unlike.ColdCapacity, unlike.ColdDuration, unlike.OverloadMultiple = 0.25, 8*time.Second, 2.5
-	unlike.Classes[0].HoldTime = 4 * time.Second
+// TestSlowStartOfFleet guards against a fleet whose proxies together overload a cold processor: in each
+// window they may send N set-ups by the overload multiple, plus 2·√N + 2 for random variation.
+func TestSlowStartOfFleet(t *testing.T) {
+	others := settings()
+	others.ColdCapacity, others.ColdDuration, others.OverloadMultiple = 0.25, 8*time.Second, 2.5
+	others.Classes[0].HoldTime = 4 * time.Second
 	for _, n := range []int{8, 30, 48} {
-		for _, f := range []coldFleet{{demand: 1}, {demand: 10}, {demand: 10, uneven: 30}, {demand: 10, transit: 0.4}, {demand: 10, fresh: true},
-			{demand: 10, fresh: true, uneven: 30}, {demand: 10, uncalled: true}, {demand: 10, uncalled: true, fresh: true}} {
+		for _, f := range []coldFleet{{demand: 1}, {demand: 10}, {demand: 10, unevenness: 30}, {demand: 10, transit: 0.4}, {demand: 10, fresh: true},
+			{demand: 10, fresh: true, unevenness: 30}, {demand: 10, idleStart: true}, {demand: 10, idleStart: true, fresh: true}} {
 			f.proxies = n
-			for i, s := range []Settings{settings(), unlike} {
+			for i, s := range []Settings{settings(), others} {
 				const usual, busy = 13, 0.8
-				sentAt := f.play(s, usual)
+				sentAt := f.run(s, usual)
 				for _, window := range []time.Duration{1500 * ms, 3 * time.Second} {
-					if worst, text := fullest(sentAt, s, usual/busy, window); worst == 0 || worst > 1 {
+					if worst, text := busiestWindow(sentAt, s, usual/busy, window); worst == 0 || worst > 1 {
 						t.Errorf("settings %d, %+v: %s", i, f, text)
 					}
 				}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,7 +1,7 @@
-// The interface of this module is decide/api.go. All decisions are here; state.go holds state and arithmetic.
+// This file holds all decisions of the package; its interface is in api.go, its state in state.go.
 //
-// Order: constants, state, the events, the ordinary path (bands, direct, tandems), transit, waiting calls,
-// then the guards (list, cold start, pressure, repeats), and small helpers last.
+// Order: constants, events, the ordinary path (hold-time bands, direct route, tandems), transit, the wait
+// queue, then the guards (exchange list, slow start, overload, repeats).
 
 package decide
 
@@ -14,94 +14,155 @@
 )
 
 const (
-	popularityHalfLife = 30 * time.Second // the design's decay of calls offered by class
-	roundingOctaves    = 0.03             // told holds are rounded: 2% either way is the same ratio
-	maxTandems         = 2                // tandems tried for one call, as in the design
-
-	reserveRoot = 0.35 // transit floor, in square roots of a group's circuits, over one widest call
-	reservePart = 0.16 // and at most this part of them, or it swallows a small group
-	minorShare  = 0.5  // a call worth less than this part of its class's worth is a minor one
-	tandemWait  = 0.55 // time-out of a tandem attempt, in aims: leaves room for another route
-	directWait  = 1.2  // time-out of a direct attempt where set-ups are not resent, in aims
-	turnedFor   = 20 * time.Second
-	turnedCalls = 12
-	// A tandem that turned a call back is passed over for that exchange this long or so many calls: a fifth
-	// of the next attempts over it stand then, over half of those over one that carried the last call.
-
-	holdShare  = 0.85                  // a held call is sent by this share of its aim, or refused
-	lastAnswer = 40 * time.Millisecond // no answer is left until later than this before the caller gives up
-	tick       = 20 * time.Millisecond // waiting calls are looked at this often, if nothing else happens
-
-	waitHalfLife = 2500 * time.Millisecond // a wait that nothing confirms is believed half as long after this
-	sightFor     = 1500 * time.Millisecond // what answers showed this long ago counts for all far ends,
-	sightCount   = 15                      // of so many newest ones,
-	sightLeast   = 3                       // where there are so many
-	newest       = 0.6                     // weight of the newest wait against those before
-	easyShare    = 0.15                    // an expected set-up time of this share of an aim is no pressure
-	planShare    = 0.25                    // over this no tandem is tried for a pair without a group,
-	guessShare   = 0.09                    // over this none not known to have room, for a pair with one,
-	goodOdds     = 0.5                     // while less than this part of the tandem attempts stand,
-	oddsOver     = 10                      // of about so many
-	pressRange   = 0.5                     // over this further share more and more calls are refused
-	leastRange   = 0.4                     // calls of little worth get at least this part of it
-	worthiest    = 2.5                     // and worthier calls up to this many times
-	outAdds      = 0.1                     // aims that each further set-up out adds to the expected time
-	fullWait     = 1.5                     // the least wait behind a 'full', in aims: it is worse than late
-	trialGap     = 500 * time.Millisecond  // first pause between trials of a pressed far end, doubling
-	trialAny     = 250 * time.Millisecond  // between any trials: the own processor may be the jam
-	trialDoubles = 3                       // this often
-	coldPart     = 0.6                     // of the rule's budget; the rest is for chance
-	rateHalfLife = 15 * time.Second        // of the usual rate of set-ups to a neighbour
-	noteFails    = 3                       // late or missing answers in a row worth a line in the log
-	maxNotes     = 200                     // lines an instance writes
-	triesKept    = 4096                    // first tries, and busy numbers, remembered: a bound on memory
-	busyFor      = 2 * time.Second         // calls to a number with all lines busy are refused this long
-	worthOver    = 100                     // calls offered over which the mean worth is renewed
+	// Routing. The unit of times given in targets is the set-up target of the call's class.
+
+	// offeredHalfLife is the half-life of the count of calls offered by class, as in the design.
+	offeredHalfLife = 30 * time.Second
+	// holdTimeTolerance is how far log2 of a ratio of hold times may be from a whole number to count as that
+	// number: configured hold times are rounded, and 2% either way is the same ratio.
+	holdTimeTolerance = 0.03
+	// maxTandems is the number of tandems tried for one call, as in the design.
+	maxTandems = 2
+	// reserveRootFactor times the square root of a group's circuits, plus the widest call, is the number of
+	// circuits reserved for direct calls.
+	reserveRootFactor = 0.35
+	// maxReserveShare is the largest share of a group's circuits that is reserved, so that the reserve does
+	// not take up a small group.
+	maxReserveShare = 0.16
+	// lowValueShare is the share of its class's value below which a call counts as low-value.
+	lowValueShare = 0.5
+	// tandemTimeout is the time-out of a tandem attempt, in targets: it leaves time for another route.
+	tandemTimeout = 0.55
+	// directTimeout is the time-out of a direct attempt where set-ups are not resent, in targets.
+	directTimeout = 1.2
+	// tandemSkipTime is how long a tandem that rejected a call is skipped for the same exchange: about a
+	// fifth of the next attempts over it succeed, but over half of those over one that carried the last call.
+	tandemSkipTime = 20 * time.Second
+	// tandemSkipCalls is the number of calls offered to the exchange that ends the skip sooner.
+	tandemSkipCalls = 12
+
+	// Wait queue.
+
+	// queueTimeShare is the share of its set-up target by which a queued call must be set up. A call that
+	// cannot make it is refused.
+	queueTimeShare = 0.85
+	// answerMargin is how long before the caller abandons a call its final answer is given at the latest.
+	answerMargin = 40 * time.Millisecond
+	// queueInterval is the interval at which the wait queue is served if no event does it.
+	queueInterval = 20 * time.Millisecond
+
+	// Overload control. Shares are of the shortest set-up target unless stated otherwise.
+
+	// waitHalfLife is the half-life of an estimated wait that no answer confirms.
+	waitHalfLife = 2500 * time.Millisecond
+	// sampleLifetime is how long a wait sample counts towards the common wait of all neighbours.
+	sampleLifetime = 1500 * time.Millisecond
+	// maxSamples is the number of newest wait samples that are kept.
+	maxSamples = 15
+	// minSamples is the number of samples below which the common wait is taken as zero.
+	minSamples = 3
+	// newestWeight is the weight of the newest wait in the moving average.
+	newestWeight = 0.6
+	// unloadedShare is the share of the target up to which an expected set-up time counts as no overload.
+	unloadedShare = 0.15
+	// plannedTandemShare is the expected set-up time, as a share, above which no tandem is tried for a pair
+	// without a direct group.
+	plannedTandemShare = 0.25
+	// unprovenTandemShare is the expected set-up time, as a share, above which overflow of a direct group
+	// takes only a tandem that carried the last such call, while few tandem attempts succeed.
+	unprovenTandemShare = 0.09
+	// minTandemSuccess is the share of tandem attempts that must succeed for unproven tandems to be tried
+	// freely.
+	minTandemSuccess = 0.5
+	// tandemSuccessWindow is about the number of attempts in the moving average of tandem success.
+	tandemSuccessWindow = 10
+	// overloadRange is the range of expected set-up time, as a share of the call's target, over which the
+	// share of refused calls rises from none to all. It begins at unloadedShare.
+	overloadRange = 0.5
+	// minValueFactor is the least factor on overloadRange, for calls of little value.
+	minValueFactor = 0.4
+	// maxValueFactor is the largest factor on overloadRange, for the most valuable calls.
+	maxValueFactor = 2.5
+	// outstandingCost is the share that each further outstanding set-up adds to the expected set-up time.
+	outstandingCost = 0.1
+	// fullProcessorWait is the least estimated wait after a processor was full, in shortest targets: a full
+	// processor is worse than a late one.
+	fullProcessorWait = 1.5
+	// probeInterval is the first pause between probe calls to an overloaded neighbour. It doubles with each
+	// failure.
+	probeInterval = 500 * time.Millisecond
+	// globalProbeInterval is the first pause between probe calls to any neighbours, since the own processor
+	// may be the congested one. It doubles with each failure.
+	globalProbeInterval = 250 * time.Millisecond
+	// maxProbeDoublings limits the doubling of both pauses.
+	maxProbeDoublings = 3
+	// slowStartShare is the share of the overload multiple that is used during slow start; the rest is a
+	// margin for random variation.
+	slowStartShare = 0.6
+	// setupRateHalfLife is the half-life of the usual set-up rate to a neighbour.
+	setupRateHalfLife = 15 * time.Second
+
+	// Limits on log lines and memory, and the value average.
+
+	// loggedFailures is the number of consecutive late or missing answers of a neighbour that is logged.
+	loggedFailures = 3
+	// maxLogLines is the number of lines that one instance logs.
+	maxLogLines = 200
+	// maxRemembered is the number of called numbers remembered as busy, and of those with a first try.
+	maxRemembered = 4096
+	// busyNumberTime is how long calls to a number whose lines are all busy are refused.
+	busyNumberTime = 2 * time.Second
+	// meanValueWindow is about the number of calls offered in the moving average of their value.
+	meanValueWindow = 100
 )
 
 // Timer tokens.
 const (
-	tokenTick uint64 = iota
-	tokenAsk
+	// tokenQueueTick serves the wait queue.
+	tokenQueueTick uint64 = iota
+	// tokenSubscribe tries again to subscribe.
+	tokenSubscribe
 )
 
-// New returns the controller of one instance; seed feeds its random choices.
+// New returns the controller of one instance. The seed determines its random choices.
 func New(s Settings, seed uint64) *Controller {
-	c := &Controller{s: s, rng: seed, calls: map[CallID]*call{}, tries: map[uint64]time.Duration{},
-		busy: map[uint64]time.Duration{}, listed: map[ExchangeID]*exchange{},
-		far: map[int]*neighbour{}, minAim: math.MaxInt64, tenants: make([]bucket, len(s.Tenants))}
-	c.band, c.bands = holdBands(s.Classes)
+	c := &Controller{settings: s, randState: seed, calls: map[CallID]*call{},
+		firstTries: map[uint64]time.Duration{}, busyUntil: map[uint64]time.Duration{},
+		processors: map[ExchangeID]*processor{}, neighbours: map[int]*neighbour{}, minTarget: math.MaxInt64,
+		tenantBuckets: make([]tokenBucket, len(s.Tenants))}
+	c.classBand, c.bandCount = holdTimeBands(s.Classes)
 	for i := range s.Classes {
-		c.widest = max(c.widest, s.Classes[i].Width)
-		c.minAim = min(c.minAim, s.Classes[i].SetupTarget)
+		c.maxWidth = max(c.maxWidth, s.Classes[i].Width)
+		c.minTarget = min(c.minTarget, s.Classes[i].SetupTarget)
 	}
-	c.meanWorth, c.carriedShare = s.Classes[0].Value, 1
+	c.meanValue, c.tandemSuccess = s.Classes[0].Value, 1
 	return c
 }
 
-// Feed tells the controller one event and returns what it wants done now, in order.
+// Feed handles one event and returns the resulting actions in order. A time before that of the last event
+// counts as that.
 func (c *Controller) Feed(now time.Duration, ev Event) []Action {
-	c.now, c.out = max(c.now, now), nil
-	c.common = c.medianSight()
+	c.now, c.actions = max(c.now, now), nil
+	c.commonWait = c.medianWait()
 	switch e := ev.(type) {
 	case ListUpdate:
-		c.onList(e)
+		c.onListUpdate(e)
 	case Offer:
 		c.onOffer(e)
 	case Standing:
 		c.onStanding(e)
 	case AttemptEnded:
-		c.onEnded(e)
+		c.onAttemptEnded(e)
 	case CallerAbandoned:
 		if k := c.calls[e.Call]; k != nil {
-			c.close(k)
+			c.conclude(k)
 		}
 	case ReportReceived:
 		c.onReport(e)
 	case TimerExpired:
-		c.onTimer(e.Token)
+		c.onTimerExpired(e.Token)
 	}
-	return c.out
+	return c.actions
 }
 
 func (c *Controller) onOffer(e Offer) {
@@ -109,105 +170,108 @@
 		return
 	}
 	class := e.Class
-	if class < 0 || class >= len(c.s.Classes) {
+	if class < 0 || class >= len(c.settings.Classes) {
 		class = 0
 	}
-	cl := &c.s.Classes[class]
-	k := &call{id: e.Call, class: class, width: e.Width, dest: e.Dest, number: e.CalledNumber,
-		advised: e.AdvisedTandem, transit: e.Transit, arrived: c.now, first: c.now,
-		deadline: c.now + e.Patience, worth: cl.Value}
+	cl := &c.settings.Classes[class]
+	k := &call{id: e.Call, class: class, width: e.Width, dest: e.Dest, calledNumber: e.CalledNumber,
+		advisedTandem: e.AdvisedTandem, transit: e.Transit, arrived: c.now, firstTry: c.now,
+		deadline: c.now + e.Patience, value: cl.Value}
 	if k.width < 1 {
 		k.width = cl.Width
 	}
 	c.calls[k.id] = k
-	k.worth *= c.shareWorth(e)
-	if first, again := c.tries[k.number]; again && !k.transit && (e.Redial || !c.s.RedialsMarked) {
-		k.first = first
+	k.value *= c.quotaValue(e)
+	if first, again := c.firstTries[k.calledNumber]; again && !k.transit &&
+		(e.Redial || !c.settings.RedialsMarked) {
+		k.firstTry = first
 	}
 	if k.late(c.now, cl.SetupTarget) && !e.WasCut {
-		k.worth *= cl.LateValue
+		k.value *= cl.LateValue
 	}
-	if to := c.far[k.dest]; to != nil {
+	if to := c.neighbours[k.dest]; to != nil {
 		c.countOffered(to, class)
 	}
-	if !k.transit && c.busy[k.number] > c.now {
+	if !k.transit && c.busyUntil[k.calledNumber] > c.now {
 		c.refuse(k)
 		return
 	}
-	if e.Patience < lastAnswer { // it waited out its time on the way here: only an answer at once is in time
+	if e.Patience < answerMargin { // its time ran out on the way here: only an immediate answer is in time
 		c.refuse(k)
 		return
 	}
-	if k.dest == c.s.OwnExchange && c.s.DeliverLocal {
+	if k.dest == c.settings.OwnExchange && c.settings.DeliverLocal {
 		c.deliver(k)
 		return
 	}
 	if k.transit {
-		c.passOn(k)
+		c.sendTransit(k)
 		return
 	}
-	c.meanWorth += (k.worth - c.meanWorth) / worthOver
+	c.meanValue += (k.value - c.meanValue) / meanValueWindow
 	c.route(k)
 }
 
 func (c *Controller) onStanding(e Standing) {
 	k := c.calls[e.Call]
-	if k == nil || k.to == nil || k.attempts != e.Attempt+1 {
+	if k == nil || k.nextHop == nil || k.attempts != e.Attempt+1 {
 		return
 	}
-	k.standing, k.closed = true, true
-	k.to.unsend(k)
+	k.standing, k.concluded = true, true
+	k.nextHop.removeOutstanding(k)
 	if !k.isTandem {
-		c.answered(k.to, e.Took)
-	} else if to := c.far[k.dest]; to != nil {
-		to.carried(k.to)
-		c.carriedShare += (1 - c.carriedShare) / oddsOver
+		c.recordAnswer(k.nextHop, e.Took)
+	} else if to := c.neighbours[k.dest]; to != nil {
+		to.promoteTandem(k.nextHop)
+		c.tandemSuccess += (1 - c.tandemSuccess) / tandemSuccessWindow
 	}
 }
 
-func (c *Controller) onEnded(e AttemptEnded) {
-	c.takeReport(e.Exchange, e.Report)
+func (c *Controller) onAttemptEnded(e AttemptEnded) {
+	c.applyReport(e.Exchange, e.Report)
 	k := c.calls[e.Call]
-	if k == nil || k.to == nil || k.attempts != e.Attempt+1 {
+	if k == nil || k.nextHop == nil || k.attempts != e.Attempt+1 {
 		return
 	}
-	to, stood := k.to, k.standing
-	c.unplace(k)
+	to, stood := k.nextHop, k.standing
+	c.releaseCircuits(k)
 	if e.Concluded {
-		k.closed = true
+		k.concluded = true
 	}
 	if !stood {
-		c.judge(to, k, e)
+		c.learnFromFailure(to, k, e)
 	}
-	if k.closed {
+	if k.concluded {
 		delete(c.calls, k.id)
-		c.serve()
+		c.serveQueue()
 		return
 	}
 	switch e.Outcome {
 	case TimedOut, Cut, Cancelled:
-		k.after = c.now + c.s.ReleaseGuard
+		k.notBefore = c.now + c.settings.ReleaseGuard
 	}
-	if mayHaveRun(e.Outcome) && k.ranAt == nil {
-		k.ranAt, k.ranSent = k.via, k.sentAt
+	if mayHaveRun(e.Outcome) && k.firstRunAt == nil {
+		k.firstRunAt, k.firstRunSent = k.processor, k.sentAt
 	}
-	c.goOn(k, e)
+	c.handleFailure(k, e)
 }
 
-// goOn decides what follows a failed attempt: another route where one can help, else an early answer.
-func (c *Controller) goOn(k *call, e AttemptEnded) {
+// handleFailure decides what follows a failed attempt: another route where one can help, otherwise an early
+// answer.
+func (c *Controller) handleFailure(k *call, e AttemptEnded) {
 	switch {
 	case e.Outcome == Busy && e.Cause == LinesBusy:
-		c.markBusy(k)
+		c.markNumberBusy(k)
 		c.refuse(k)
 	case k.transit:
 		c.refuse(k)
-	case e.Outcome == NotSent && e.Cause != NoCircuit: // the own processor is down, or the time is up
+	case e.Outcome == NotSent && e.Cause != NoCircuit: // the own processor is down, or the call's time is up
 		c.refuse(k)
-	case e.Outcome == Busy && !k.late(c.now, c.s.Classes[k.class].SetupTarget): // a fault: another may pass
+	case e.Outcome == Busy && !k.late(c.now, c.settings.Classes[k.class].SetupTarget):
+		// A signalling fault: another attempt may succeed.
 		c.route(k)
-	case !k.isTandem && !c.s.Pools && (e.Outcome != NotSent && e.Cause != NoCircuit):
-		c.refuse(k) // the far end itself is silent or full: every other route ends there too
+	case !k.isTandem && !c.settings.Pools && (e.Outcome != NotSent && e.Cause != NoCircuit):
+		c.refuse(k) // the destination does not respond or is full, and every other route ends there too
 	case k.isTandem && (e.Cause == TandemRejectedFull):
 		c.refuse(k)
 	default:
@@ -215,10 +279,11 @@
 	}
 }
 
-// ---- The ordinary path: bands, direct, then the pair's tandems.
+// ---- The ordinary path: hold-time bands, the direct route, then the pair's tandems.
 
-// holdBands sorts the classes into bands by hold: band i holds 2^i to 2^(i+1) times the shortest.
-func holdBands(classes []Class) (band []int, n int) {
+// holdTimeBands sorts the classes into bands by hold time: band i holds those of 2^i to 2^(i+1) times the
+// shortest. It returns the band of each class and the number of bands.
+func holdTimeBands(classes []Class) (band []int, n int) {
 	shortest, longest := time.Duration(math.MaxInt64), time.Duration(0)
 	for _, cl := range classes {
 		shortest, longest = min(shortest, cl.HoldTime), max(longest, cl.HoldTime)
@@ -230,34 +295,35 @@
 	return band, n
 }
 
-// octaves is log2 of a ratio of told holds. A ratio that rounding could have moved off a power of two
-// counts as that power, so that the count of bands does not hang on the last digit told.
+// octaves returns log2 of a ratio of configured hold times. A ratio that rounding could have moved off a
+// power of two counts as that power, so that the number of bands does not depend on the last digit
+// configured.
 func octaves(long, short time.Duration) float64 {
 	x := math.Log2(float64(long) / float64(short))
-	if r := math.Round(x); math.Abs(x-r) <= roundingOctaves {
+	if r := math.Round(x); math.Abs(x-r) <= holdTimeTolerance {
 		return r
 	}
 	return x
 }
 
-// countOffered keeps the popularity of the classes on a group.
+// countOffered updates the decayed count of calls offered to a neighbour, by class.
 func (c *Controller) countOffered(n *neighbour, class int) {
-	keep := decay(c.now-n.offeredAt, popularityHalfLife)
+	weight := decay(c.now-n.offeredAt, offeredHalfLife)
 	for i := range n.offered {
-		n.offered[i] *= keep
+		n.offered[i] *= weight
 	}
 	n.offered[class]++
-	n.calls++
+	n.callsOffered++
 	n.offeredAt = c.now
 }
 
-// shares splits a group's circuits over the bands by popularity times hold; without counts all are in the
-// first band, which every call may use.
-func (c *Controller) shares(n *neighbour) []float64 {
-	share, sum := make([]float64, c.bands), 0.0
-	for i, cl := range c.s.Classes {
+// bandShares divides a group's circuits among the bands in proportion to calls offered times hold time.
+// Before any call was offered, all circuits are in the first band, which every call may use.
+func (c *Controller) bandShares(n *neighbour) []float64 {
+	share, sum := make([]float64, c.bandCount), 0.0
+	for i, cl := range c.settings.Classes {
 		f := n.offered[i] * cl.HoldTime.Seconds()
-		share[c.band[i]] += f
+		share[c.classBand[i]] += f
 		sum += f
 	}
 	if sum == 0 {
@@ -269,227 +335,238 @@
 	return share
 }
 
-// bandRoom is how many circuits each band up to that of class has left, own band last.
-func (c *Controller) bandRoom(n *neighbour, class int) []float64 {
-	room := c.shares(n)[:c.band[class]+1]
-	for i := range room {
-		room[i] = max(0, room[i]-n.used[i])
+// bandCapacity returns the free capacity of each band up to that of the class; its own band is last.
+func (c *Controller) bandCapacity(n *neighbour, class int) []float64 {
+	capacity := c.bandShares(n)[:c.classBand[class]+1]
+	for i := range capacity {
+		capacity[i] = max(0, capacity[i]-n.bandUsed[i])
 	}
-	return room
+	return capacity
 }
 
-// fitsDirect tells whether a call may take circuits of its direct group: any call while there is plenty,
-// near a full group only those for which bands up to its own have room. A class in the last band may use
-// all that is free.
-func (c *Controller) fitsDirect(n *neighbour, k *call) bool {
+// fitsDirectGroup reports whether a call may take circuits of its direct group. While many are free, any call
+// may; near a full group, only calls for which the bands up to their own have capacity. A class in the last
+// band may use all free circuits.
+func (c *Controller) fitsDirectGroup(n *neighbour, k *call) bool {
 	if n.free < 0 {
-		return true // not told yet
+		return true // not reported yet
 	}
 	w := float64(k.width)
-	if n.free < w || c.minor(k) && !c.fitsTandem(n, k) {
+	if n.free < w || c.lowValue(k) && !c.fitsTransitLeg(n, k) {
 		return false
 	}
-	if c.bands == 1 || n.free >= float64(c.widest)+c.reserve(n) {
+	if c.bandCount == 1 || n.free >= float64(c.maxWidth)+c.reserve(n) {
 		return true
 	}
-	room := 0.0
-	for _, r := range c.bandRoom(n, k.class) {
-		room += r
+	capacity := 0.0
+	for _, r := range c.bandCapacity(n, k.class) {
+		capacity += r
 	}
-	return math.Min(room, n.free) >= w
+	return math.Min(capacity, n.free) >= w
 }
 
-// minor tells whether a call is worth so little that it stays off last circuits and tandems. Exception to the
-// design: acts on redials past their aim, near a full group only.
-func (c *Controller) minor(k *call) bool { return k.worth < minorShare*c.s.Classes[k.class].Value }
+// lowValue reports whether a call's value is so low that it gets none of the last circuits and no tandem.
+// Deviates from the design: this affects redials past their set-up target, near a full group only.
+func (c *Controller) lowValue(k *call) bool {
+	return k.value < lowValueShare*c.settings.Classes[k.class].Value
+}
 
-// reserve is the number of a group's last circuits that transit and tandem legs stay off: at least one.
+// reserve returns how many of a group's last circuits transit calls and tandem legs must leave free: at least
+// one.
 func (c *Controller) reserve(n *neighbour) float64 {
-	floor := float64(c.widest) + reserveRoot*math.Sqrt(max(0, n.size))
-	return max(1, math.Floor(min(floor, reservePart*n.size)))
+	floor := float64(c.maxWidth) + reserveRootFactor*math.Sqrt(max(0, n.size))
+	return max(1, math.Floor(min(floor, maxReserveShare*n.size)))
 }
 
-// fitsTandem tells whether a transit or tandem leg may take circuits of a group.
-func (c *Controller) fitsTandem(n *neighbour, k *call) bool {
+// fitsTransitLeg reports whether a transit call or a tandem leg may take circuits of a group.
+func (c *Controller) fitsTransitLeg(n *neighbour, k *call) bool {
 	return n.free >= float64(k.width)+c.reserve(n)
 }
 
-// route sends a call by its next route, or holds or refuses it.
+// route sends a call by its next route, queues it or refuses it.
 func (c *Controller) route(k *call) {
-	to := c.far[k.dest]
-	if to == nil || k.attempts >= c.s.MaxAttempts || !c.mayRepeat(k) || k.dest == c.s.OwnExchange {
+	to := c.neighbours[k.dest]
+	if to == nil || k.attempts >= c.settings.MaxAttempts || !c.mayRepeat(k) ||
+		k.dest == c.settings.OwnExchange {
 		c.refuse(k)
 		return
 	}
-	if k.after > c.now || c.queued(k, to) || !c.tryNow(k, to) {
-		c.hold(k)
+	if k.notBefore > c.now || c.queuedAhead(k, to) || !c.trySend(k, to) {
+		c.enqueue(k)
 	}
 }
 
-// tryNow sends a call by the direct route or a tandem, or refuses it under pressure; false is neither.
-func (c *Controller) tryNow(k *call, to *neighbour) bool {
-	if c.usable(to) && c.mayGo(k, to.cur) {
-		if c.fitsDirect(to, k) {
-			if !c.lets(k, to) {
-				c.refuse(k) // every route ends at that processor
-			} else if !c.coldLets(to) {
+// trySend sends a call by the direct route or a tandem, or refuses it because of overload. It returns false
+// if it did neither.
+func (c *Controller) trySend(k *call, to *neighbour) bool {
+	if c.usable(to) && c.maySendTo(k, to.processor) {
+		if c.fitsDirectGroup(to, k) {
+			if !c.admits(k, to) {
+				c.refuse(k) // every route ends at the same processor
+			} else if !c.slowStartAllows(to) {
 				return false
 			} else {
-				c.place(k, to, false)
+				c.send(k, to, false)
 			}
 			return true
 		}
-	} else if !c.s.Pools {
-		return false // no processor there to end at
+	} else if !c.settings.Pools {
+		return false // the destination has no processor that may take the call, by any route
 	}
 	t := c.chooseTandem(k, to)
 	if t != nil {
-		c.place(k, t, true)
+		c.send(k, t, true)
 	}
 	return t != nil
 }
 
-// chooseTandem picks the tandem to try next: the first in order that can be tried. Exceptions to the design:
-// a call that its pair's tandem turned back, or that none in order takes, goes over the one a centre advises;
-// and while most tandem attempts are turned back, overflow of a group goes only in calm over one that did not
-// carry the last such call: the work of these attempts feeds jams. Harms where room lies behind untried ways.
-// A pair without a group is planned over a tandem, so its calls bear more wait than overflow does.
+// chooseTandem returns the tandem to try next, or nil: the first in order that can be tried. Deviates from
+// the design in two ways. A call that its pair's tandem rejected, or that no tandem in order takes, goes over
+// the advised tandem. And while most tandem attempts fail, overflow of a group takes a tandem that did not
+// carry the last such call only when no wait is expected, because the work of these attempts feeds
+// congestion; this costs calls where an untried tandem has free capacity. A pair without a direct group
+// relies on tandems, so its calls accept a longer wait than overflow does.
 func (c *Controller) chooseTandem(k *call, to *neighbour) *neighbour {
-	most := easyShare
+	maxShare := unloadedShare
 	if to.size <= 0 {
-		most = planShare
+		maxShare = plannedTandemShare
 	}
-	if c.minor(k) || len(k.tandems) >= maxTandems || !c.s.Pools && c.bound(to, most) {
+	if c.lowValue(k) || len(k.triedTandems) >= maxTandems || !c.settings.Pools && c.coldOrSlow(to, maxShare) {
 		return nil
 	}
-	anyWay := to.size <= 0 || c.carriedShare >= goodOdds
-	list, calm := c.tandems(to), anyWay || c.s.Pools || !c.bound(to, guessShare)
+	anyTandem := to.size <= 0 || c.tandemSuccess >= minTandemSuccess
+	list, unloaded := c.tandemsTo(to), anyTandem || c.settings.Pools || !c.coldOrSlow(to, unprovenTandemShare)
 	var advised *neighbour
-	if i := to.tandem(k.advised); i >= 0 && c.takesTandem(k, list[i].via, most) {
+	if i := to.tandemIndex(k.advisedTandem); i >= 0 && c.tandemUsable(k, list[i].via, maxShare) {
 		advised = list[i].via
 	}
-	if advised != nil && len(k.tandems) > 0 {
+	if advised != nil && len(k.triedTandems) > 0 {
 		return advised
 	}
 	for _, t := range list {
-		share := most
-		if !t.carried && !anyWay {
-			share = guessShare
+		share := maxShare
+		if !t.lastSucceeded && !anyTandem {
+			share = unprovenTandemShare
 		}
-		passed := t.until > c.now && t.untilCall > to.calls
-		if !passed && (t.carried || calm) && c.takesTandem(k, t.via, share) {
+		skipped := t.skipUntil > c.now && t.skipUntilCall > to.callsOffered
+		if !skipped && (t.lastSucceeded || unloaded) && c.tandemUsable(k, t.via, share) {
 			return t.via
 		}
 	}
 	return advised
 }
 
-// tandems lists the second choices of calls to an exchange: in the order hashed from the pair, but one that
-// carried a call goes to the front. Exception to the design: where few tandems have room on their second leg,
-// which only an attempt shows, the one that had it is the best guess.
-func (c *Controller) tandems(to *neighbour) []*tandem {
+// tandemsTo returns the tandems for calls to an exchange, in an order hashed from the pair; one that carried
+// a call has moved to the front. Deviates from the design: where few tandems have free capacity on their
+// second leg, which only an attempt shows, the one that had it last is the best estimate.
+func (c *Controller) tandemsTo(to *neighbour) []*tandem {
 	if to.tandems == nil {
-		for _, n := range c.order {
-			if n != to && n.number != c.s.OwnExchange {
+		for _, n := range c.byNumber {
+			if n != to && n.number != c.settings.OwnExchange {
 				to.tandems = append(to.tandems, &tandem{via: n})
 			}
 		}
 		rank := func(t *tandem) uint64 {
-			return mix(uint64(c.s.OwnExchange+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
+			return mix(uint64(c.settings.OwnExchange+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
 		}
 		slices.SortFunc(to.tandems, func(a, b *tandem) int { return cmp.Compare(rank(a), rank(b)) })
 	}
 	return to.tandems
 }
 
-// takesTandem tells whether a tandem can be tried: it works, is not starting or pressed, and the leg keeps
-// its reserve.
-func (c *Controller) takesTandem(k *call, t *neighbour, share float64) bool {
-	return (!c.s.Pools || c.skilled(k.class, t.number)) && c.usable(t) && c.fitsTandem(t, k) &&
-		c.mayGo(k, t.cur) && !slices.Contains(k.tandems, t) && !c.bound(t, share)
+// tandemUsable reports whether a tandem can be tried: it is usable, neither cold nor overloaded, and the leg
+// to it keeps its reserve.
+func (c *Controller) tandemUsable(k *call, t *neighbour, share float64) bool {
+	return (!c.settings.Pools || c.poolServesClass(k.class, t.number)) && c.usable(t) &&
+		c.fitsTransitLeg(t, k) && c.maySendTo(k, t.processor) && !slices.Contains(k.triedTandems, t) &&
+		!c.coldOrSlow(t, share)
 }
 
-// place sends a call; the time-out of a tandem attempt leaves room for another route.
-func (c *Controller) place(k *call, to *neighbour, tandem bool) {
-	k.to, k.via, k.isTandem, k.sentAt = to, to.cur, tandem, c.now
+// send sends a call to a neighbour. The time-out of a tandem attempt leaves time for another route.
+func (c *Controller) send(k *call, to *neighbour, tandem bool) {
+	k.nextHop, k.processor, k.isTandem, k.sentAt = to, to.processor, tandem, c.now
 	k.attempts++
 	var timeout time.Duration
 	if tandem {
-		k.tandems = append(k.tandems, to)
-		timeout = min(k.deadline-c.now, time.Duration(tandemWait*float64(c.s.Classes[k.class].SetupTarget)))
-	} else if c.s.ResendAfter == 0 { // a set-up lost on the way stays lost: waiting on cannot help
-		timeout = min(k.deadline-c.now, time.Duration(directWait*float64(c.s.Classes[k.class].SetupTarget)))
-	}
-	c.fill(to, k)
-	to.sent = append(to.sent, k)
-	to.sets, to.setAt = to.sets*decay(c.now-to.setAt, rateHalfLife)+1, c.now
-	c.out = append(c.out, SetUp{Call: k.id, Exchange: to.cur.id, Timeout: timeout})
+		k.triedTandems = append(k.triedTandems, to)
+		timeout = min(k.deadline-c.now,
+			time.Duration(tandemTimeout*float64(c.settings.Classes[k.class].SetupTarget)))
+	} else if c.settings.ResendAfter == 0 { // a lost set-up stays lost: waiting longer cannot help
+		timeout = min(k.deadline-c.now,
+			time.Duration(directTimeout*float64(c.settings.Classes[k.class].SetupTarget)))
+	}
+	c.bookCircuits(to, k)
+	to.outstanding = append(to.outstanding, k)
+	to.recentSetups, to.recentSetupsAt =
+		to.recentSetups*decay(c.now-to.recentSetupsAt, setupRateHalfLife)+1, c.now
+	c.actions = append(c.actions, SetUp{Call: k.id, Exchange: to.processor.id, Timeout: timeout})
 }
 
-// fill books a call's circuits on its group: own band first, then shorter ones, the rest on its own.
-func (c *Controller) fill(n *neighbour, k *call) {
+// bookCircuits assigns a call's circuits to bands of its group: its own band first, then shorter ones, the
+// rest to its own.
+func (c *Controller) bookCircuits(n *neighbour, k *call) {
 	w := float64(k.width)
-	k.inBand = make([]float64, c.bands)
-	room := c.bandRoom(n, k.class)
-	for i := len(room) - 1; i >= 0 && w > 0; i-- {
-		take := min(w, math.Floor(room[i]))
-		k.inBand[i] += take
+	k.bandCircuits = make([]float64, c.bandCount)
+	capacity := c.bandCapacity(n, k.class)
+	for i := len(capacity) - 1; i >= 0 && w > 0; i-- {
+		take := min(w, math.Floor(capacity[i]))
+		k.bandCircuits[i] += take
 		w -= take
 	}
-	k.inBand[c.band[k.class]] += w
-	for i := range k.inBand {
-		n.used[i] += k.inBand[i]
+	k.bandCircuits[c.classBand[k.class]] += w
+	for i := range k.bandCircuits {
+		n.bandUsed[i] += k.bandCircuits[i]
 	}
 	if n.free >= 0 {
 		n.free = max(0, n.free-float64(k.width))
 	}
 }
 
-// passOn sends a call in transit to its destination at once, or turns it back.
-func (c *Controller) passOn(k *call) {
-	to := c.far[k.dest]
-	if to == nil || k.dest == c.s.OwnExchange || !c.usable(to) || !c.fitsTandem(to, k) || !c.lets(k, to) ||
-		!c.coldLets(to) {
+// sendTransit sends a transit call to its destination at once, or rejects it.
+func (c *Controller) sendTransit(k *call) {
+	to := c.neighbours[k.dest]
+	if to == nil || k.dest == c.settings.OwnExchange || !c.usable(to) || !c.fitsTransitLeg(to, k) ||
+		!c.admits(k, to) || !c.slowStartAllows(to) {
 		c.refuse(k)
 		return
 	}
-	c.place(k, to, false)
+	c.send(k, to, false)
 }
 
-// deliver hands a call that ends here to the own processor, which no group leads to. It is tried once; what
-// came over a group was counted against a cold processor's budget where it was sent.
+// deliver sends a call for the own exchange to the own processor, which is reached without a trunk group. It
+// is tried once. A transit call was already counted against the slow-start limit by its sender.
 func (c *Controller) deliver(k *call) {
-	own := c.far[k.dest]
-	if own == nil || own.cur == nil || !k.transit && !c.coldLets(own) {
+	own := c.neighbours[k.dest]
+	if own == nil || own.processor == nil || !k.transit && !c.slowStartAllows(own) {
 		c.refuse(k)
 		return
 	}
-	c.place(k, own, false)
+	c.send(k, own, false)
 }
 
-// ---- Held calls. Exception to the design: a call that no route takes waits for a circuit or its turn at a
-// gate while it can still stand within its aim. Held calls go worthier first.
+// ---- Wait queue. Deviates from the design: a call that no route takes waits for a circuit or for the
+// slow-start limit while it can still be set up within its target. The most valuable call is sent first.
 
-// hold keeps a call until its latest useful time, or refuses it.
-func (c *Controller) hold(k *call) {
-	if c.now >= c.latest(k) || c.far[k.dest] == nil {
+// enqueue puts a call into the wait queue, or refuses it if it is past its queue deadline.
+func (c *Controller) enqueue(k *call) {
+	if c.now >= c.queueDeadline(k) || c.neighbours[k.dest] == nil {
 		c.refuse(k)
 		return
 	}
-	if !k.held {
-		k.held = true
-		i, _ := slices.BinarySearchFunc(c.waiting, k, c.before)
-		c.waiting = slices.Insert(c.waiting, i, k)
+	if !k.queued {
+		k.queued = true
+		i, _ := slices.BinarySearchFunc(c.waitQueue, k, c.compareQueued)
+		c.waitQueue = slices.Insert(c.waitQueue, i, k)
 	}
-	if !c.ticking {
-		c.ticking = true
-		c.out = append(c.out, Timer{After: tick, Token: tokenTick})
+	if !c.tickPending {
+		c.tickPending = true
+		c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTick})
 	}
 }
 
-// before orders held calls: worth per circuit and time, then wider, then older.
-func (c *Controller) before(a, b *call) int {
-	if da, db := c.density(a), c.density(b); da != db {
+// compareQueued orders queued calls: by value per circuit and second, then wider first, then older first.
+func (c *Controller) compareQueued(a, b *call) int {
+	if da, db := c.valueDensity(a), c.valueDensity(b); da != db {
 		return sign(db - da)
 	}
 	if a.width != b.width {
@@ -501,308 +578,322 @@
 	return int(a.id) - int(b.id)
 }
 
-// density is a call's worth for each circuit and second.
-func (c *Controller) density(k *call) float64 {
-	return k.worth / (float64(k.width) * c.s.Classes[k.class].HoldTime.Seconds())
+// valueDensity returns a call's value per circuit and second of hold time.
+func (c *Controller) valueDensity(k *call) float64 {
+	return k.value / (float64(k.width) * c.settings.Classes[k.class].HoldTime.Seconds())
 }
 
-// latest is the last moment at which sending a held call still makes sense.
-func (c *Controller) latest(k *call) time.Duration {
-	aim := c.s.Classes[k.class].SetupTarget
-	at := k.arrived + time.Duration(holdShare*float64(aim)) - c.far[k.dest].quickest
+// queueDeadline returns the last time at which sending a queued call is still useful.
+func (c *Controller) queueDeadline(k *call) time.Duration {
+	target := c.settings.Classes[k.class].SetupTarget
+	at := k.arrived + time.Duration(queueTimeShare*float64(target)) - c.neighbours[k.dest].minSetup
 	if k.attempts > 0 {
-		at = max(at, k.after+2*tick)
+		at = max(at, k.notBefore+2*queueInterval)
 	}
-	return min(at, k.deadline-lastAnswer)
+	return min(at, k.deadline-answerMargin)
 }
 
-// queued tells whether an equal or worthier call waits for the same group.
-func (c *Controller) queued(k *call, to *neighbour) bool {
-	for _, w := range c.waiting {
-		if w != k && w.dest == to.number && w.after <= c.now && c.before(w, k) < 0 {
+// queuedAhead reports whether a call that goes first is queued for the same group.
+func (c *Controller) queuedAhead(k *call, to *neighbour) bool {
+	for _, w := range c.waitQueue {
+		if w != k && w.dest == to.number && w.notBefore <= c.now && c.compareQueued(w, k) < 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// serve goes through the held calls: sends what can go, refuses what has no time left.
-func (c *Controller) serve() {
-	if len(c.waiting) == 0 {
+// serveQueue sends the queued calls that can go and refuses those past their deadline.
+func (c *Controller) serveQueue() {
+	if len(c.waitQueue) == 0 {
 		return
 	}
-	list := slices.Clone(c.waiting)
-	passed := map[int]bool{}
+	list := slices.Clone(c.waitQueue)
+	blocked := map[int]bool{}
 	for _, k := range list {
-		to := c.far[k.dest]
-		if k.after <= c.now && !passed[k.dest] {
-			if c.tryNow(k, to) {
-				if k.held {
-					c.unhold(k)
+		to := c.neighbours[k.dest]
+		if k.notBefore <= c.now && !blocked[k.dest] {
+			if c.trySend(k, to) {
+				if k.queued {
+					c.dequeue(k)
 				}
 				continue
 			}
-			passed[k.dest] = true
+			blocked[k.dest] = true
 		}
-		if c.now >= c.latest(k) {
+		if c.now >= c.queueDeadline(k) {
 			c.refuse(k)
 		}
 	}
 }
 
-// ---- Guard: the list. Nothing new goes to an exchange from the moment it is told to drain or be gone,
-// held calls included. Guards calls from being cut when it stops; harms if the list is wrong.
+// ---- Guard: exchange list. From the moment an exchange is listed as draining or removed it gets no new
+// set-up, not even of a queued call. This keeps calls from being cut when it stops; the cost is refused calls
+// if the list is wrong.
 
-func (c *Controller) onList(e ListUpdate) {
+func (c *Controller) onListUpdate(e ListUpdate) {
 	if e.Kind == ListFailed {
-		c.asks++
-		wait := min(time.Second<<min(c.asks-1, 4), max(c.s.MaxSubscribeInterval/2, time.Second))
-		c.out = append(c.out, Timer{After: wait/2 + c.jitter(wait/2), Token: tokenAsk})
+		c.subscribeFailures++
+		wait := min(time.Second<<min(c.subscribeFailures-1, 4),
+			max(c.settings.MaxSubscribeInterval/2, time.Second))
+		c.actions = append(c.actions, Timer{After: wait/2 + c.jitter(wait/2), Token: tokenSubscribe})
 		return
 	}
-	if e.Kind == ListCached && c.s.Subscribe {
-		c.out = append(c.out, Subscribe{})
+	if e.Kind == ListCached && c.settings.Subscribe {
+		c.actions = append(c.actions, Subscribe{})
 	} else {
-		c.asks = 0
+		c.subscribeFailures = 0
 	}
 	if e.Kind != ListChanges {
-		for _, x := range c.listed {
+		for _, x := range c.processors {
 			x.phase = Removed
 		}
 	}
 	for _, n := range e.Entries {
-		x := c.listed[n.Exchange]
+		x := c.processors[n.Exchange]
 		if x == nil {
-			x = &exchange{id: n.Exchange}
-			c.listed[n.Exchange] = x
+			x = &processor{id: n.Exchange}
+			c.processors[n.Exchange] = x
 		}
 		x.number, x.zone, x.phase, x.started = n.Number, n.Zone, n.Phase, n.Started
-		c.neighbour(n.Number)
+		c.neighbourFor(n.Number)
 	}
 	c.chooseProcessors()
-	c.serve()
+	c.serveQueue()
 }
 
-// chooseProcessors picks, for each number, the ready processor that started last.
+// chooseProcessors selects, for each number, the ready processor that started last.
 func (c *Controller) chooseProcessors() {
-	ids := make([]ExchangeID, 0, len(c.listed))
-	for id := range c.listed {
+	ids := make([]ExchangeID, 0, len(c.processors))
+	for id := range c.processors {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	best := map[int]*exchange{}
+	best := map[int]*processor{}
 	for _, id := range ids {
-		x := c.listed[id]
+		x := c.processors[id]
 		if x.phase == Removed {
-			delete(c.listed, id) // or the list of the dead grows for ever
+			delete(c.processors, id) // otherwise removed processors accumulate
 		}
 		if b := best[x.number]; x.phase == Ready && (b == nil || x.started > b.started) {
 			best[x.number] = x
 		}
 	}
-	for _, n := range c.order {
-		if b := best[n.number]; b != n.cur {
-			n.cur, n.load = b, load{}
-			n.part = bucket{float64(c.jitter(time.Second)) / float64(time.Second), c.now}
+	for _, n := range c.byNumber {
+		if b := best[n.number]; b != n.processor {
+			n.processor, n.estimate = b, waitEstimate{}
+			n.coldBudget = tokenBucket{float64(c.jitter(time.Second)) / float64(time.Second), c.now}
 		}
 	}
 }
 
-// usable tells whether set-ups may go to a neighbour at all.
+// usable reports whether set-ups may be sent to a neighbour at all.
 func (c *Controller) usable(n *neighbour) bool {
-	return n.cur != nil && n.cur.phase == Ready && n.number != c.s.OwnExchange
+	return n.processor != nil && n.processor.phase == Ready && n.number != c.settings.OwnExchange
 }
 
-// ---- Guard: cold starts. A processor that just started gets from each proxy the proxy's usual rate, times
-// the part of its work it can do at its age, times a part of the rule's multiple. The usual rates together
-// fit a warm processor, so these fit the rule's budget together, whoever has more traffic. Pressure spares
-// a slow start its jam. Harms where usual rates are not yet known: then the group's size speaks for them.
+// ---- Guard: slow start. Each proxy sends a processor that has just started its usual rate, times the
+// processor's capacity at its age, times a share of the overload multiple. The usual rates of all proxies
+// together fit a warm processor, so these rates together stay below the overload multiple, however traffic is
+// distributed; the overload guard covers a start that is slower still. The cost is lost capacity where usual
+// rates are not known yet: they are then derived from the size of the group.
 
-// cold tells whether a processor is still starting.
-func (c *Controller) cold(x *exchange) bool {
-	return x != nil && x.started > 0 && c.now < x.started+c.s.ColdDuration
+// cold reports whether a processor is within ColdDuration of its start.
+func (c *Controller) cold(x *processor) bool {
+	return x != nil && x.started > 0 && c.now < x.started+c.settings.ColdDuration
 }
 
-// coldRate is the set-ups a second that a starting processor may be sent from here.
-func (c *Controller) coldRate(x *exchange, usual float64) float64 {
-	age := float64(c.now-x.started) / float64(c.s.ColdDuration)
-	return usual * max(1, coldPart*c.s.OverloadMultiple) *
-		(c.s.ColdCapacity + (1-c.s.ColdCapacity)*max(0, age))
+// slowStartRate returns the set-ups per second that this proxy may send to a cold processor.
+func (c *Controller) slowStartRate(x *processor, usual float64) float64 {
+	age := float64(c.now-x.started) / float64(c.settings.ColdDuration)
+	return usual * max(1, slowStartShare*c.settings.OverloadMultiple) *
+		(c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*max(0, age))
 }
 
-// coldLets takes a set-up from a starting processor's part; others are not asked. The part starts at a random
-// fill under one set-up, or all proxies together would send one at once.
-func (c *Controller) coldLets(n *neighbour) bool {
-	if !c.cold(n.cur) {
+// slowStartAllows takes one set-up from a cold processor's budget and reports whether there was one; warm
+// processors have no limit. The budget starts at a random level below one set-up, otherwise all proxies would
+// send their first set-up at the same time.
+func (c *Controller) slowStartAllows(n *neighbour) bool {
+	if !c.cold(n.processor) {
 		return true
 	}
-	rate := c.coldRate(n.cur, c.usual(n))
-	return n.part.take(c.now, rate, 1+min(1, rate))
+	rate := c.slowStartRate(n.processor, c.usualRate(n))
+	return n.coldBudget.take(c.now, rate, 1+min(1, rate))
 }
 
-// usual is the rate of set-ups to a neighbour in quiet times: as seen, or as its group's size suggests.
-func (c *Controller) usual(n *neighbour) float64 {
-	plan := max(1, n.size) / (2 * c.s.Classes[0].HoldTime.Seconds() * float64(c.s.Classes[0].Width))
-	rate := n.sets * decay(c.now-n.setAt, rateHalfLife) * math.Ln2 / rateHalfLife.Seconds()
+// usualRate returns the set-up rate to a neighbour without overload, per second: as observed, within limits
+// derived from the size of its group.
+func (c *Controller) usualRate(n *neighbour) float64 {
+	plan := max(1, n.size) /
+		(2 * c.settings.Classes[0].HoldTime.Seconds() * float64(c.settings.Classes[0].Width))
+	rate := n.recentSetups * decay(c.now-n.recentSetupsAt, setupRateHalfLife) * math.Ln2 /
+		setupRateHalfLife.Seconds()
 	return max(min(rate, 2*plan), plan/2)
 }
 
-// ---- Guard: pressure. What a set-up takes longer than the quickest one did is wait at the processors on the
-// way. The longer the wait expected, the more calls are refused early, less worthy ones first; beyond that
-// only spaced trials go. Catches slow, hung, crashed, cut-off and jammed processors alike, the own one too,
-// with or without load reports. Harms when a slow answer was chance: some calls are refused until the next.
-
-// wait is what is believed of a far end: what its last answers showed, and the longer ago they came the more
-// what most answers showed lately. The common part is the own processor's wait, or that of a jam of all.
-func (c *Controller) wait(l *load) float64 {
-	keep := decay(c.now-l.at, waitHalfLife)
-	return keep*l.wait + (1-keep)*c.common
+// ---- Guard: overload. The time that a set-up takes beyond the fastest one counts as wait at the processors
+// on its path. The longer the expected wait, the more calls are refused early, the least valuable first;
+// beyond that, only spaced probe calls are sent. This covers slow, hung, crashed, disconnected and congested
+// processors alike, including the own one, with or without load reports. The cost: after an answer that was
+// slow by chance some calls are refused until the next answer.
+
+// estimatedWait returns the estimated wait on the path to a neighbour, in seconds: the wait that its last
+// answers showed, with a weight that decays towards the common wait. The common wait is that of the own
+// processor, or of congestion everywhere.
+func (c *Controller) estimatedWait(l *waitEstimate) float64 {
+	weight := decay(c.now-l.updatedAt, waitHalfLife)
+	return weight*l.wait + (1-weight)*c.commonWait
 }
 
-// learn takes in the wait that an answer showed.
-func (c *Controller) learn(l *load, wait float64) {
-	l.wait, l.at = newest*wait+(1-newest)*c.wait(l), c.now
-	c.sights[c.seen%len(c.sights)] = sight{wait, c.now}
-	c.seen++
+// recordWait adds the wait that an answer showed, in seconds.
+func (c *Controller) recordWait(l *waitEstimate, wait float64) {
+	l.wait, l.updatedAt = newestWeight*wait+(1-newestWeight)*c.estimatedWait(l), c.now
+	c.samples[c.sampleCount%len(c.samples)] = waitSample{wait, c.now}
+	c.sampleCount++
 }
 
-// atLeast raises the belief.
-func (c *Controller) atLeast(l *load, wait float64) {
-	l.wait, l.at = max(wait, c.wait(l)), c.now
+// raiseWait raises the estimated wait to at least wait seconds.
+func (c *Controller) raiseWait(l *waitEstimate, wait float64) {
+	l.wait, l.updatedAt = max(wait, c.estimatedWait(l)), c.now
 }
 
-// medianSight is the median of the newest waits from all far ends: high where the own processor or all are
-// jammed, low where some far ends are.
-func (c *Controller) medianSight() float64 {
-	var buf [sightCount]float64
-	lately := buf[:0]
-	for _, s := range c.sights {
-		if s.at > 0 && c.now-s.at < sightFor {
-			lately = append(lately, s.wait)
+// medianWait returns the median of the recent wait samples from all neighbours, in seconds, or 0 if there are
+// too few. It is high if the own processor or all others are congested, low if only some are.
+func (c *Controller) medianWait() float64 {
+	var buf [maxSamples]float64
+	recent := buf[:0]
+	for _, s := range c.samples {
+		if s.at > 0 && c.now-s.at < sampleLifetime {
+			recent = append(recent, s.wait)
 		}
 	}
-	if len(lately) < sightLeast {
+	if len(recent) < minSamples {
 		return 0
 	}
-	slices.Sort(lately)
-	return lately[len(lately)/2]
+	slices.Sort(recent)
+	return recent[len(recent)/2]
 }
 
-// expected is the time a set-up to a neighbour would take now, in seconds: as believed, at least as long as
-// the oldest one out has waited, and more for each further one out: all senders may find a far end free
-// together and jam it before its first answer. Set-ups that a later one's answer overtook do not wait: lost.
-func (c *Controller) expected(n *neighbour) float64 {
-	wait := c.wait(&n.load)
+// expectedSetup returns the time in seconds that a set-up sent to a neighbour now would take: the estimated
+// wait, at least the time that the oldest outstanding set-up has waited, and more for each further
+// outstanding one, since all senders may see a neighbour as free at once and overload it before its first
+// answer. Set-ups sent before an answered one do not count: they are lost.
+func (c *Controller) expectedSetup(n *neighbour) float64 {
+	wait := c.estimatedWait(&n.estimate)
 	waiting := 0
-	for _, k := range n.sent {
-		if k.sentAt >= n.overtook {
-			wait = max(wait, (c.now - k.sentAt - n.quickest).Seconds())
+	for _, k := range n.outstanding {
+		if k.sentAt >= n.lastAnsweredSent {
+			wait = max(wait, (c.now - k.sentAt - n.minSetup).Seconds())
 			waiting++
 		}
 	}
-	// Where hundreds are sent a second, several are out at any time without any wait.
-	each := min(outAdds*c.minAim.Seconds(), 1/c.usual(n))
-	return n.quickest.Seconds() + wait + each*float64(max(0, waiting-1))
+	// At hundreds of set-ups per second, several are outstanding at any time without any wait.
+	each := min(outstandingCost*c.minTarget.Seconds(), 1/c.usualRate(n))
+	return n.minSetup.Seconds() + wait + each*float64(max(0, waiting-1))
 }
 
-// pressed tells how hard a route presses: 0 is not at all, at 1 and above only trials go.
-func (c *Controller) pressed(n *neighbour, aim time.Duration, worth float64) float64 {
-	x := c.expected(n)/aim.Seconds() - easyShare
-	if c.meanWorth > 0 {
-		worth /= c.meanWorth
+// overload returns how overloaded a route is for a call of this target and value: 0 or less is not at all,
+// from 1 on only probe calls are sent.
+func (c *Controller) overload(n *neighbour, target time.Duration, value float64) float64 {
+	x := c.expectedSetup(n)/target.Seconds() - unloadedShare
+	if c.meanValue > 0 {
+		value /= c.meanValue
 	}
-	return x / (pressRange * min(worthiest, max(leastRange, worth)))
+	return x / (overloadRange * min(maxValueFactor, max(minValueFactor, value)))
 }
 
-// bound tells whether a neighbour's processor is starting or expected to take over a share of an aim.
-func (c *Controller) bound(n *neighbour, share float64) bool {
-	return c.cold(n.cur) || c.expected(n) > share*c.minAim.Seconds()
+// coldOrSlow reports whether a neighbour's processor is cold or its expected set-up time exceeds a share of
+// the shortest set-up target.
+func (c *Controller) coldOrSlow(n *neighbour, share float64) bool {
+	return c.cold(n.processor) || c.expectedSetup(n) > share*c.minTarget.Seconds()
 }
 
-// lets decides whether pressure lets a call through to its destination.
-func (c *Controller) lets(k *call, to *neighbour) bool {
-	p := c.pressed(to, c.s.Classes[k.class].SetupTarget, k.worth)
+// admits decides whether overload control lets a call through to its destination, normally or as a probe
+// call.
+func (c *Controller) admits(k *call, to *neighbour) bool {
+	p := c.overload(to, c.settings.Classes[k.class].SetupTarget, k.value)
 	if p <= 0 || p < 1 && float64(c.jitter(time.Second)) >= p*float64(time.Second) {
 		return true
 	}
-	if c.minor(k) || c.now < max(to.load.trialAt, c.trialAt) {
+	if c.lowValue(k) || c.now < max(to.estimate.nextProbe, c.nextProbe) {
 		return false
 	}
-	to.load.trialAt = c.now + trialGap<<min(to.load.fails, trialDoubles)
-	c.trialAt = c.now + trialAny<<min(c.fails, trialDoubles)
+	to.estimate.nextProbe = c.now + probeInterval<<min(to.estimate.failures, maxProbeDoublings)
+	c.nextProbe = c.now + globalProbeInterval<<min(c.failures, maxProbeDoublings)
 	return true
 }
 
-// answered learns from a set-up that stood.
-func (c *Controller) answered(n *neighbour, took time.Duration) {
-	if n.quickest == 0 { // a proxy that starts in a jam must not take its first slow answer for normal
-		n.quickest = min(took, time.Duration(easyShare*float64(c.minAim)))
+// recordAnswer updates the estimate of a neighbour after a set-up succeeded.
+func (c *Controller) recordAnswer(n *neighbour, took time.Duration) {
+	if n.minSetup == 0 { // a proxy that starts during congestion must not take a slow answer as normal
+		n.minSetup = min(took, time.Duration(unloadedShare*float64(c.minTarget)))
 	}
-	n.quickest, n.overtook = min(n.quickest, took), max(n.overtook, c.now-took)
-	c.learn(&n.load, (took - n.quickest).Seconds())
-	if took > c.minAim {
-		c.failed(n)
+	n.minSetup, n.lastAnsweredSent = min(n.minSetup, took), max(n.lastAnsweredSent, c.now-took)
+	c.recordWait(&n.estimate, (took - n.minSetup).Seconds())
+	if took > c.minTarget {
+		c.recordFailure(n)
 		return
 	}
-	if n.load.fails >= noteFails {
-		c.note("exchange %d answers again", n.number)
+	if n.estimate.failures >= loggedFailures {
+		c.logLine("exchange %d answers again", n.number)
 	}
-	n.load.fails, c.fails = 0, 0
+	n.estimate.failures, c.failures = 0, 0
 }
 
-// note writes a line for on-call staff; there are not many of them.
-func (c *Controller) note(format string, number int) {
-	if c.notes++; c.notes <= maxNotes {
-		c.out = append(c.out, LogLine{fmt.Sprintf(format, number)})
+// logLine writes a line for the operators' log, up to maxLogLines.
+func (c *Controller) logLine(format string, number int) {
+	if c.logLines++; c.logLines <= maxLogLines {
+		c.actions = append(c.actions, LogLine{fmt.Sprintf(format, number)})
 	}
 }
 
-// failed counts an answer that came late or never, which spaces the trials out: in a deep jam, at the own
-// processor too, the trials themselves are what keeps it up.
-func (c *Controller) failed(n *neighbour) {
-	n.load.fails, c.fails = n.load.fails+1, c.fails+1
-	if n.load.fails == noteFails {
-		c.note("exchange %d answers late or not at all, trials only", n.number)
+// recordFailure counts an answer that came late or never. Each one lengthens the pause between probe calls:
+// in heavy congestion, at the own processor too, the probe calls themselves keep it going.
+func (c *Controller) recordFailure(n *neighbour) {
+	n.estimate.failures, c.failures = n.estimate.failures+1, c.failures+1
+	if n.estimate.failures == loggedFailures {
+		c.logLine("exchange %d is late or does not answer; sending only probe calls", n.number)
 	}
 }
 
-// judge learns from an attempt that did not stand.
-func (c *Controller) judge(to *neighbour, k *call, e AttemptEnded) {
+// learnFromFailure updates the estimates after an attempt that failed.
+func (c *Controller) learnFromFailure(to *neighbour, k *call, e AttemptEnded) {
 	end := to
 	if k.isTandem {
-		if end = c.far[k.dest]; end == nil {
+		if end = c.neighbours[k.dest]; end == nil {
 			return
 		}
 	}
 	switch {
 	case e.Outcome == NotSent && e.Cause == NoCircuit:
-		to.free = 0 // also where no group was ever told: the pair may have none
+		to.free = 0 // also where no group was ever reported: the pair may have none
 	case e.Cause == TandemRejectedFull, e.Outcome == Rejected && e.Cause == ProcessorFull && !k.isTandem:
-		c.atLeast(&end.load, fullWait*c.minAim.Seconds())
+		c.raiseWait(&end.estimate, fullProcessorWait*c.minTarget.Seconds())
 	case e.Outcome == Rejected && e.Cause == ProcessorFull:
-		c.atLeast(&to.load, fullWait*c.minAim.Seconds())
+		c.raiseWait(&to.estimate, fullProcessorWait*c.minTarget.Seconds())
 	case k.isTandem && (e.Outcome == Rejected || e.Outcome == TimedOut):
-		end.passOver(to, c.now+turnedFor, end.calls+turnedCalls)
-		c.carriedShare -= c.carriedShare / oddsOver
-	case e.Outcome == TimedOut && !k.isTandem && k.sentAt < to.overtook:
-		// Its answer was lost: later set-ups were answered.
+		end.skipTandem(to, c.now+tandemSkipTime, end.callsOffered+tandemSkipCalls)
+		c.tandemSuccess -= c.tandemSuccess / tandemSuccessWindow
+	case e.Outcome == TimedOut && !k.isTandem && k.sentAt < to.lastAnsweredSent:
+		// The set-up or its answer was lost, since a later set-up was answered.
 	case e.Outcome == TimedOut, e.Outcome == Unreachable:
-		c.atLeast(&to.load, max(c.minAim, e.Took).Seconds())
-		c.failed(to)
+		c.raiseWait(&to.estimate, max(c.minTarget, e.Took).Seconds())
+		c.recordFailure(to)
 	}
 }
 
 func (c *Controller) onReport(e ReportReceived) {
-	c.takeReport(e.Exchange, e.Report)
-	c.serve()
+	c.applyReport(e.Exchange, e.Report)
+	c.serveQueue()
 }
 
-func (c *Controller) takeReport(id ExchangeID, r Report) {
-	x := c.listed[id]
+// applyReport takes the circuits of a group from a load report. The report's other fields are not used.
+func (c *Controller) applyReport(id ExchangeID, r Report) {
+	x := c.processors[id]
 	if x == nil {
 		return
 	}
-	if n := c.far[x.number]; n != nil && r.Free >= 0 {
+	if n := c.neighbours[x.number]; n != nil && r.Free >= 0 {
 		n.free = r.Free
 		if r.Size >= 0 {
 			n.size = r.Size
@@ -812,119 +903,125 @@
 
 // ---- Guard: repeats of calls that must not run twice.
 
-// mayRepeat tells whether a call may be sent again at all.
+// mayRepeat reports whether a call may be sent again at all.
 func (c *Controller) mayRepeat(k *call) bool {
-	return k.ranAt == nil || c.s.Classes[k.class].Repeat != RepeatUnsafe
+	return k.firstRunAt == nil || c.settings.Classes[k.class].Repeat != RepeatUnsafe
 }
 
-// mayGo tells whether a call may be sent to a processor, given where it may have run.
-func (c *Controller) mayGo(k *call, x *exchange) bool {
-	cl := &c.s.Classes[k.class]
-	if k.ranAt == nil || cl.Repeat == RepeatSafe {
+// maySendTo reports whether a call may be sent to a processor, given where it may have run before.
+func (c *Controller) maySendTo(k *call, x *processor) bool {
+	cl := &c.settings.Classes[k.class]
+	if k.firstRunAt == nil || cl.Repeat == RepeatSafe {
 		return true
 	}
-	if cl.Repeat == RepeatUnsafe || c.now >= k.ranSent+cl.KeyWindow {
+	if cl.Repeat == RepeatUnsafe || c.now >= k.firstRunSent+cl.KeyWindow {
 		return false
 	}
 	switch cl.KeyScope {
 	case ScopeZone:
-		return x.zone == k.ranAt.zone
+		return x.zone == k.firstRunAt.zone
 	case ScopeExchange:
-		return x.number == k.ranAt.number
+		return x.number == k.firstRunAt.number
 	}
 	return true
 }
 
-// mayRefuse tells whether 'refused' is a true answer: the call cannot have run, or its repeats are known.
+// mayRefuse reports whether a refusal would be true: the call cannot have run, or its repeats are discarded
+// everywhere.
 func (c *Controller) mayRefuse(k *call) bool {
-	cl := &c.s.Classes[k.class]
-	return k.ranAt == nil || cl.Repeat == RepeatSafe || cl.Repeat == RepeatKeyed && cl.KeyScope == ScopeAll
+	cl := &c.settings.Classes[k.class]
+	return k.firstRunAt == nil || cl.Repeat == RepeatSafe ||
+		cl.Repeat == RepeatKeyed && cl.KeyScope == ScopeAll
 }
 
-// refuse gives the final answer, with a spread-out advice to stay away.
+// refuse gives the final answer. Its retry-after time is randomised so that callers do not redial together.
 func (c *Controller) refuse(k *call) {
-	if k.held {
-		c.unhold(k)
+	if k.queued {
+		c.dequeue(k)
 	}
 	delete(c.calls, k.id)
-	c.remember(k)
+	c.rememberFirstTry(k)
 	if !c.mayRefuse(k) || c.now >= k.deadline {
-		c.out = append(c.out, Fail{k.id})
+		c.actions = append(c.actions, Fail{k.id})
 		return
 	}
-	var away time.Duration
-	if c.s.SendRetryAfter && !k.transit {
-		away = c.s.MaxRetryAfter - c.jitter(c.s.MaxRetryAfter/5)
+	var retryAfter time.Duration
+	if c.settings.SendRetryAfter && !k.transit {
+		retryAfter = c.settings.MaxRetryAfter - c.jitter(c.settings.MaxRetryAfter/5)
 	}
-	c.out = append(c.out, Refuse{k.id, away})
+	c.actions = append(c.actions, Refuse{k.id, retryAfter})
 }
 
-// markBusy is the guard against a rush on one number: all its lines are busy, and each further set-up to it
-// costs the processors on the way. Calls to it are refused at once for a while; then one may find a line.
-// Harms when a line frees at once: a call of that number waits longer.
-func (c *Controller) markBusy(k *call) {
-	if len(c.busy) >= triesKept {
-		clear(c.busy)
+// markNumberBusy guards against many calls to one number: all its lines are busy, and each further set-up
+// costs the processors on its path. Calls to it are refused at once for a while, then one may find a free
+// line. The cost: if a line becomes free at once, the next call to that number waits longer.
+func (c *Controller) markNumberBusy(k *call) {
+	if len(c.busyUntil) >= maxRemembered {
+		clear(c.busyUntil)
 	}
-	if k.number != 0 {
-		c.busy[k.number] = c.now + busyFor
+	if k.calledNumber != 0 {
+		c.busyUntil[k.calledNumber] = c.now + busyNumberTime
 	}
 }
 
-// remember keeps the time of the first try of a call that was turned away, for when its caller dials again.
-func (c *Controller) remember(k *call) {
-	if k.transit || k.number == 0 {
+// rememberFirstTry stores the time of the first try of a rejected call, for its caller's redials.
+func (c *Controller) rememberFirstTry(k *call) {
+	if k.transit || k.calledNumber == 0 {
 		return
 	}
-	if len(c.tries) >= triesKept {
-		clear(c.tries) // forgetting only makes redials look new
+	if len(c.firstTries) >= maxRemembered {
+		clear(c.firstTries) // the only effect is that redials count as new calls
 	}
-	c.tries[k.number] = k.first
+	c.firstTries[k.calledNumber] = k.firstTry
 }
 
-// close ends a call whose caller is gone or answered; an attempt that is out stays on the books.
-func (c *Controller) close(k *call) {
-	k.closed = true
-	if k.held {
-		c.unhold(k)
+// conclude ends a call that needs no answer any more; an outstanding attempt keeps its circuits until it
+// ends.
+func (c *Controller) conclude(k *call) {
+	k.concluded = true
+	if k.queued {
+		c.dequeue(k)
 	}
-	if k.to == nil {
+	if k.nextHop == nil {
 		delete(c.calls, k.id)
 	}
 }
 
-func (c *Controller) onTimer(token uint64) {
+func (c *Controller) onTimerExpired(token uint64) {
 	switch token {
-	case tokenAsk:
-		c.out = append(c.out, Subscribe{})
-	case tokenTick:
-		c.ticking = false
-		c.serve()
-		if len(c.waiting) > 0 {
-			c.ticking = true
-			c.out = append(c.out, Timer{After: tick, Token: tokenTick})
+	case tokenSubscribe:
+		c.actions = append(c.actions, Subscribe{})
+	case tokenQueueTick:
+		c.tickPending = false
+		c.serveQueue()
+		if len(c.waitQueue) > 0 {
+			c.tickPending = true
+			c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTick})
 		}
 	}
 }
 
-// shareWorth is the part of its class's worth that a call has: less beyond its tenant's share. One proxy sees
-// only its own part of a tenant's calls, taken as even over the proxies, so its word counts half.
-func (c *Controller) shareWorth(e Offer) float64 {
-	if e.Tenant < 0 || e.Tenant >= len(c.tenants) || c.s.Tenants[e.Tenant].Quota <= 0 || e.Transit {
+// quotaValue returns the share of its class's value that a call has: less beyond its tenant's quota. A proxy
+// sees only its own part of a tenant's calls, taken as an even share of all proxies, so a call over the quota
+// is reduced only half way to OverShareValue.
+func (c *Controller) quotaValue(e Offer) float64 {
+	if e.Tenant < 0 || e.Tenant >= len(c.tenantBuckets) || c.settings.Tenants[e.Tenant].Quota <= 0 ||
+		e.Transit {
 		return 1
 	}
-	rate := c.s.Tenants[e.Tenant].Quota / float64(c.s.Proxies)
-	if c.tenants[e.Tenant].take(c.now, rate, max(2, 3*rate)) {
+	rate := c.settings.Tenants[e.Tenant].Quota / float64(c.settings.Proxies)
+	if c.tenantBuckets[e.Tenant].take(c.now, rate, max(2, 3*rate)) {
 		return 1
 	}
-	return (1 + c.s.OverShareValue) / 2
+	return (1 + c.settings.OverShareValue) / 2
 }
 
-// skilled tells whether a class may go to a pool.
-func (c *Controller) skilled(class, pool int) bool {
-	return slices.Contains(c.s.ClassPools[class], pool)
+// poolServesClass reports whether a class may be sent to a pool.
+func (c *Controller) poolServesClass(class, pool int) bool {
+	return slices.Contains(c.settings.ClassPools[class], pool)
 }
 
+// mayHaveRun reports whether a set-up may have run at its destination, given its outcome.
 func mayHaveRun(o Outcome) bool {
 	return o != Rejected && o != Unreachable && o != NotSent
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"pipitring/decide"
 )
 
-// A proxy at exchange 0 learns of exchange 1 and of the circuits toward it, and is offered a call.
+// The proxy of exchange 0 gets exchange 1 on the list, then its free circuits, then the offer of a call.
 func Example() {
 	settings := decide.Settings{
 		OwnExchange: 0, Proxies: 2, MaxAttempts: 3,
@@ -19,7 +19,7 @@
 	}
 	c := decide.New(settings, 42)
 
-	now := 10 * time.Second // the event clock
+	now := 10 * time.Second // on the event clock
 	c.Feed(now, decide.ListUpdate{Kind: decide.ListFull, Entries: []decide.Entry{
 		{Exchange: 7001, Number: 1, Phase: decide.Ready},
 	}})
--- a/decide/state.go
+++ b/decide/state.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// This file holds the state that decide.go keeps and arithmetic on it; it decides nothing.
+// This file holds the state of the Controller and operations on it. The decisions are in decide.go.
 
 // Controller decides for one proxy. It is not safe for concurrent use.
 type Controller struct {
-	s      Settings
-	now    time.Duration
-	rng    uint64
-	out    []Action
-	calls  map[CallID]*call
-	listed map[ExchangeID]*exchange
-	far    map[int]*neighbour // by number; kept when a processor is replaced
-	order  []*neighbour       // by number, rising: the order of every walk
-
-	band   []int // of each class
-	bands  int
-	widest int
-	minAim time.Duration
-
-	waiting []*call // held calls: worthier first, then older
-	ticking bool
-	asks    int // failed asks for the list in a row
-	tenants []bucket
-	busy    map[uint64]time.Duration // numbers with all lines busy, until when
-	tries   map[uint64]time.Duration // first tries of calls turned away, by number called
-
-	meanWorth    float64       // of calls offered
-	carriedShare float64       // of tandem attempts, the newest most
-	trialAt      time.Duration // the next trial of any far end
-	notes        int           // lines written
-	fails        int           // late or missing answers in a row, from all far ends
-	sights       [sightCount]sight
-	seen         int     // sights ever taken
-	common       float64 // the wait that most answers showed lately, in seconds
-}
-
-// exchange is one processor on the list.
-type exchange struct {
+	settings   Settings
+	now        time.Duration
+	randState  uint64
+	actions    []Action // of the event being handled
+	calls      map[CallID]*call
+	processors map[ExchangeID]*processor
+	neighbours map[int]*neighbour // by exchange number; kept when a processor is replaced
+	byNumber   []*neighbour       // by rising exchange number: the order of every iteration
+
+	classBand []int // hold-time band of each class
+	bandCount int
+	maxWidth  int
+	minTarget time.Duration // shortest set-up target of any class
+
+	waitQueue         []*call // queued calls, most valuable first, then oldest first
+	tickPending       bool    // a queue timer is running
+	subscribeFailures int     // consecutive failures to subscribe
+	tenantBuckets     []tokenBucket
+	busyUntil         map[uint64]time.Duration // by called number whose lines are all busy
+	firstTries        map[uint64]time.Duration // first try of rejected calls, by called number
+
+	meanValue     float64       // moving average over the calls offered
+	tandemSuccess float64       // moving average of the share of tandem attempts that succeed
+	nextProbe     time.Duration // earliest time of the next probe call to any neighbour
+	logLines      int           // lines written so far
+	failures      int           // consecutive late or missing answers, over all neighbours
+	samples       [maxSamples]waitSample
+	sampleCount   int     // samples ever recorded
+	commonWait    float64 // median of the recent wait samples, in seconds
+}
+
+// processor is one processor on the exchange list.
+type processor struct {
 	id      ExchangeID
 	number  int
 	zone    int
@@ -51,153 +51,155 @@
 	started time.Duration
 }
 
-// neighbour is another exchange, and our group of circuits to it.
+// neighbour is another exchange and the trunk group towards it.
 type neighbour struct {
-	number     int
-	cur        *exchange // the processor to send to, nil if none is listed
-	free, size float64   // circuits of the group; Unknown until told
-	used       []float64 // our calls' circuits, by band
-	offered    []float64 // decayed count of calls offered, by class
-	offeredAt  time.Duration
-	calls      int     // ever offered
-	sent       []*call // set-ups out, oldest first
-	load       load
-	quickest   time.Duration // the least time a set-up took
-	overtook   time.Duration // when the newest answered set-up was sent
-	sets       float64       // decayed count of set-ups
-	setAt      time.Duration
-	part       bucket    // while its processor starts
-	tandems    []*tandem // of calls to it, first choice first; nil until one is wanted
-}
-
-// tandem is what is known of one way to an exchange over another.
+	number           int
+	processor        *processor // processor to send to, nil if none is listed
+	free, size       float64    // free circuits and all circuits of the group; Unknown until reported
+	bandUsed         []float64  // circuits taken by our calls, by hold-time band
+	offered          []float64  // exponentially decayed count of calls offered, by class
+	offeredAt        time.Duration
+	callsOffered     int     // all calls ever offered
+	outstanding      []*call // set-ups without an answer, oldest first
+	estimate         waitEstimate
+	minSetup         time.Duration // shortest time that a set-up took
+	lastAnsweredSent time.Duration // time at which the newest answered set-up was sent
+	recentSetups     float64       // exponentially decayed count of set-ups
+	recentSetupsAt   time.Duration
+	coldBudget       tokenBucket // set-ups to its processor during slow start
+	tandems          []*tandem   // of calls to it, first choice first; nil until needed
+}
+
+// tandem is the state of one route to an exchange over another.
 type tandem struct {
-	via       *neighbour
-	until     time.Duration // passed over,
-	untilCall int           // or until that many calls were offered to the exchange
-	carried   bool          // the last call that went over it stood
+	via           *neighbour
+	skipUntil     time.Duration // skipped until this time or until callsOffered reaches skipUntilCall,
+	skipUntilCall int           // whichever comes first
+	lastSucceeded bool          // the last attempt over it succeeded
 }
 
-// call is a call that this proxy was offered.
+// call is a call that was offered to this proxy.
 type call struct {
-	id       CallID
-	class    int
-	width    int
-	dest     int
-	number   uint64
-	advised  int
-	transit  bool
-	worth    float64
-	arrived  time.Duration
-	first    time.Duration // when its caller tried first, as far as known
-	deadline time.Duration
-	attempts int
-	tandems  []*neighbour // tried
-	to       *neighbour   // of the attempt that is out or stands
-	via      *exchange
-	isTandem bool
-	inBand   []float64 // circuits it holds in each band of to's group
-	sentAt   time.Duration
-	after    time.Duration // not sent again before this
-	closed   bool          // no answer is owed
-	standing bool
-	held     bool
-	ranAt    *exchange // where it may have run first, nil if nowhere
-	ranSent  time.Duration
-}
-
-// bucket is a budget that fills with time.
-type bucket struct {
-	level float64
-	at    time.Duration
-}
-
-// load is a belief about the wait on the way to a neighbour, in seconds.
-type load struct {
-	wait    float64
-	at      time.Duration
-	fails   int           // trials in a row without an answer
-	trialAt time.Duration // the next trial
-}
-
-// sight is the wait that one answer showed, in seconds.
-type sight struct {
+	id            CallID
+	class         int
+	width         int
+	dest          int
+	calledNumber  uint64
+	advisedTandem int
+	transit       bool
+	value         float64
+	arrived       time.Duration
+	firstTry      time.Duration // time of its caller's first try, as far as known
+	deadline      time.Duration
+	attempts      int
+	triedTandems  []*neighbour
+	nextHop       *neighbour // of the outstanding attempt or the standing call
+	processor     *processor // that the last attempt was sent to
+	isTandem      bool
+	bandCircuits  []float64 // circuits that it takes in each band of the group to nextHop
+	sentAt        time.Duration
+	notBefore     time.Duration // earliest time of the next attempt
+	concluded     bool          // needs no answer any more
+	standing      bool
+	queued        bool
+	firstRunAt    *processor // first processor where it may have run, nil if none
+	firstRunSent  time.Duration
+}
+
+// tokenBucket is a rate limit with bursts.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt time.Duration
+}
+
+// waitEstimate is the estimated wait on the path to a neighbour, in seconds.
+type waitEstimate struct {
+	wait      float64
+	updatedAt time.Duration
+	failures  int           // consecutive late or missing answers
+	nextProbe time.Duration // earliest time of the next probe call
+}
+
+// waitSample is the wait that one answer showed, in seconds.
+type waitSample struct {
 	wait float64
 	at   time.Duration
 }
 
-func (n *neighbour) unsend(k *call) {
-	n.sent = slices.DeleteFunc(n.sent, func(o *call) bool { return o == k })
+func (n *neighbour) removeOutstanding(k *call) {
+	n.outstanding = slices.DeleteFunc(n.outstanding, func(o *call) bool { return o == k })
 }
 
-// neighbour finds or makes the record of an exchange number.
-func (c *Controller) neighbour(number int) *neighbour {
-	n := c.far[number]
+// neighbourFor returns the neighbour with an exchange number and adds it if there is none.
+func (c *Controller) neighbourFor(number int) *neighbour {
+	n := c.neighbours[number]
 	if n == nil {
-		n = &neighbour{number: number, free: Unknown, size: Unknown, used: make([]float64, c.bands),
-			offered: make([]float64, len(c.s.Classes))}
-		c.far[number] = n
-		i, _ := slices.BinarySearchFunc(c.order, n, func(a, b *neighbour) int { return a.number - b.number })
-		c.order = slices.Insert(c.order, i, n)
-		for _, o := range c.order {
-			o.tandems = nil // made anew with the new one
+		n = &neighbour{number: number, free: Unknown, size: Unknown, bandUsed: make([]float64, c.bandCount),
+			offered: make([]float64, len(c.settings.Classes))}
+		c.neighbours[number] = n
+		i, _ := slices.BinarySearchFunc(c.byNumber, n,
+			func(a, b *neighbour) int { return a.number - b.number })
+		c.byNumber = slices.Insert(c.byNumber, i, n)
+		for _, o := range c.byNumber {
+			o.tandems = nil // built again, with the new neighbour
 		}
 	}
 	return n
 }
 
-// unplace takes an ended attempt off its group's books.
-func (c *Controller) unplace(k *call) {
-	k.to.unsend(k)
-	for i := range k.inBand {
-		k.to.used[i] -= k.inBand[i]
+// releaseCircuits gives back the circuits that an ended attempt took on its group.
+func (c *Controller) releaseCircuits(k *call) {
+	k.nextHop.removeOutstanding(k)
+	for i := range k.bandCircuits {
+		k.nextHop.bandUsed[i] -= k.bandCircuits[i]
 	}
-	k.to, k.standing = nil, false
+	k.nextHop, k.standing = nil, false
 }
 
-// unhold takes a call off the held ones.
-func (c *Controller) unhold(k *call) {
-	k.held = false
-	c.waiting = slices.DeleteFunc(c.waiting, func(o *call) bool { return o == k })
+// dequeue removes a call from the wait queue.
+func (c *Controller) dequeue(k *call) {
+	k.queued = false
+	c.waitQueue = slices.DeleteFunc(c.waitQueue, func(o *call) bool { return o == k })
 }
 
-// tandem finds the way to n over an exchange: its place in the order, -1 if there is none.
-func (n *neighbour) tandem(via int) int {
+// tandemIndex returns the index in n.tandems of the route over an exchange, or -1 if there is none.
+func (n *neighbour) tandemIndex(via int) int {
 	return slices.IndexFunc(n.tandems, func(t *tandem) bool { return t.via.number == via })
 }
 
-// carried puts the tandem that carried a call to n in front.
-func (n *neighbour) carried(via *neighbour) {
-	if i := n.tandem(via.number); i >= 0 {
+// promoteTandem moves the tandem that carried a call to n to the front.
+func (n *neighbour) promoteTandem(via *neighbour) {
+	if i := n.tandemIndex(via.number); i >= 0 {
 		t := n.tandems[i]
-		t.until, t.carried = 0, true
+		t.skipUntil, t.lastSucceeded = 0, true
 		copy(n.tandems[1:i+1], n.tandems[:i])
 		n.tandems[0] = t
 	}
 }
 
-// passOver leaves out a tandem of calls to n for a time or a number of calls.
-func (n *neighbour) passOver(via *neighbour, until time.Duration, untilCall int) {
-	if i := n.tandem(via.number); i >= 0 {
+// skipTandem leaves out a tandem of calls to n for a time or a number of calls, whichever ends first.
+func (n *neighbour) skipTandem(via *neighbour, until time.Duration, untilCall int) {
+	if i := n.tandemIndex(via.number); i >= 0 {
 		t := n.tandems[i]
-		t.until, t.untilCall, t.carried = until, untilCall, false
+		t.skipUntil, t.skipUntilCall, t.lastSucceeded = until, untilCall, false
 	}
 }
 
-// late tells whether a call can no longer stand within its aim, counted from its caller's first try.
-func (k *call) late(now, aim time.Duration) bool { return now-k.first >= aim }
+// late reports whether a call can no longer be set up within its target, counted from its caller's first try.
+func (k *call) late(now, target time.Duration) bool { return now-k.firstTry >= target }
 
-// take takes one from the budget if it holds one.
-func (b *bucket) take(now time.Duration, rate, depth float64) bool {
-	b.level = min(depth, b.level+rate*(now-b.at).Seconds())
-	b.at = now
-	if b.level < 1 {
+// take removes one token if there is one. The bucket fills with rate tokens per second, up to depth.
+func (b *tokenBucket) take(now time.Duration, rate, depth float64) bool {
+	b.tokens = min(depth, b.tokens+rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
+// decay returns the weight that remains of a value after age, for a given half-life.
 func decay(age, half time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / half.Seconds())
 }
@@ -209,17 +211,17 @@
 	return 1
 }
 
-// jitter is a random time from 0 to d.
+// jitter returns a random time in [0, d), or 0 if d is not positive.
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	c.rng += 0x9e3779b97f4a7c15
-	hi, _ := bits.Mul64(mix(c.rng), uint64(d))
+	c.randState += 0x9e3779b97f4a7c15
+	hi, _ := bits.Mul64(mix(c.randState), uint64(d))
 	return time.Duration(hi)
 }
 
-// mix scrambles the bits of a number.
+// mix is the finaliser of the SplitMix64 generator.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/decide/view.go
+++ b/decide/view.go
@@ -5,35 +5,40 @@
 	"time"
 )
 
-// Estimate is what the controller holds true of one far end, for operators and tests; it decides nothing.
+// Estimate is the state of one neighbour as the Controller estimates it, for operators and tests. No decision
+// uses it.
 type Estimate struct {
 	Number        int
 	Listed        bool // a ready processor is on the list
 	Cold          bool
-	Free, Size    float64       // circuits of the group; Unknown until told
-	Outstanding   int           // set-ups out
-	ExpectedSetup time.Duration // of a set-up now
-	MinSetup      time.Duration
-	UsualRate     float64 // set-ups a second in quiet times
-	Failures      int     // late or missing answers in a row
+	Free, Size    float64       // free circuits and all circuits of the group; Unknown until reported
+	Outstanding   int           // set-ups without an answer
+	ExpectedSetup time.Duration // expected time of a set-up sent now
+	MinSetup      time.Duration // shortest time that a set-up took
+	UsualRate     float64       // set-ups per second without overload
+	Failures      int           // consecutive late or missing answers
 }
 
-func (b Estimate) String() string {
-	return fmt.Sprintf("%d listed=%t cold=%t free=%g/%g out=%d expected=%v quickest=%v usual=%.1f fails=%d", b.Number, b.Listed, b.Cold,
-		b.Free, b.Size, b.Outstanding, b.ExpectedSetup.Round(time.Millisecond), b.MinSetup.Round(time.Millisecond), b.UsualRate, b.Failures)
+// String formats the estimate as one line of key=value pairs after the exchange number.
+func (e Estimate) String() string {
+	return fmt.Sprintf("%d listed=%t cold=%t free=%g/%g out=%d expected=%v quickest=%v usual=%.1f fails=%d", e.Number,
+		e.Listed, e.Cold, e.Free, e.Size, e.Outstanding, e.ExpectedSetup.Round(time.Millisecond),
+		e.MinSetup.Round(time.Millisecond), e.UsualRate, e.Failures)
 }
 
-// Estimates lists what is held true of every far end at a time, by number.
+// Estimates returns the estimated state of every neighbour at a time, by rising exchange number.
 func (c *Controller) Estimates(now time.Duration) []Estimate {
 	c.now = max(c.now, now)
-	c.common = c.medianSight()
+	c.commonWait = c.medianWait()
 	var list []Estimate
-	for _, n := range c.order {
-		list = append(list, Estimate{Number: n.number, Listed: n.cur != nil, Cold: c.cold(n.cur), Free: n.free, Size: n.size, Outstanding: len(n.sent),
-			ExpectedSetup: time.Duration(c.expected(n) * float64(time.Second)), MinSetup: n.quickest, UsualRate: c.usual(n), Failures: n.load.fails})
+	for _, n := range c.byNumber {
+		list = append(list, Estimate{Number: n.number, Listed: n.processor != nil, Cold: c.cold(n.processor),
+			Free: n.free, Size: n.size, Outstanding: len(n.outstanding),
+			ExpectedSetup: time.Duration(c.expectedSetup(n) * float64(time.Second)), MinSetup: n.minSetup,
+			UsualRate: c.usualRate(n), Failures: n.estimate.failures})
 	}
 	return list
 }
 
-// QueuedCalls is the number of calls that wait for a route.
-func (c *Controller) QueuedCalls() int { return len(c.waiting) }
+// QueuedCalls is the number of calls in the wait queue.
+func (c *Controller) QueuedCalls() int { return len(c.waitQueue) }
