--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -10,13 +10,13 @@
 	"pipitring/internal/wire"
 )
 
-// instance is one proxy's module and what is needed to read its reports.
+// instance is the decision module of one proxy, with the names of the values in its load reports.
 type instance struct {
 	ctl    *decide.Controller
 	fields []string
 }
 
-// host keeps the instances of this process; they share only the numbered tables of the wire.
+// host holds the instances of this process. They share only the numbered tables of the wire.
 type host struct {
 	instances map[uint32]*instance
 	tables    map[uint16][]wire.Entry
@@ -26,7 +26,7 @@
 	return &host{instances: map[uint32]*instance{}, tables: map[uint16][]wire.Entry{}}
 }
 
-// step reads one batch and writes its reply; done is set at the end of input.
+// step reads one batch and writes its reply. done is true at the end of input.
 func (h *host) step(r io.Reader, w *bufio.Writer) (done bool, err error) {
 	b, err := wire.ReadBatch(r)
 	if err == io.EOF {
@@ -52,7 +52,7 @@
 	return false, nil
 }
 
-// batch feeds the events in order and gathers the actions.
+// batch feeds the events to their instances in order and returns all resulting actions.
 func (h *host) batch(b wire.Batch) ([]wire.Action, error) {
 	var out []wire.Action
 	now := wire.Seconds(b.Clock)
@@ -63,7 +63,7 @@
 			h.tables[e.Buffer] = e.Elements
 		case wire.OpShutdown:
 			delete(h.instances, e.Proxy)
-			out = without(out, e.Proxy)
+			out = withoutProxy(out, e.Proxy)
 		case wire.OpHello:
 			setup, err := wire.ParseSettings(e.Blob)
 			if err != nil {
@@ -79,7 +79,7 @@
 	return out, nil
 }
 
-// feed hands one event to its instance; a panic there becomes a Panic action and ends the instance.
+// feed passes one event to its instance. If that panics, a Panic action is added and the instance is removed.
 func (h *host) feed(in *instance, now time.Duration, e *wire.Event, out []wire.Action) (res []wire.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -97,12 +97,13 @@
 	return out
 }
 
-func without(actions []wire.Action, proxy uint32) []wire.Action {
-	kept := actions[:0]
+// withoutProxy removes the actions of a proxy.
+func withoutProxy(actions []wire.Action, proxy uint32) []wire.Action {
+	remaining := actions[:0]
 	for _, a := range actions {
 		if a.Proxy != proxy {
-			kept = append(kept, a)
+			remaining = append(remaining, a)
 		}
 	}
-	return kept
+	return remaining
 }
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -34,7 +34,7 @@
 	return wire.Event{Op: wire.OpSubmit, Proxy: proxy, ID: id, Grace: 3, Dest: dest, Units: 1, Through: -1}
 }
 
-// places lists the proxy and call of each Place.
+// places returns the proxy and the call of each Place action.
 func places(acts []wire.Action) (got [][2]uint32) {
 	for _, a := range acts {
 		if a.Op == wire.OpPlace {
@@ -44,7 +44,7 @@
 	return got
 }
 
-func TestTablesAreResolvedInOrder(t *testing.T) {
+func TestTablesApplyInOrder(t *testing.T) {
 	acts, err := newHost().batch(wire.Batch{Events: []wire.Event{
 		hello(1), table(0, 0, 1), sync(1, 0), hello(2), table(0, 0, 2), sync(2, 0),
 		submit(1, 10, 1), submit(2, 20, 2),
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	if got := places(acts); len(got) != 2 || acts[0].Switch != sw(1) || acts[1].Switch != sw(2) {
-		t.Fatalf("each instance knows its own list: %+v", acts)
+		t.Fatalf("each instance must use its own list: %+v", acts)
 	}
 }
 
-func TestShutdownDropsStateAndQueuedActions(t *testing.T) {
+func TestShutdownDropsInstanceAndActions(t *testing.T) {
 	h := newHost()
 	acts, err := h.batch(wire.Batch{Events: []wire.Event{
 		hello(1), hello(2), table(0, 0, 1), sync(1, 0), sync(2, 0), submit(1, 10, 1), submit(2, 20, 1),
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestBadSettingsAreAnError(t *testing.T) {
+func TestBadSettings(t *testing.T) {
 	_, err := newHost().batch(wire.Batch{Events: []wire.Event{{Op: wire.OpHello, Proxy: 4, Blob: []byte("[")}}})
 	if err == nil || !strings.Contains(err.Error(), "proxy 4: settings") {
 		t.Fatalf("error %v", err)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestInstancesActAlikeInOneHostAndInSeveral(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	batches := func(proxies ...uint32) []wire.Batch {
 		first, second := wire.Batch{Clock: 1, Events: []wire.Event{table(0, 0, 1, 2)}}, wire.Batch{Clock: 2}
 		for _, p := range proxies {
@@ -156,6 +156,6 @@
 		merged, _ = wire.AppendReply(merged, acts)
 	}
 	if !bytes.Equal(both, merged) {
-		t.Fatal("instances act differently alone")
+		t.Fatal("instances act differently when they run alone")
 	}
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs decision modules behind the simulator's wire on standard input and output. It
-// translates and decides nothing.
+// Command wirehost runs instances of the decision module behind the simulator's wire protocol on standard
+// input and output. It only translates and makes no decisions.
 package main
 
 import (
--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -7,6 +7,7 @@
 	"pipitring/internal/wire"
 )
 
+// exchangeID packs a switch's address into an ID.
 func exchangeID(a wire.Addr) decide.ExchangeID {
 	var id uint64
 	for _, b := range a {
@@ -15,6 +16,7 @@
 	return decide.ExchangeID(id)
 }
 
+// addr is the inverse of exchangeID.
 func addr(id decide.ExchangeID) wire.Addr {
 	var a wire.Addr
 	for i := range a {
@@ -23,7 +25,7 @@
 	return a
 }
 
-// toEvent puts a wire event in the module's terms; nil is one that it has no use for.
+// toEvent converts a wire event to the module's form. It returns nil for events that the module does not use.
 func toEvent(e *wire.Event, fields []string, tables map[uint16][]wire.Entry) decide.Event {
 	call := decide.CallID(e.ID)
 	switch e.Op {
@@ -47,7 +49,7 @@
 	case wire.OpSubmit:
 		transit, advised := e.Attrs&wire.AttrTransit != 0, decide.Unknown
 		if !transit {
-			advised = wire.RoundToInt(float64(e.Through)) // in transit it is where the call comes from
+			advised = wire.RoundToInt(float64(e.Through)) // for a transit call it is the exchange that the call comes from
 		}
 		return decide.Offer{Call: call, Class: int(e.Priority), Tenant: int(e.Party), CalledNumber: e.RouteKey,
 			Patience: wire.Seconds(e.Grace), Dest: wire.RoundToInt(float64(e.Dest)),
@@ -57,6 +59,7 @@
 	return nil
 }
 
+// toList converts a Sync event, with the entries of its Table, to a list update.
 func toList(e *wire.Event, tables map[uint16][]wire.Entry) decide.Event {
 	kind := decide.ListKind(e.Scope)
 	if kind >= decide.ListFailed {
@@ -70,7 +73,7 @@
 	return l
 }
 
-// toOutcome keeps the wire's numbering, which is the module's.
+// toOutcome converts an outcome. The module's numbering is that of the wire.
 func toOutcome(how uint16) decide.Outcome {
 	if how > 255 {
 		return 0
@@ -78,7 +81,7 @@
 	return decide.Outcome(how)
 }
 
-// toCause splits a cause into its kind and the wait that a full processor asked for.
+// toCause splits a cause on the wire into its kind and the wait that a full processor asked for.
 func toCause(c uint32) (decide.Cause, time.Duration) {
 	if c == 18 {
 		return decide.TandemRejectedFull, 0
@@ -97,7 +100,7 @@
 	return decide.CauseUnknown, 0
 }
 
-// toAction puts one of the module's actions on the wire.
+// toAction converts one of the module's actions to an action on the wire.
 func toAction(proxy uint32, a decide.Action) wire.Action {
 	out := wire.Action{Proxy: proxy}
 	switch a := a.(type) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,18 +9,19 @@
 	"pipitring/decide"
 )
 
-// InstanceSettings is what a Hello's settings text says, in the module's terms.
+// InstanceSettings are the settings of one instance, read from the settings text of its Hello.
 type InstanceSettings struct {
 	Settings     decide.Settings
-	ReportFields []string // names of a load report's values
-	ClassNames   []string // names, as callers on sockets give them
+	ReportFields []string // names of the values in a load report
+	ClassNames   []string // as callers on sockets give them
 	ZoneNames    []string
-	TenantNames  []string // names, as callers on sockets give them
+	TenantNames  []string // as callers on sockets give them
 
-	ConnectTimeout time.Duration // a connection that is not up after this is given up
-	MaxOpenCalls   int           // calls that an instance may hold open; 0 is no limit
+	ConnectTimeout time.Duration // a connection attempt fails after this
+	MaxOpenCalls   int           // open calls of one instance; 0 is no limit
 }
 
+// settingsText is the JSON form of the settings text.
 type settingsText struct {
 	Clients struct {
 		MarksRetry bool `json:"marksRetry"`
@@ -70,8 +71,8 @@
 	} `json:"telemetry"`
 }
 
-// ParseSettings reads a settings text. Unknown keys are ignored; absent ones are zero, one circuit wide
-// (widths), safe (repeat), and one attempt (maxAttempts).
+// ParseSettings reads a settings text. Unknown keys are ignored. Absent keys are zero, except for widths (1),
+// repeat (safe) and maxAttempts (1).
 func ParseSettings(text []byte) (InstanceSettings, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
@@ -118,7 +119,8 @@
 		ConnectTimeout: Seconds(t.Limits.ConnectTimeoutS), MaxOpenCalls: t.Limits.MaxOpen}, nil
 }
 
-// Seconds turns the wire's seconds into a duration of whole microseconds; out of range is cut off.
+// Seconds converts seconds on the wire to a duration of whole microseconds. Values beyond 1e9 s either way
+// are limited to that; NaN is 0.
 func Seconds(s float64) time.Duration {
 	const limit = 1e9
 	if math.IsNaN(s) {
@@ -128,7 +130,8 @@
 	return time.Duration(math.Round(s*1e6)) * time.Microsecond
 }
 
-// RoundToInt turns a number that should be whole into an int; what is not a number is decide.Unknown.
+// RoundToInt converts a number that should be whole to an int. NaN and values beyond 1e9 either way are
+// decide.Unknown.
 func RoundToInt(v float64) int {
 	if math.IsNaN(v) || math.Abs(v) > 1e9 {
 		return decide.Unknown
@@ -136,7 +139,8 @@
 	return int(math.Round(v))
 }
 
-// ParseReport puts the values of a load report under their names; what is absent, negative or NaN is unknown.
+// ParseReport assigns the values of a load report to its fields by name. Values that are absent, negative,
+// NaN or infinite are decide.Unknown.
 func ParseReport(st Stats, names []string) decide.Report {
 	r := decide.NoReport
 	for i, name := range names {
@@ -148,7 +152,8 @@
 	return r
 }
 
-// SetReportField puts one value of a load report under its name. The group's two figures go by either of their names.
+// SetReportField sets one field of a load report by its name on the wire. Each figure of the group has two
+// names.
 func SetReportField(r *decide.Report, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
--- a/internal/wire/settings_keys_test.go
+++ b/internal/wire/settings_keys_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSettingsKeepTheirKeys guards against a field whose key of the settings text changes with its Go name: keys
-// without a field are ignored, so that nothing else would tell.
-func TestSettingsKeepTheirKeys(t *testing.T) {
+// TestSettingsKeys guards against a field whose key in the settings text changes with its Go name. Keys
+// without a field are ignored, so nothing else would report it.
+func TestSettingsKeys(t *testing.T) {
 	const text = `{"clients":{"marksRetry":true},` +
 		`"contract":{"coldFrom":0.3,"coldS":9,"fallMultiple":3,"mustAskInS":10},` +
 		`"discovery":"subscribe","failureDomains":["a"],` +
@@ -21,6 +21,6 @@
 		t.Fatal(err)
 	}
 	if got, err := json.Marshal(s); err != nil || string(got) != text {
-		t.Errorf("read and written again:\n%s\nwant:\n%s\n(%v)", got, text, err)
+		t.Errorf("decoded and encoded again:\n%s\nwant:\n%s\n(%v)", got, text, err)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire is the codec of the simulator's wire: frames, their records and the settings text.
+// Package wire encodes and decodes the simulator's wire protocol: frames, their records and the settings text.
 package wire
 
 import (
@@ -9,7 +9,7 @@
 	"math"
 )
 
-// Sizes of the wire's fixed parts, in bytes.
+// Sizes of the fixed parts of a frame, in bytes.
 const (
 	eventSize   = 56
 	actionSize  = 24
@@ -17,45 +17,71 @@
 	batchHeader = 16
 )
 
-// Codes of the events.
+// Codes of events, as in the protocol's specification.
 const (
+	// OpResult reports the end of an attempt.
 	OpResult uint8 = iota
+	// OpStreaming reports that an attempt set up its call.
 	OpStreaming
+	// OpTable carries a numbered table of list entries for later Sync events.
 	OpTable
+	// OpDatagram carries a message from another proxy.
 	OpDatagram
+	// OpDue reports that a timer expired.
 	OpDue
+	// OpShutdown ends an instance.
 	OpShutdown
+	// OpClientLeft reports that a caller abandoned its call.
 	OpClientLeft
+	// OpProbeResult reports the result of a Test.
 	OpProbeResult
+	// OpSync reports the exchange list or its changes.
 	OpSync
+	// OpSubmit offers a call.
 	OpSubmit
+	// OpHello starts an instance with its settings.
 	OpHello
 )
 
-// Codes of the actions.
+// Codes of actions, as in the protocol's specification.
 const (
+	// OpPlace sends a call to a switch.
 	OpPlace uint8 = iota + 64
+	// OpShed refuses a call.
 	OpShed
+	// OpEndFailed ends a call as failed.
 	OpEndFailed
+	// OpDropAttempt cancels an attempt.
 	OpDropAttempt
+	// OpSleep starts a timer.
 	OpSleep
+	// OpTest probes a switch.
 	OpTest
+	// OpCloseIdle closes idle connections to a switch.
 	OpCloseIdle
+	// OpWritePeer sends a message to another proxy.
 	OpWritePeer
+	// OpJournalLine writes a line to the log.
 	OpJournalLine
+	// OpPanic reports that an instance panicked.
 	OpPanic
+	// OpStreamChanges subscribes to list changes or unsubscribes.
 	OpStreamChanges
+	// OpReload requests the list once.
 	OpReload
 )
 
 // Bits of Event.Attrs.
 const (
-	AttrRedial  = 2
+	// AttrRedial marks a call whose caller tried before.
+	AttrRedial = 2
+	// AttrTransit marks a transit call.
 	AttrTransit = 8
-	AttrWasCut  = 16
+	// AttrWasCut marks a call that was cut and is submitted again.
+	AttrWasCut = 16
 )
 
-// Addr is a switch's address: four bytes and a port, kept as they came.
+// Addr is a switch's address: four address bytes and a port, kept unchanged.
 type Addr [6]byte
 
 // Stats are the values of a load report.
@@ -64,7 +90,7 @@
 	V [4]float32
 }
 
-// Entry is one line of a Table.
+// Entry is one entry of a Table, the simulator's form of an exchange list.
 type Entry struct {
 	Switch            Addr
 	Hall, Kind, Point uint16
@@ -73,7 +99,7 @@
 	ReadyAt           float64
 }
 
-// Event is one event record; which fields count depends on Op.
+// Event is one event record. Op determines which of the other fields are in use.
 type Event struct {
 	Op       uint8
 	Proxy    uint32
@@ -104,7 +130,7 @@
 	Attrs    uint16
 }
 
-// Action is one action record; which fields count depends on Op.
+// Action is one action record. Op determines which of the other fields are in use.
 type Action struct {
 	Op       uint8
 	Proxy    uint32
@@ -120,24 +146,24 @@
 	Active   uint8
 }
 
-// Batch is one decoded frame of events.
+// Batch is one decoded frame of events. Its clock is in seconds.
 type Batch struct {
 	Clock  float64
 	Events []Event
 }
 
-// fields walks over one record's fields, reading or writing them; so each layout is stated once.
+// fields reads or writes the fields of one record in order, so that each layout is defined once for both.
 type fields struct {
-	b     []byte
-	at    int
-	write bool
-	tail  []byte
-	err   error
+	b      []byte
+	offset int
+	write  bool
+	tail   []byte
+	err    error
 }
 
 func (f *fields) next(n int) []byte {
-	f.at += n
-	return f.b[f.at-n : f.at]
+	f.offset += n
+	return f.b[f.offset-n : f.offset]
 }
 
 func (f *fields) u8(p *uint8) {
@@ -198,11 +224,12 @@
 		f.f32(&p.V[i])
 	}
 	if p.N > 4 && f.err == nil {
-		f.err = fmt.Errorf("load report of %d values, 4 at most", p.N)
+		f.err = fmt.Errorf("load report of %d values, at most 4 allowed", p.N)
 	}
 }
 
-// span walks an offset and a count of items of the given size in the tail and returns their bytes.
+// span reads or writes the reference to count items of a size in the tail, and returns their bytes when
+// reading.
 func (f *fields) span(count, item int) []byte {
 	off, n := uint32(len(f.tail)), uint32(count)
 	f.u32(&off)
@@ -213,7 +240,7 @@
 	end := uint64(off) + uint64(n)*uint64(item)
 	if end > uint64(len(f.tail)) {
 		if f.err == nil {
-			f.err = fmt.Errorf("tail reference to bytes %d to %d of %d", off, end, len(f.tail))
+			f.err = fmt.Errorf("tail reference to bytes %d to %d, but the tail has %d", off, end, len(f.tail))
 		}
 		return nil
 	}
@@ -348,7 +375,8 @@
 	}
 }
 
-// ReadBatch reads and decodes one frame. At a clean end of input it returns io.EOF itself.
+// ReadBatch reads and decodes one frame. At the end of input, before any byte of a frame, it returns io.EOF
+// itself.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var h [batchHeader]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
@@ -361,14 +389,14 @@
 	size := binary.LittleEndian.Uint32(h[4:])
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(h[8:]))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, fmt.Errorf("frame header: the clock is %v", clock)
+		return Batch{}, fmt.Errorf("frame header: clock is %v, not a finite number", clock)
 	}
 	if uint64(count)*eventSize > uint64(size) {
-		return Batch{}, fmt.Errorf("frame header: %d records do not fit in %d bytes", count, size)
+		return Batch{}, fmt.Errorf("frame header: %d records do not fit into a body of %d bytes", count, size)
 	}
-	var body bytes.Buffer // grows with what arrives, not with what is promised
+	var body bytes.Buffer // grows with the bytes received, not with the size in the header
 	if n, err := io.CopyN(&body, r, int64(size)); err != nil {
-		return Batch{}, fmt.Errorf("frame body: %d of %d bytes: %w", n, size, err)
+		return Batch{}, fmt.Errorf("frame body: %d of %d bytes read: %w", n, size, err)
 	}
 	return decodeBody(clock, int(count), body.Bytes())
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"pipitring/decide"
 )
 
-// unhex turns spaced hex into bytes.
+// unhex decodes hex with spaces.
 func unhex(t testing.TB, s string) []byte {
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -21,7 +21,7 @@
 	return b
 }
 
-// pad fills a record's hex up to size bytes.
+// pad decodes a record's hex and fills it with zeros up to size bytes.
 func pad(t testing.TB, s string, size int) []byte {
 	b := unhex(t, s)
 	return append(b, make([]byte, size-len(b))...)
@@ -34,7 +34,7 @@
 	return append(head, body...)
 }
 
-func TestReadsRecordsWrittenByHand(t *testing.T) {
+func TestReadBatchOfKnownBytes(t *testing.T) {
 	b, err := ReadBatch(bytes.NewReader(frame(t, unhex(t, "0a124a07 2b23 0100 0000 0200 01 0000803f 0000000000000040"),
 		pad(t, "02 0300 00000000 01000000", eventSize),
 		pad(t, "08 03000000 02 2900000000000000 0300", eventSize),
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWritesRepliesByteForByte(t *testing.T) {
+func TestAppendReplyBytes(t *testing.T) {
 	got, err := AppendReply(nil, []Action{
 		{Op: OpPlace, Proxy: 3, ID: 0x5d3a91c4, Switch: Addr{10, 18, 74, 7, 0x2b, 0x23}, TryFor: 0.5},
 		{Op: OpShed, Proxy: 3, ID: 1, CoolDown: 0.25},
@@ -105,14 +105,14 @@
 	}
 }
 
-func TestBadFramesSayWhatAndWhere(t *testing.T) {
+func TestBadFrameErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name, want string
 		raw        []byte
 	}{
 		{"cut header", "frame header", unhex(t, "01000000")},
-		{"cut body", "frame body: 2 of 56 bytes", append(unhex(t, "01000000 38000000 0000000000000000"), 4, 0)},
-		{"huge length", "frame body: 0 of 4294967295", unhex(t, "00000000 ffffffff 0000000000000000")},
+		{"cut body", "frame body: 2 of 56 bytes read", append(unhex(t, "01000000 38000000 0000000000000000"), 4, 0)},
+		{"huge length", "frame body: 0 of 4294967295 bytes read", unhex(t, "00000000 ffffffff 0000000000000000")},
 		{"too many records", "do not fit", unhex(t, "ffffffff 38000000 0000000000000000")},
 		{"clock", "clock is NaN", unhex(t, "00000000 00000000 010000000000f87f")},
 		{"unknown code", "record 0 of 1 (code 99): unknown event code", frame(t, nil, pad(t, "63", eventSize))},
@@ -136,14 +136,14 @@
 		}
 		once, err := AppendBatch(nil, b)
 		if err != nil {
-			t.Fatalf("what was read cannot be written: %v", err)
+			t.Fatalf("decoded batch cannot be encoded: %v", err)
 		}
 		again, err := ReadBatch(bytes.NewReader(once))
 		if err != nil {
-			t.Fatalf("what was written cannot be read: %v", err)
+			t.Fatalf("encoded batch cannot be decoded: %v", err)
 		}
 		if twice, _ := AppendBatch(nil, again); !bytes.Equal(once, twice) {
-			t.Fatal("reading and writing again changed the frame")
+			t.Fatal("decoding and encoding again changed the frame")
 		}
 	})
 }
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestReportLeavesOutWhatIsNotTold(t *testing.T) {
+func TestReportOfUnknownValues(t *testing.T) {
 	names := []string{"idle", "circuits", "util", "latency_ms"}
 	if got := ParseReport(Stats{}, names); got != decide.NoReport {
 		t.Errorf("no values: %+v", got)
