--- a/internal/cdr/cdr_test.go
+++ b/internal/cdr/cdr_test.go
@@ -28,6 +28,7 @@
 	return z
 }
 
+// anyRecord generates records with arbitrary values.
 func anyRecord() *rapid.Generator[Record] {
 	text := rapid.StringN(0, 20, 40)
 	when := rapid.Custom(func(t *rapid.T) time.Time {
@@ -56,7 +57,7 @@
 	})
 }
 
-// Every record comes back as it was; with any bit flipped, or cut short anywhere, it does not come back at all.
+// Every record must decode to itself. With any bit flipped or truncated anywhere, it must not decode at all.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := anyRecord().Draw(t, "record")
@@ -67,7 +68,7 @@
 		}
 		if cut := rapid.IntRange(0, len(b)-1).Draw(t, "cut"); cut < len(b) {
 			if _, err := Decode(b[:cut]); err == nil {
-				t.Fatalf("cut at %d of %d it is read", cut, len(b))
+				t.Fatalf("record truncated to %d of %d bytes was decoded", cut, len(b))
 			}
 		}
 		bit := rapid.IntRange(0, 8*len(b)-1).Draw(t, "bit")
@@ -81,14 +82,14 @@
 func FuzzDecode(f *testing.F) {
 	r := Record{ID: ID{1, 2, 3}, Class: "status", Attempts: []Attempt{{Exchange: 1}}}
 	f.Add(r.Encode(nil))
-	f.Add([]byte{layout, 0, 0, 0, 0, 0})
+	f.Add([]byte{layoutVersion, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := Decode(b)
 		if err != nil {
 			return
 		}
 		if again, err := Decode(r.Encode(nil)); err != nil || !cmp.Equal(again, r) {
-			t.Fatalf("read, written and read again: %v", err)
+			t.Fatalf("decoded record differs after encoding and decoding again: %v", err)
 		}
 	})
 }
@@ -100,12 +101,13 @@
 	}
 	for _, bad := range []string{"", "1-2", "1-2-3-4", "a-2-3", "1--3", "4294967296-1-1", "1-2-x"} {
 		if _, err := ParseID(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// The wall clock is set in mid-call: times of day are what it showed, lengths are not touched.
+// The wall clock is set during a call: times of day must be what it showed then, and durations must not
+// change.
 func TestClockSet(t *testing.T) {
 	base := time.Date(2026, 12, 1, 23, 59, 0, 0, time.UTC)
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -49 * time.Millisecond, 0} {
@@ -114,26 +116,27 @@
 		c.Observe(10*time.Second, base.Add(10*time.Second))
 		c.Observe(20*time.Second, base.Add(20*time.Second+step))
 		if got := c.At(5 * time.Second); !got.Equal(base.Add(5 * time.Second)) {
-			t.Errorf("step %v: before it %v", step, got)
+			t.Errorf("step %v: time before it is %v", step, got)
 		}
 		want := step
-		if step > -stepAt && step < stepAt {
+		if step > -minClockStep && step < minClockStep {
 			want = 0
 		}
 		if got := c.Step(5*time.Second, 25*time.Second); got != want {
-			t.Errorf("step %v: %v seen", step, got)
+			t.Errorf("step %v: got %v", step, got)
 		}
 	}
 	var c Clock
-	for i := range 10 * keptSteps {
+	for i := range 10 * maxClockSteps {
 		c.Observe(time.Duration(i)*time.Second, base.Add(time.Duration(i%2)*time.Hour))
 	}
-	if len(c.steps) > keptSteps {
-		t.Errorf("%d steps kept", len(c.steps))
+	if len(c.steps) > maxClockSteps {
+		t.Errorf("%d steps stored", len(c.steps))
 	}
 }
 
-// tariffs of the test: days cost 0.12 a minute, nights and weekends 0.06, alarms nothing; from 2027 on all is doubled.
+// testTariffs cost 0.12 a minute by day and 0.06 at night and at weekends; alarms are free. From 2027 on
+// prices are doubled.
 func testTariffs(t testing.TB) *Tariffs {
 	days := []time.Weekday{time.Monday, time.Tuesday, time.Wednesday, time.Thursday, time.Friday}
 	year := func(name string, from time.Time, day, night string) Tariff {
@@ -168,8 +171,8 @@
 		{"by day", "status", "2026-12-01 10:00:00", time.Minute, 1, "0.1200", ""},
 		{"by night", "status", "2026-12-01 20:00:00", time.Minute, 1, "0.0600", ""},
 		{"at the weekend", "status", "2026-12-05 10:00:00", time.Minute, 1, "0.0600", ""},
-		{"into the evening", "status", "2026-12-01 17:59:30", time.Minute, 1, "0.0900", ""},
-		{"into the day", "status", "2026-12-01 07:59:30", 90 * time.Second, 1, "0.1500", ""},
+		{"from day into evening", "status", "2026-12-01 17:59:30", time.Minute, 1, "0.0900", ""},
+		{"from night into day", "status", "2026-12-01 07:59:30", 90 * time.Second, 1, "0.1500", ""},
 		{"over midnight into the weekend", "status", "2026-12-04 23:59:00", 2 * time.Minute, 1, "0.1200", ""},
 		{"over a change of tariff", "status", "2026-12-31 23:59:00", 2 * time.Minute, 1, "0.1800", ""},
 		{"four circuits wide", "status", "2026-12-01 10:00:00", time.Minute, 4, "0.4800", ""},
@@ -177,19 +180,20 @@
 		{"rounded half up", "status", "2026-12-01 20:00:00", 50 * time.Millisecond, 1, "0.0001", ""},
 		{"minimum and fee", "fee", "2026-12-01 10:00:00", time.Second, 1, "0.1100", ""},
 		{"step and fee", "fee", "2026-12-01 10:00:00", 31 * time.Second, 1, "0.1220", ""},
-		{"of no length", "fee", "2026-12-01 10:00:00", 0, 1, "0.1100", ""},
-		{"of no length, no minimum", "status", "2026-12-01 10:00:00", 0, 1, "0.0000", ""},
+		{"of zero duration", "fee", "2026-12-01 10:00:00", 0, 1, "0.1100", ""},
+		{"of zero duration, no minimum", "status", "2026-12-01 10:00:00", 0, 1, "0.0000", ""},
 		{"alarm", "alarm", "2026-12-01 10:00:00", time.Hour, 1, "0.0000", NoteEmergency},
 		{"free", "gratis", "2026-12-01 10:00:00", time.Hour, 1, "0.0000", NoteFree},
-		{"friday's night", "night", "2026-12-05 05:00:00", time.Minute, 1, "1.0000", ""},
-		{"not thursday's", "night", "2026-12-04 05:00:00", time.Minute, 1, "", NoteNoRate},
-		{"out of its hours at the end", "day", "2026-12-01 17:59:00", 2 * time.Minute, 1, "", NoteNoRate},
-		{"of no known class", "other", "2026-12-01 10:00:00", time.Minute, 1, "", NoteNoRate},
+		{"friday night", "night", "2026-12-05 05:00:00", time.Minute, 1, "1.0000", ""},
+		{"not thursday night", "night", "2026-12-04 05:00:00", time.Minute, 1, "", NoteNoRate},
+		{"no rate in the last part", "day", "2026-12-01 17:59:00", 2 * time.Minute, 1, "", NoteNoRate},
+		{"of an unknown class", "other", "2026-12-01 10:00:00", time.Minute, 1, "", NoteNoRate},
 		{"before any tariff", "status", "2025-12-31 23:59:59", time.Minute, 1, "", NoteNoTariff},
-		// The clocks go from 3:00 back to 2:00 on 5 April 2026, from 2:00 to 3:00 on 4 October: lengths are not local.
-		{"through the hour that comes twice", "status", "2026-04-05 01:30:00", 3 * time.Hour, 1, "10.8000", ""},
+		// The clocks go from 3:00 back to 2:00 on 5 April 2026, and from 2:00 to 3:00 on 4 October. Durations must
+		// not follow local time.
+		{"through the hour that occurs twice", "status", "2026-04-05 01:30:00", 3 * time.Hour, 1, "10.8000", ""},
 		{"through the hour that is missing", "status", "2026-10-04 01:30:00", 2 * time.Hour, 1, "7.2000", ""},
-		{"friday's night through no change", "night", "2026-10-02 22:00:00", 8 * time.Hour, 1, "480.0000", ""},
+		{"friday night without clock change", "night", "2026-10-02 22:00:00", 8 * time.Hour, 1, "480.0000", ""},
 	} {
 		r := &Record{Class: c.class, Width: c.width, Offered: at(c.from), Answered: at(c.from), Duration: c.length}
 		got := tar.Rate(r)
@@ -203,7 +207,7 @@
 	}
 }
 
-// Cutting a call in two at any moment changes nothing but the rounding of the parts.
+// Splitting a call in two at any moment must change nothing but the rounding of the parts.
 func TestRateAddsUp(t *testing.T) {
 	tar := testTariffs(t)
 	tar.Places = 12
@@ -230,12 +234,12 @@
 func TestAmountsAndHours(t *testing.T) {
 	for _, bad := range []string{"", "-1", "1e9", "1,5", "1.", ".5", "1/3", "0x1", "+1"} {
 		if _, err := ParseAmount(bad); err == nil {
-			t.Errorf("amount %q is read", bad)
+			t.Errorf("amount %q was accepted", bad)
 		}
 	}
 	for _, bad := range []string{"", "8-18", "08:00", "08:00-25:00", "08:60-09:00", "09:00-09:00", "08:00-18:00-20:00"} {
 		if _, _, err := ParseHours(bad); err == nil {
-			t.Errorf("hours %q are read", bad)
+			t.Errorf("hours %q were accepted", bad)
 		}
 	}
 	if from, to, err := ParseHours("22:00-24:00"); err != nil || from != 22*60 || to != 0 {
--- a/internal/cdr/export.go
+++ b/internal/cdr/export.go
@@ -9,178 +9,186 @@
 	"time"
 )
 
-// prefixExport is where the state of exports lies: 'x', the target's name, a zero byte, and the batch's number; 0 is
-// the target's own state.
+// prefixExport begins the keys of export state: 'x', the target's name, a zero byte and the batch's number.
+// Number 0 is the state of the target itself.
 const prefixExport = 'x'
 
-// Stage tells how far a batch has come at its target.
+// Stage is the progress of a batch at its target.
 type Stage uint8
 
 // Stages of a batch.
 const (
-	Planned   Stage = iota // its records are chosen; nothing, or a part, has been sent
-	Confirmed              // the target has said that it holds all of it
+	// Planned batches have their records chosen; nothing or only a part has been sent.
+	Planned Stage = iota
+	// Confirmed batches are complete at their target, by the target's answer.
+	Confirmed
 )
 
-// Delivery is one batch on its way to one target. It is kept before the first byte leaves: what is sent again after a
-// crash is the same batch under the same number.
+// Delivery is the state of one batch for one target. It is stored before the first byte is sent, so that after a
+// crash the same batch is sent again under the same number.
 type Delivery struct {
 	Manifest
 	Stage       Stage     `json:"stage"`
 	PlannedAt   time.Time `json:"planned_at"`
 	ConfirmedAt time.Time `json:"confirmed_at,omitzero"`
-	Location    string    `json:"where,omitempty"` // what the target calls it: an upload's address
-	Attempts    int       `json:"tries"`
+	Location    string    `json:"where,omitempty"` // assigned by the target, such as the address of an upload
+	Attempts    int       `json:"tries"`           // failed attempts
 }
 
-// targetState is what is kept of a target beside its batches.
+// targetState is the stored state of a target, apart from its batches.
 type targetState struct {
-	Batches uint64 `json:"batches"` // planned so far
-	To      uint64 `json:"to"`      // the last number in them
-	Done    uint64 `json:"done"`    // the last number that is confirmed
-	Oldest  uint64 `json:"oldest"`  // batch whose state is still kept
+	BatchCount    uint64 `json:"batches"` // batches planned so far
+	LastPlanned   uint64 `json:"to"`      // last record number in them
+	LastConfirmed uint64 `json:"done"`    // last record number confirmed
+	OldestBatch   uint64 `json:"oldest"`  // oldest batch whose state is still stored
 }
 
-// ExportSettings set an Export.
+// ExportSettings configure an Export.
 type ExportSettings struct {
 	Target        string // its name in the store
 	Router        uint32
 	Format        Format
-	MaxRecords    int           // records of one batch
-	MinRecords    int           // fewer wait for more,
-	MaxWait       time.Duration // for so long at the most
-	MinRetryDelay time.Duration // pause after a failed try, doubling
-	MaxRetryDelay time.Duration // up to this
-	KeepBatches   int           // states of confirmed batches that are kept for Verify
+	MaxRecords    int           // most records in one batch
+	MinRecords    int           // fewer records wait for more,
+	MaxWait       time.Duration // but at most this long
+	MinRetryDelay time.Duration // delay after the first failed attempt; it doubles with each further one
+	MaxRetryDelay time.Duration // longest delay
+	KeepBatches   int           // states of confirmed batches that are stored for Verify; 0 is all
 }
 
-// Export decides which records go to a target in which batch and when it is tried again. It does no I/O.
+// Export decides which records go to a target in which batch, and when a batch is sent again. It does no I/O of its
+// own.
 type Export struct {
-	set      ExportSettings
-	keep     Store
-	state    targetState
-	now      *Delivery // being sent, nil if none
-	next     time.Time
-	pause    time.Duration
-	since    time.Time // records wait for a batch since
-	Failures uint64
+	settings     ExportSettings
+	store        Store
+	state        targetState
+	current      *Delivery // batch being sent, nil if none
+	nextTry      time.Time
+	retryDelay   time.Duration
+	pendingSince time.Time // since when records have been waiting for a batch
+	Failures     uint64    // failed attempts since OpenExport
 }
 
-func (s *ExportSettings) key(batch uint64) []byte {
-	k := append([]byte{prefixExport}, s.Target...)
-	return binary.BigEndian.AppendUint64(append(k, 0), batch)
+func (s *ExportSettings) stateKey(batch uint64) []byte {
+	key := append([]byte{prefixExport}, s.Target...)
+	return binary.BigEndian.AppendUint64(append(key, 0), batch)
 }
 
-// OpenExport reads how far an export came.
-func OpenExport(k Store, s ExportSettings) (*Export, error) {
-	e := &Export{set: s, keep: k}
-	v, found, err := k.Get(s.key(0))
+// OpenExport reads the stored state of an export.
+func OpenExport(store Store, s ExportSettings) (*Export, error) {
+	e := &Export{settings: s, store: store}
+	v, found, err := store.Get(s.stateKey(0))
 	if err == nil && found {
 		err = json.Unmarshal(v, &e.state)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("export %s: %w", s.Target, err)
 	}
-	if e.state.Batches > 0 {
-		if e.now, err = e.Batch(e.state.Batches); err != nil {
+	if e.state.BatchCount > 0 {
+		if e.current, err = e.Batch(e.state.BatchCount); err != nil {
 			return nil, err
 		}
-		if e.now.Stage == Confirmed {
-			e.now = nil
+		if e.current.Stage == Confirmed {
+			e.current = nil
 		}
 	}
 	return e, nil
 }
 
-// Batch reads the state of a batch.
+// Batch reads the state of the batch with a number.
 func (e *Export) Batch(n uint64) (*Delivery, error) {
-	v, found, err := e.keep.Get(e.set.key(n))
+	v, found, err := e.store.Get(e.settings.stateKey(n))
 	if err == nil && !found {
-		err = errors.New("its state is gone")
+		err = errors.New("no stored state for this batch")
 	}
 	var s Delivery
 	if err == nil {
 		err = json.Unmarshal(v, &s)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("export %s, batch %d: %w", e.set.Target, n, err)
+		return nil, fmt.Errorf("export %s, batch %d: %w", e.settings.Target, n, err)
 	}
 	return &s, nil
 }
 
+// save adds the state of the target and of the current batch to b.
 func (e *Export) save(b WriteBatch) {
 	put := func(n uint64, v any) {
 		text, err := json.Marshal(v)
 		if err != nil {
 			panic(err) // strings, numbers and times only
 		}
-		b.Set(e.set.key(n), text)
+		b.Set(e.settings.stateKey(n), text)
 	}
-	if e.now != nil {
-		put(e.now.Batch, e.now)
+	if e.current != nil {
+		put(e.current.Batch, e.current)
 	}
 	put(0, e.state)
 }
 
-// LastConfirmed is the last number that the target has confirmed.
-func (e *Export) LastConfirmed() uint64 { return e.state.Done }
+// LastConfirmed returns the last record number that the target has confirmed.
+func (e *Export) LastConfirmed() uint64 { return e.state.LastConfirmed }
 
-// BatchCount is how many batches were made.
-func (e *Export) BatchCount() uint64 { return e.state.Batches }
+// BatchCount returns the number of batches planned so far.
+func (e *Export) BatchCount() uint64 { return e.state.BatchCount }
 
-// OldestBatch is the first batch whose state is still kept.
-func (e *Export) OldestBatch() uint64 { return max(1, e.state.Oldest) }
+// OldestBatch returns the oldest batch whose state is still stored.
+func (e *Export) OldestBatch() uint64 { return max(1, e.state.OldestBatch) }
 
-// Next returns the batch to be sent now, or nil and when to ask again. A batch that was begun comes first, always the
-// same; a new one is put into b, which must be durable before anything of it is sent. last is the last number of the
-// ledger, flush makes a batch of however few there are.
+// Next returns the batch to send now with its content, or nil and the time of the next call. A batch that was
+// begun is returned first, always with the same content. The state of a new batch is added to b, which must
+// be durable before anything of the batch is sent. last is the last number of the ledger; flush makes a batch
+// of any number of records, without waiting.
 func (e *Export) Next(now time.Time, last uint64, flush bool, b WriteBatch) (*Delivery, []byte, time.Time, error) {
-	if now.Before(e.next) && !flush {
-		return nil, nil, e.next, nil
+	if now.Before(e.nextTry) && !flush {
+		return nil, nil, e.nextTry, nil
 	}
-	if e.now == nil {
-		waiting := last - min(last, e.state.To)
+	if e.current == nil {
+		waiting := last - min(last, e.state.LastPlanned)
 		if waiting == 0 {
-			e.since = time.Time{}
-			return nil, nil, now.Add(e.set.MaxWait), nil
+			e.pendingSince = time.Time{}
+			return nil, nil, now.Add(e.settings.MaxWait), nil
 		}
-		if e.since.IsZero() {
-			e.since = now
+		if e.pendingSince.IsZero() {
+			e.pendingSince = now
 		}
-		if ripe := e.since.Add(e.set.MaxWait); waiting < uint64(e.set.MinRecords) && now.Before(ripe) && !flush {
-			return nil, nil, ripe, nil
+		if due := e.pendingSince.Add(e.settings.MaxWait); waiting < uint64(e.settings.MinRecords) &&
+			now.Before(due) && !flush {
+			return nil, nil, due, nil
 		}
 		e.plan(now, last)
-		content, err := e.fill()
+		content, err := e.readRecords()
 		if err != nil {
-			e.now = nil
+			e.current = nil
 			return nil, nil, now, err
 		}
-		e.state.Batches, e.state.To, e.since = e.now.Batch, e.now.To, time.Time{}
+		e.state.BatchCount, e.state.LastPlanned, e.pendingSince = e.current.Batch, e.current.To, time.Time{}
 		e.save(b)
-		return e.now, content, now, nil
+		return e.current, content, now, nil
 	}
-	content, err := e.refill()
-	return e.now, content, now, err
+	content, err := e.rereadRecords()
+	return e.current, content, now, err
 }
 
+// plan makes the next batch the current one.
 func (e *Export) plan(now time.Time, last uint64) {
-	n := e.state.Batches + 1
-	e.now = &Delivery{PlannedAt: now, Manifest: Manifest{Batch: n, Format: e.set.Format, Router: e.set.Router,
-		File: BatchName(e.set.Router, n, e.set.Format), From: e.state.To + 1, To: min(last, e.state.To+uint64(e.set.MaxRecords))}}
+	n := e.state.BatchCount + 1
+	e.current = &Delivery{PlannedAt: now, Manifest: Manifest{Batch: n, Format: e.settings.Format,
+		Router: e.settings.Router, File: BatchName(e.settings.Router, n, e.settings.Format),
+		From: e.state.LastPlanned + 1, To: min(last, e.state.LastPlanned+uint64(e.settings.MaxRecords))}}
 }
 
-// fill reads a new batch's records and completes its manifest.
-func (e *Export) fill() ([]byte, error) {
-	records, missing, err := ReadRange(e.keep, e.now.From, e.now.To)
+// readRecords reads the records of the current batch and completes its manifest.
+func (e *Export) readRecords() ([]byte, error) {
+	records, missing, err := ReadRange(e.store, e.current.From, e.current.To)
 	if err != nil {
 		return nil, err
 	}
 	var buf bytes.Buffer
-	if err := WriteFile(&buf, e.now.Format, records); err != nil {
+	if err := WriteFile(&buf, e.current.Format, records); err != nil {
 		return nil, err
 	}
-	m := &e.now.Manifest
+	m := &e.current.Manifest
 	m.Count, m.Missing, m.Bytes, m.SHA256 = len(records), missing, buf.Len(), Checksum(buf.Bytes())
 	if len(records) > 0 {
 		m.FirstID, m.LastID = records[0].ID.String(), records[len(records)-1].ID.String()
@@ -188,53 +196,55 @@
 	return buf.Bytes(), nil
 }
 
-// refill reads a batch again that was begun before. Its bytes must be what they were.
-func (e *Export) refill() ([]byte, error) {
-	was := *e.now
-	content, err := e.fill()
+// rereadRecords reads the records of a batch that was begun before. Its content must not have changed.
+func (e *Export) rereadRecords() ([]byte, error) {
+	planned := *e.current
+	content, err := e.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	if e.now.SHA256 != was.SHA256 {
-		e.now.Manifest = was.Manifest
-		return nil, fmt.Errorf("export %s, batch %d: its records are not what they were when it was planned", e.set.Target, was.Batch)
+	if e.current.SHA256 != planned.SHA256 {
+		e.current.Manifest = planned.Manifest
+		return nil, fmt.Errorf("export %s, batch %d: stored records have changed since the batch was planned",
+			e.settings.Target, planned.Batch)
 	}
 	return content, nil
 }
 
-// MarkPlaced notes what the target calls the batch, before its bytes go.
+// MarkPlaced records where the target stores the batch, before its content is sent.
 func (e *Export) MarkPlaced(where string, b WriteBatch) {
-	e.now.Location = where
+	e.current.Location = where
 	e.save(b)
 }
 
-// MarkFailed notes that a try came to nothing; the batch is tried again later.
+// MarkFailed records a failed attempt. The batch is sent again after the retry delay.
 func (e *Export) MarkFailed(now time.Time, b WriteBatch) {
 	e.Failures++
-	e.pause = min(max(2*e.pause, e.set.MinRetryDelay), e.set.MaxRetryDelay)
-	e.next = now.Add(e.pause)
-	if e.now != nil {
-		e.now.Attempts++
+	e.retryDelay = min(max(2*e.retryDelay, e.settings.MinRetryDelay), e.settings.MaxRetryDelay)
+	e.nextTry = now.Add(e.retryDelay)
+	if e.current != nil {
+		e.current.Attempts++
 		e.save(b)
 	}
 }
 
-// MarkConfirmed notes that the target holds the whole batch.
+// MarkConfirmed records that the target holds the whole batch.
 func (e *Export) MarkConfirmed(now time.Time, b WriteBatch) {
-	e.now.Stage, e.now.ConfirmedAt = Confirmed, now
-	e.state.Done, e.pause, e.next = e.now.To, 0, time.Time{}
-	if old := e.OldestBatch(); e.set.KeepBatches > 0 && e.state.Batches >= old+uint64(e.set.KeepBatches) {
-		b.Delete(e.set.key(old))
-		e.state.Oldest = old + 1
+	e.current.Stage, e.current.ConfirmedAt = Confirmed, now
+	e.state.LastConfirmed, e.retryDelay, e.nextTry = e.current.To, 0, time.Time{}
+	if old := e.OldestBatch(); e.settings.KeepBatches > 0 && e.state.BatchCount >= old+uint64(e.settings.KeepBatches) {
+		b.Delete(e.settings.stateKey(old))
+		e.state.OldestBatch = old + 1
 	}
 	e.save(b)
-	e.now = nil
+	e.current = nil
 }
 
-// ReadRange reads the records of a range of numbers; missing are those that are gone or cannot be read.
-func ReadRange(k Store, from, to uint64) (records []*Record, missing []uint64, err error) {
+// ReadRange reads the records with numbers from from to to. missing are the numbers whose record does not
+// exist or cannot be read.
+func ReadRange(store Store, from, to uint64) (records []*Record, missing []uint64, err error) {
 	for n := from; n <= to; n++ {
-		r, found, err := ReadRecord(k, n)
+		r, found, err := ReadRecord(store, n)
 		if err != nil || !found {
 			missing = append(missing, n)
 			continue
--- a/internal/cdr/files.go
+++ b/internal/cdr/files.go
@@ -14,24 +14,24 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Format is the form of an exported file.
+// Format is the file format of an export.
 type Format string
 
-// Formats.
+// Formats of exported files.
 const (
 	CSV     Format = "csv"
 	Parquet Format = "parquet"
 )
 
-// ParseFormat reads a format's name.
+// ParseFormat parses the name of a format.
 func ParseFormat(s string) (Format, error) {
 	if f := Format(s); f == CSV || f == Parquet {
 		return f, nil
 	}
-	return "", fmt.Errorf("%q is none of csv, parquet", s)
+	return "", fmt.Errorf("unknown format %q, must be csv or parquet", s)
 }
 
-// row is a record as it is exported; the columns' order and names are a promise to readers.
+// row is the exported form of a record. The order and the names of its columns must not change.
 type row struct {
 	ID       string  `parquet:"id"`
 	Version  int32   `parquet:"version"`
@@ -69,14 +69,16 @@
 	"front", "circuit", "origin", "dest", "transit", "width", "offered", "answered", "ended", "seen", "setup_s", "length_s",
 	"stepped_s", "route", "tariff", "amount", "currency", "billed_s", "note"}
 
-func stampOf(t time.Time) string {
+// formatTime formats a time as RFC 3339 in UTC; an unknown time is empty.
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
 	return t.UTC().Format(time.RFC3339Nano)
 }
 
-func rowOf(r *Record) row {
+// newRow converts a record to its exported form.
+func newRow(r *Record) row {
 	var route []string
 	for _, a := range r.Attempts {
 		route = append(route, fmt.Sprintf("%d:%s", a.Exchange, a.Outcome))
@@ -84,10 +86,11 @@
 	c := &r.Charge
 	return row{r.ID.String(), int32(r.Version), r.End.String(), int32(r.Cause), r.EndSource.String(), r.Class, r.Tenant, r.Called,
 		r.Calling, r.User, r.Context, r.Front, int32(r.Circuit), int32(r.Origin), int32(r.Dest), r.Transit, int32(r.Width),
-		stampOf(r.Offered), stampOf(r.Answered), stampOf(r.Ended), stampOf(r.LastSeen), r.SetUp.Seconds(), r.Duration.Seconds(),
+		formatTime(r.Offered), formatTime(r.Answered), formatTime(r.Ended), formatTime(r.LastSeen), r.SetUp.Seconds(), r.Duration.Seconds(),
 		r.ClockStep.Seconds(), strings.Join(route, " "), c.Tariff, c.Amount, c.Currency, c.Billed.Seconds(), c.Note}
 }
 
+// fields returns the fields in the order of columns.
 func (r row) fields() []string {
 	n := func(v int32) string { return strconv.Itoa(int(v)) }
 	x := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
@@ -96,13 +99,13 @@
 		r.Ended, r.Seen, x(r.SetUp), x(r.Length), x(r.Stepped), r.Route, r.Tariff, r.Amount, r.Currency, x(r.Billed), r.Note}
 }
 
-// WriteFile writes records in a format: the same bytes for the same records.
+// WriteFile writes records in a format. The same records give the same bytes.
 func WriteFile(w io.Writer, f Format, records []*Record) error {
 	if f == Parquet {
 		p := parquet.NewGenericWriter[row](w, parquet.Compression(&parquet.Zstd), parquet.CreatedBy("pipitring", "", ""))
 		rows := make([]row, 0, len(records))
 		for _, r := range records {
-			rows = append(rows, rowOf(r))
+			rows = append(rows, newRow(r))
 		}
 		if _, err := p.Write(rows); err != nil {
 			return err
@@ -114,7 +117,7 @@
 		return err
 	}
 	for _, r := range records {
-		if err := c.Write(rowOf(r).fields()); err != nil {
+		if err := c.Write(newRow(r).fields()); err != nil {
 			return err
 		}
 	}
@@ -122,33 +125,34 @@
 	return c.Error()
 }
 
-// Manifest tells what an exported file holds. It appears after its file, whole: a file without one is not complete.
+// Manifest describes an exported file. It is written after its file, atomically: a file without manifest is
+// incomplete.
 type Manifest struct {
-	Batch   uint64   `json:"batch"` // 1 and up, without gaps
+	Batch   uint64   `json:"batch"` // consecutive, from 1
 	File    string   `json:"file"`
 	Format  Format   `json:"format"`
 	Router  uint32   `json:"router"`
 	Count   int      `json:"count"`
 	FirstID string   `json:"first_id"`
 	LastID  string   `json:"last_id"`
-	From    uint64   `json:"from_number"` // numbers in the store, both included
+	From    uint64   `json:"from_number"` // record numbers in the store, inclusive
 	To      uint64   `json:"to_number"`
-	Missing []uint64 `json:"missing_numbers,omitempty"` // of them that could not be read
+	Missing []uint64 `json:"missing_numbers,omitempty"` // numbers in that range without a readable record
 	Bytes   int      `json:"bytes"`
 	SHA256  string   `json:"sha256"`
 }
 
-// BatchName is the name of a batch's file; its manifest's ends in .json in place of the format.
+// BatchName returns the name of a batch's file.
 func BatchName(router uint32, batch uint64, f Format) string {
 	return fmt.Sprintf("cdr-%d-%010d.%s", router, batch, f)
 }
 
-// ManifestName is the name of a file's manifest.
+// ManifestName returns the name of the manifest of a batch's file.
 func ManifestName(router uint32, batch uint64) string {
 	return fmt.Sprintf("cdr-%d-%010d.json", router, batch)
 }
 
-// Encode writes a manifest.
+// Encode returns the manifest as JSON.
 func (m *Manifest) Encode() []byte {
 	b, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
@@ -157,7 +161,7 @@
 	return append(b, '\n')
 }
 
-// ParseManifest reads one.
+// ParseManifest parses a manifest. Errors begin with name.
 func ParseManifest(name string, b []byte) (*Manifest, error) {
 	var m Manifest
 	d := json.NewDecoder(strings.NewReader(string(b)))
@@ -168,13 +172,13 @@
 	return &m, nil
 }
 
-// Checksum is a file's checksum as manifests tell it.
+// Checksum returns a file's checksum in the form of the manifest: SHA-256 in hex.
 func Checksum(b []byte) string {
 	s := sha256.Sum256(b)
 	return hex.EncodeToString(s[:])
 }
 
-// ReadIDs reads ids and versions from an exported file.
+// ReadIDs reads the IDs and versions, as "id/version", from an exported file.
 func ReadIDs(f Format, b []byte) (ids []string, err error) {
 	if f == Parquet {
 		rows, err := parquet.Read[row](strings.NewReader(string(b)), int64(len(b)))
@@ -189,7 +193,7 @@
 		return nil, err
 	}
 	if strings.Join(head, ",") != strings.Join(columns, ",") {
-		return nil, fmt.Errorf("columns are not those of this program")
+		return nil, fmt.Errorf("file has other columns than this version writes")
 	}
 	for {
 		r, err := c.Read()
--- a/internal/cdr/ledger.go
+++ b/internal/cdr/ledger.go
@@ -8,96 +8,105 @@
 	"time"
 )
 
-// Store reads what is kept. A value is the callback's only during the call.
+// Store reads stored records. Callbacks must not keep a key or value after they return.
 type Store interface {
 	Get(key []byte) (value []byte, found bool, err error)
 	Scan(prefix, from []byte, f func(key, value []byte) error) error
 	Last(prefix []byte) (key, value []byte, found bool, err error)
 }
 
-// WriteBatch takes changes that come to be together or not at all.
+// WriteBatch collects changes that are written atomically.
 type WriteBatch interface {
 	Set(key, value []byte)
 	Delete(key []byte)
 }
 
-// Rater says what a call costs.
+// Rater rates calls.
 type Rater interface{ Rate(r *Record) Charge }
 
-// Keys. Records lie under numbers without gaps, in the order in which they were written: what is missing shows. A
-// mark stands for a call that was answered and has no record yet.
+// Keys in the store. Records are stored under consecutive numbers in the order in which they were written, so that
+// a missing record shows as a gap. An open-call entry stands for a call that was answered and has no record yet.
 const (
-	prefixMark   = 'b' // id: the record as far as it is known
-	prefixNumber = 'n' // number: the record
-	prefixID     = 'i' // id and version: its number
-	prefixLife   = 'l' // life: when it began, and the last number before it
-	keyAlive     = "a" // when this life was last known to run
-	keyTrimmed   = "t" // the last number that was deleted after its export
+	// prefixOpenCall and an ID give an open-call entry: the record as far as it is known.
+	prefixOpenCall = 'b'
+	// prefixNumber and a number give a record.
+	prefixNumber = 'n'
+	// prefixID, an ID and a version give the number of a record.
+	prefixID = 'i'
+	// prefixIncarnation and an incarnation give its start and the last number before it.
+	prefixIncarnation = 'l'
+	// keyHeartbeat gives the current incarnation and when it was last known to run.
+	keyHeartbeat = "a"
+	// keyTrimmed gives the last number that was deleted after its export.
+	keyTrimmed = "t"
 )
 
-// RecordKey is where the record with a number lies.
+// RecordKey returns the key of the record with a number.
 func RecordKey(n uint64) []byte { return binary.BigEndian.AppendUint64([]byte{prefixNumber}, n) }
 
-// IDKey is where the number of a version of a call's record lies.
+// IDKey returns the key under which the number of one version of a call's record is stored.
 func IDKey(id ID, version uint16) []byte {
 	return binary.BigEndian.AppendUint16(id.encode([]byte{prefixID}), version)
 }
 
-func markKey(id ID) []byte { return id.encode([]byte{prefixMark}) }
+func openCallKey(id ID) []byte { return id.encode([]byte{prefixOpenCall}) }
 
-func lifeKey(life uint32) []byte { return binary.BigEndian.AppendUint32([]byte{prefixLife}, life) }
+func incarnationKey(incarnation uint32) []byte {
+	return binary.BigEndian.AppendUint32([]byte{prefixIncarnation}, incarnation)
+}
 
-// Item is one thing to be written: an answered call's mark, or a call's record.
+// Item is one thing to be written: the open-call entry of an answered call, or the record of an ended one.
 type Item struct {
 	Open   bool
 	Record Record
 }
 
-// Ledger decides what is written for each item. Its methods that write put what they want into a batch: only once
-// that is durable it counts, and a batch that came to nothing must be followed by a new Ledger. It is not safe for
-// concurrent use.
+// Ledger decides what is written for each item. Its writing methods add their changes to a batch, which
+// counts only once it is durable. After a batch that failed, a new Ledger has to be opened. It is not safe
+// for concurrent use.
 type Ledger struct {
-	keep   Store
-	router uint32
-	life   uint32
-	last   uint64 // the last number given
-	rater  Rater
-	buf    []byte
-	resume []byte // where Recover goes on: what lies before is closed, and would be walked through again
+	store       Store
+	router      uint32
+	incarnation uint32
+	lastNumber  uint64 // last number assigned
+	rater       Rater
+	buf         []byte
+	recoverFrom []byte // key from which Recover continues, so that it does not scan closed entries again
 }
 
-// ErrNumberConflict says that the store's numbers contradict each other.
-var ErrNumberConflict = errors.New("numbers of records contradict each other")
+// ErrNumberConflict means that the numbers in the store contradict each other.
+var ErrNumberConflict = errors.New("record numbers in the store contradict each other")
 
-// OpenLedger reads how far earlier lives came. Begin has to be committed before anything else is.
-func OpenLedger(k Store, router uint32, rater Rater) (*Ledger, error) {
-	l := &Ledger{keep: k, router: router, rater: rater}
+// OpenLedger reads the state that earlier incarnations left. StartIncarnation has to be committed before any
+// other write.
+func OpenLedger(store Store, router uint32, rater Rater) (*Ledger, error) {
+	l := &Ledger{store: store, router: router, rater: rater}
 	var err error
-	if _, l.last, err = numbers(k); err != nil {
+	if _, l.lastNumber, err = numberRange(store); err != nil {
 		return nil, err
 	}
-	key, value, found, err := k.Last([]byte{prefixLife})
+	key, value, found, err := store.Last([]byte{prefixIncarnation})
 	if err != nil {
 		return nil, err
 	}
 	if found {
-		l.life = binary.BigEndian.Uint32(key[1:])
+		l.incarnation = binary.BigEndian.Uint32(key[1:])
 		if len(value) == 16 {
-			// Where records were lost since, their numbers are not given again: Verify shows the gap.
-			l.last = max(l.last, binary.BigEndian.Uint64(value[8:]))
+			// The numbers of records lost since then are not assigned again, so that Verify shows the gap.
+			l.lastNumber = max(l.lastNumber, binary.BigEndian.Uint64(value[8:]))
 		}
 	}
 	return l, nil
 }
 
-// numbers are the first and the last number that the store should hold a record under; the first is above the last
-// where it holds none.
-func numbers(k Store) (first, last uint64, err error) {
-	trimmed, err := LastTrimmed(k)
+// numberRange returns the first and the last number under which the store should hold a record. First is
+// above last if it holds none.
+func numberRange(store Store) (first, last uint64, err error) {
+	trimmed, err := LastTrimmed(store)
 	if err != nil {
 		return 0, 0, err
 	}
-	key, _, found, err := k.Last([]byte{prefixNumber})
+	key, _, found, err := store.Last([]byte{prefixNumber})
 	last = trimmed
 	if err == nil && found {
 		last = max(last, binary.BigEndian.Uint64(key[1:]))
@@ -105,24 +114,25 @@
 	return trimmed + 1, last, err
 }
 
-// StartIncarnation starts a new life.
+// StartIncarnation starts a new incarnation of the router.
 func (l *Ledger) StartIncarnation(b WriteBatch, wall time.Time) {
-	l.life++
-	b.Set(lifeKey(l.life), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, uint64(wall.UnixNano())), l.last))
+	l.incarnation++
+	b.Set(incarnationKey(l.incarnation), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, uint64(wall.UnixNano())), l.lastNumber))
 }
 
-// Incarnation is the present one.
-func (l *Ledger) Incarnation() uint32 { return l.life }
+// Incarnation returns the current incarnation.
+func (l *Ledger) Incarnation() uint32 { return l.incarnation }
 
-// LastNumber is the last number given.
-func (l *Ledger) LastNumber() uint64 { return l.last }
+// LastNumber returns the last number assigned.
+func (l *Ledger) LastNumber() uint64 { return l.lastNumber }
 
-// ID names the how-manieth call of the present life.
-func (l *Ledger) ID(call uint64) ID { return ID{l.router, l.life, call} }
+// ID returns the ID of a call of the current incarnation, by its sequence number.
+func (l *Ledger) ID(call uint64) ID { return ID{l.router, l.incarnation, call} }
 
-// Heartbeat notes that this life runs: what of it stands when it is killed stood until then at least.
+// Heartbeat records that this incarnation is running: if it is killed, its standing calls stood at least
+// until then.
 func (l *Ledger) Heartbeat(b WriteBatch, wall time.Time) {
-	b.Set([]byte(keyAlive), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, l.life), uint64(wall.UnixNano())))
+	b.Set([]byte(keyHeartbeat), binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, l.incarnation), uint64(wall.UnixNano())))
 }
 
 // Put writes items in order.
@@ -131,63 +141,65 @@
 		r := &items[i].Record
 		if items[i].Open {
 			l.buf = r.Encode(l.buf[:0])
-			b.Set(markKey(r.ID), l.buf)
+			b.Set(openCallKey(r.ID), l.buf)
 			continue
 		}
-		l.put(b, r)
+		l.putFirstVersion(b, r)
 		if !r.Answered.IsZero() || r.End == Abandoned {
-			b.Delete(markKey(r.ID)) // a caller may have left between the answer's mark and the answer
+			// A caller may have abandoned the call after its open-call entry was written, before the answer.
+			b.Delete(openCallKey(r.ID))
 		}
 	}
 }
 
-// put writes a first version under the next number.
-func (l *Ledger) put(b WriteBatch, r *Record) {
+// putFirstVersion rates a record and writes its first version.
+func (l *Ledger) putFirstVersion(b WriteBatch, r *Record) {
 	r.Version = 1
 	if l.rater != nil {
 		r.Charge = l.rater.Rate(r)
 	}
-	l.number(b, r)
+	l.putNumbered(b, r)
 }
 
-func (l *Ledger) number(b WriteBatch, r *Record) {
-	l.last++
+// putNumbered writes a record under the next number.
+func (l *Ledger) putNumbered(b WriteBatch, r *Record) {
+	l.lastNumber++
 	l.buf = r.Encode(l.buf[:0])
-	b.Set(RecordKey(l.last), l.buf)
-	b.Set(IDKey(r.ID, r.Version), binary.BigEndian.AppendUint64(nil, l.last))
+	b.Set(RecordKey(l.lastNumber), l.buf)
+	b.Set(IDKey(r.ID, r.Version), binary.BigEndian.AppendUint64(nil, l.lastNumber))
 }
 
-// alive reads when a life was last known to run.
-func (l *Ledger) alive(life uint32) (time.Time, error) {
-	v, found, err := l.keep.Get([]byte(keyAlive))
-	if err != nil || !found || len(v) != 12 || binary.BigEndian.Uint32(v) != life {
+// lastHeartbeat returns when an incarnation was last known to run, or the zero time if that is not known.
+func (l *Ledger) lastHeartbeat(incarnation uint32) (time.Time, error) {
+	v, found, err := l.store.Get([]byte(keyHeartbeat))
+	if err != nil || !found || len(v) != 12 || binary.BigEndian.Uint32(v) != incarnation {
 		return time.Time{}, err
 	}
 	return time.Unix(0, int64(binary.BigEndian.Uint64(v[4:]))).UTC(), nil
 }
 
-// Recover closes up to limit calls that stood when an earlier life was killed: each gets its record and loses its
-// mark in the same batch, so a crash in the middle closes none twice. It is called, and its batch committed, until it
-// returns 0; new calls may be taken meanwhile, under numbers of their own.
+// Recover closes up to limit calls that stood when an earlier incarnation was killed. Each gets its record
+// and loses its open-call entry in the same batch, so that a crash in between closes none twice. It has to be
+// called, and its batch committed, until it returns 0. New calls can be taken meanwhile.
 //
-// Marks that cannot be read are told to damaged and taken out; what is left of them is the id.
+// Open-call entries that cannot be decoded are passed to damaged and deleted; their record holds only the ID.
 func (l *Ledger) Recover(b WriteBatch, limit int, damaged func(id ID, err error)) (closed int, err error) {
-	seen := map[uint32]time.Time{}
-	err = l.keep.Scan([]byte{prefixMark}, l.resume, func(key, value []byte) error {
+	heartbeats := map[uint32]time.Time{}
+	err = l.store.Scan([]byte{prefixOpenCall}, l.recoverFrom, func(key, value []byte) error {
 		if len(key) != 1+idSize {
-			return fmt.Errorf("mark %x: no id", key)
+			return fmt.Errorf("open-call entry %x: key has no call id", key)
 		}
-		l.resume = append(l.resume[:0], key...)
+		l.recoverFrom = append(l.recoverFrom[:0], key...)
 		id := decodeID(key[1:])
-		if id.Incarnation == l.life {
+		if id.Incarnation == l.incarnation {
 			return nil
 		}
 		if closed == limit {
-			return errStop
+			return errLimitReached
 		}
 		closed++
 		b.Delete(slices.Clone(key))
-		if _, found, err := l.keep.Get(IDKey(id, 1)); err != nil || found {
+		if _, found, err := l.store.Get(IDKey(id, 1)); err != nil || found {
 			return err
 		}
 		r, err := Decode(value)
@@ -195,38 +207,40 @@
 			damaged(id, err)
 			r = &Record{ID: id, Origin: -1, Dest: -1}
 		}
-		at, ok := seen[id.Incarnation]
+		at, ok := heartbeats[id.Incarnation]
 		if !ok {
-			if at, err = l.alive(id.Incarnation); err != nil {
+			if at, err = l.lastHeartbeat(id.Incarnation); err != nil {
 				return err
 			}
-			seen[id.Incarnation] = at
+			heartbeats[id.Incarnation] = at
 		}
-		l.closeKilled(r, at)
-		l.put(b, r)
+		l.closeRecovered(r, at)
+		l.putFirstVersion(b, r)
 		return nil
 	})
-	if errors.Is(err, errStop) {
+	if errors.Is(err, errLimitReached) {
 		err = nil
 	}
 	return closed, err
 }
 
-var errStop = errors.New("enough")
+var errLimitReached = errors.New("enough")
 
-// closeKilled makes a mark the record of a call whose router was killed: it stood until it was last seen, at least.
-func (l *Ledger) closeKilled(r *Record, alive time.Time) {
+// closeRecovered turns an open-call entry into the record of a call whose router was killed: the call stood
+// at least until it was last seen.
+func (l *Ledger) closeRecovered(r *Record, heartbeat time.Time) {
 	r.End, r.EndSource, r.LastSeen = Answered, EndedByRecovery, r.Answered
-	if alive.After(r.LastSeen) {
-		r.LastSeen = alive // the clock may have been set back since the answer: then that is all that is known
+	// If the clock was set back after the answer, the heartbeat may be earlier: then the answer counts.
+	if heartbeat.After(r.LastSeen) {
+		r.LastSeen = heartbeat
 	}
 	r.Ended = r.LastSeen
 	r.Duration = r.LastSeen.Sub(r.Answered)
 }
 
-// ReadRecord finds the record with a number.
-func ReadRecord(k Store, n uint64) (*Record, bool, error) {
-	v, found, err := k.Get(RecordKey(n))
+// ReadRecord returns the record with a number, and whether there is one.
+func ReadRecord(store Store, n uint64) (*Record, bool, error) {
+	v, found, err := store.Get(RecordKey(n))
 	if err != nil || !found {
 		return nil, found, err
 	}
@@ -234,14 +248,14 @@
 	return r, true, err
 }
 
-// Versions finds all versions of a call's record, oldest first.
-func Versions(k Store, id ID) (out []*Record, err error) {
+// Versions returns all versions of a call's record, oldest first.
+func Versions(store Store, id ID) (out []*Record, err error) {
 	prefix := id.encode([]byte{prefixID})
-	err = k.Scan(prefix, nil, func(_, value []byte) error {
+	err = store.Scan(prefix, nil, func(_, value []byte) error {
 		if len(value) != 8 {
 			return fmt.Errorf("%w: call %v", ErrNumberConflict, id)
 		}
-		r, found, err := ReadRecord(k, binary.BigEndian.Uint64(value))
+		r, found, err := ReadRecord(store, binary.BigEndian.Uint64(value))
 		if err == nil && found {
 			out = append(out, r)
 		}
@@ -250,48 +264,50 @@
 	return out, err
 }
 
-// Rerate writes a new version of a call's record with another charge; the versions before stay as they are.
+// Rerate rates a call's newest record again and writes a new version if the charge differs; earlier versions
+// stay as they are. It returns the newest version.
 func (l *Ledger) Rerate(b WriteBatch, id ID, rater Rater) (*Record, error) {
-	all, err := Versions(l.keep, id)
+	all, err := Versions(l.store, id)
 	if err != nil {
 		return nil, err
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("call %v: no record", id)
+		return nil, fmt.Errorf("call %v: no record in the store", id)
 	}
 	r := *all[len(all)-1]
 	charge := rater.Rate(&r)
 	if charge.Equal(r.Charge) {
-		return &r, nil // it says so already: a second asking changes nothing
+		return &r, nil // rating again must not add a version
 	}
 	r.Version++
 	r.Charge = charge
-	l.number(b, &r)
+	l.putNumbered(b, &r)
 	return &r, nil
 }
 
-// LastTrimmed is the last number that was deleted after its export; 0 is none.
-func LastTrimmed(k Store) (uint64, error) {
-	v, found, err := k.Get([]byte(keyTrimmed))
+// LastTrimmed returns the last number that was deleted after its export, 0 if none was.
+func LastTrimmed(store Store) (uint64, error) {
+	v, found, err := store.Get([]byte(keyTrimmed))
 	if err != nil || !found {
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, fmt.Errorf("%w: trimmed", ErrNumberConflict)
+		return 0, fmt.Errorf("%w: last trimmed number is malformed", ErrNumberConflict)
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// Trim deletes records up to a number, as far as they ended before a time; at most limit of them. What lies at
-// numbers that cannot be read goes too: it is reported by Verify while it is there.
-func Trim(k Store, b WriteBatch, upTo uint64, before time.Time, limit int) (n int, err error) {
-	from, err := LastTrimmed(k)
+// Trim deletes up to limit records, in order of their numbers, up to a number and up to the first that ended
+// at or after a time. It returns how many numbers it deleted. Records that cannot be read are deleted too;
+// Verify reports them while they are stored.
+func Trim(store Store, b WriteBatch, upTo uint64, before time.Time, limit int) (n int, err error) {
+	from, err := LastTrimmed(store)
 	if err != nil {
 		return 0, err
 	}
 	last := from
 	for at := from + 1; at <= upTo && n < limit; at++ {
-		r, found, err := ReadRecord(k, at)
+		r, found, err := ReadRecord(store, at)
 		if err == nil && found {
 			if !r.Ended.Before(before) {
 				break
--- a/internal/cdr/rate.go
+++ b/internal/cdr/rate.go
@@ -5,37 +5,44 @@
 	"time"
 )
 
-// Notes of charges.
+// Notes of charges. They are stored in records.
 const (
+	// NoteNotAnswered is for calls that cost nothing because they were never answered.
 	NoteNotAnswered = "not answered"
-	NoteFree        = "free"
-	NoteEmergency   = "emergency"
-	NoteNoTariff    = "no tariff was in force"
-	NoteNoRate      = "no rate of the tariff is for this call"
+	// NoteFree is for calls with a free rate.
+	NoteFree = "free"
+	// NoteEmergency is for emergency calls, which are free.
+	NoteEmergency = "emergency"
+	// NoteNoTariff is for unrated calls at a time without tariff.
+	NoteNoTariff = "no tariff was in force"
+	// NoteNoRate is for unrated calls that no rate of the tariff applies to.
+	NoteNoRate = "no rate of the tariff is for this call"
 )
 
-// maxSegments bounds the changes of rate within one call: a call of years, by a clock gone wrong, is not walked through.
+// maxSegments bounds the changes of rate within one call, so that a call of years, from a wrong clock, does
+// not take long to rate.
 const maxSegments = 10_000
 
-// Rate says what a call costs. The set-up fee, the minimum and the step are those in force at the answer; each part of
-// the length is charged by what was in force during it, and what minimum and step add by what was at the end. A call
-// that was never answered costs nothing. A call any part of which no rate is for is unrated as a whole.
+// Rate returns the charge of a call. Set-up fee, minimum and step are those in force at the answer. Each part
+// of the duration is charged at the rate in force during it; what minimum and step add is charged at the last
+// rate. A call that was never answered costs nothing. A call is unrated as a whole if no rate applies to some
+// part of it.
 func (t *Tariffs) Rate(r *Record) Charge {
 	if r.Answered.IsZero() {
-		v, _ := t.at(r, r.Offered)
+		v, _ := t.lookup(r, r.Offered)
 		if v == nil {
 			return Charge{Note: NoteNoTariff}
 		}
-		return Charge{Tariff: v.ID(), Amount: t.amount(new(big.Rat)), Currency: t.Currency, Note: NoteNotAnswered}
+		return Charge{Tariff: v.ID(), Amount: t.formatAmount(new(big.Rat)), Currency: t.Currency, Note: NoteNotAnswered}
 	}
-	v, first := t.at(r, r.Answered)
+	v, first := t.lookup(r, r.Answered)
 	switch {
 	case v == nil:
 		return Charge{Note: NoteNoTariff}
 	case first == nil:
 		return Charge{Note: NoteNoRate}
 	}
-	c := Charge{Tariff: v.ID(), Currency: t.Currency, Billed: billed(first, r.Duration)}
+	c := Charge{Tariff: v.ID(), Currency: t.Currency, Billed: billedDuration(first, r.Duration)}
 	switch {
 	case first.Emergency:
 		c.Note, c.Billed = NoteEmergency, 0
@@ -47,18 +54,18 @@
 		sum.Set(first.SetUp)
 	}
 	if c.Note == "" {
-		note, ok := t.charge(sum, r, c.Billed)
+		note, ok := t.addCharges(sum, r, c.Billed)
 		if !ok {
 			return Charge{Note: note}
 		}
 	}
 	sum.Mul(sum, new(big.Rat).SetInt64(int64(max(1, r.Width))))
-	c.Amount = t.amount(sum)
+	c.Amount = t.formatAmount(sum)
 	return c
 }
 
-// billed is a length brought to the minimum and up to whole steps.
-func billed(rate *Rate, length time.Duration) time.Duration {
+// billedDuration raises a duration to the minimum and rounds it up to whole steps.
+func billedDuration(rate *Rate, length time.Duration) time.Duration {
 	d := max(length, rate.Minimum, 0)
 	if s := rate.Step; s > 0 && d%s != 0 {
 		d += s - d%s
@@ -66,12 +73,13 @@
 	return d
 }
 
-// charge adds the price of each part of a call.
-func (t *Tariffs) charge(sum *big.Rat, r *Record, bill time.Duration) (note string, ok bool) {
+// addCharges adds the price of each part of a call to sum. If it cannot, it returns the note for the unrated
+// call.
+func (t *Tariffs) addCharges(sum *big.Rat, r *Record, bill time.Duration) (note string, ok bool) {
 	at, left := r.Answered, bill
 	length := r.Duration
 	for range maxSegments {
-		v, rate := t.at(r, at)
+		v, rate := t.lookup(r, at)
 		switch {
 		case v == nil:
 			return NoteNoTariff, false
@@ -82,7 +90,7 @@
 		if until := t.nextChange(v, at).Sub(at); until < length {
 			part, length = min(until, left), length-until
 		} else {
-			length = 0 // the rest of the length, and what minimum and step add
+			length = 0 // the rest of the duration, and what minimum and step add
 		}
 		if rate.PerMinute != nil && !rate.Free && !rate.Emergency {
 			x := new(big.Rat).SetFrac64(int64(part), int64(time.Minute))
@@ -96,5 +104,5 @@
 	return "more changes of rate than a call can have", false
 }
 
-// amount writes a sum to the currency's places, half up.
-func (t *Tariffs) amount(sum *big.Rat) string { return sum.FloatString(t.Places) }
+// formatAmount formats a sum with the currency's decimals, rounded half up.
+func (t *Tariffs) formatAmount(sum *big.Rat) string { return sum.FloatString(t.Places) }
--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -1,6 +1,7 @@
-// Package cdr keeps call detail records: one for each call taken, whatever its end. It decides what is written when,
-// how a call is closed that was open when the process was killed, how calls are rated, and what goes into which export
-// batch. It has no I/O and no clock; what it keeps goes through the Keeper it is given.
+// Package cdr implements call detail records: one for each call, whatever its end. It decides what is written when,
+// how a call is closed that was open when the process was killed, how calls are rated, and which records go into
+// which export batch. It has no clock and does no I/O of its own: it reads through a Store and writes to a
+// WriteBatch.
 package cdr
 
 import (
@@ -10,7 +11,8 @@
 	"time"
 )
 
-// ID names one call, for ever: the router that took it, which of its lives it was, and the how-manieth call of that.
+// ID identifies one call, permanently: the router that took it, the incarnation of that router, and the call's
+// sequence number in that incarnation.
 type ID struct {
 	Router      uint32 `json:"router"`
 	Incarnation uint32 `json:"life"`
@@ -19,100 +21,113 @@
 
 func (id ID) String() string { return fmt.Sprintf("%d-%d-%d", id.Router, id.Incarnation, id.Call) }
 
-// ParseID reads what String writes.
+// ParseID parses the form that String returns.
 func ParseID(s string) (id ID, err error) {
 	parts := strings.Split(s, "-")
-	bad := fmt.Errorf("%q is no call id such as \"3-17-4711\" (router, life, call)", s)
+	bad := fmt.Errorf("invalid call id %q, must be like \"3-17-4711\" (router, incarnation, call)", s)
 	if len(parts) != 3 {
 		return id, bad
 	}
 	router, err1 := strconv.ParseUint(parts[0], 10, 32)
-	life, err2 := strconv.ParseUint(parts[1], 10, 32)
+	incarnation, err2 := strconv.ParseUint(parts[1], 10, 32)
 	call, err3 := strconv.ParseUint(parts[2], 10, 64)
 	if err1 != nil || err2 != nil || err3 != nil {
 		return id, bad
 	}
-	return ID{uint32(router), uint32(life), call}, nil
+	return ID{uint32(router), uint32(incarnation), call}, nil
 }
 
-// MarshalText writes an id as String does.
+// MarshalText returns the same as String.
 func (id ID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText parses the form that String returns.
 func (id *ID) UnmarshalText(b []byte) (err error) {
 	*id, err = ParseID(string(b))
 	return err
 }
 
-// End tells how a call ended for its caller.
+// End is the way a call ended for its caller. Its zero value is none.
 type End uint8
 
 // Ends of a call.
 const (
-	Answered  End = iota + 1 // it was answered, and released by either end
-	Cut                      // it was answered, and cut
-	Refused                  // turned away
-	Failed                   // given up
-	Abandoned                // the caller hung up before any answer
+	// Answered calls were answered and released by either end.
+	Answered End = iota + 1
+	// Cut calls were answered and then cut.
+	Cut
+	// Refused calls were rejected.
+	Refused
+	// Failed calls were ended by the router without an answer.
+	Failed
+	// Abandoned calls were released by the caller before any answer.
+	Abandoned
 )
 
 var endNames = []string{"", "stood", "cut", "refused", "failed", "left"}
 
-func (e End) String() string { return nameOf(endNames, int(e)) }
+func (e End) String() string { return enumName(endNames, int(e)) }
 
-// MarshalText writes an end's name.
+// MarshalText returns the name of the end.
 func (e End) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// UnmarshalText reads it.
-func (e *End) UnmarshalText(b []byte) error { return valueOf(endNames, "end", b, (*uint8)(e)) }
+// UnmarshalText parses the name of an end.
+func (e *End) UnmarshalText(b []byte) error { return parseEnum(endNames, "end", b, (*uint8)(e)) }
 
-// EndSource tells how the end of a call is known.
+// EndSource is the source from which the end of a call is known. Its zero value is none.
 type EndSource uint8
 
-// Ways to know a call's end.
+// Sources of a call's end.
 const (
-	EndedByRouter   EndSource = iota + 1 // the router gave the final answer
-	EndedByCaller                        // the caller's end released it
-	EndedByFarEnd                        // the far end released it
-	EndedByLoss                          // an end was lost
-	EndedByTimer                         // the watchdog ended it
-	EndedByRecovery                      // the router was killed while it stood: its end lies after Seen, and is not known
+	// EndedByRouter is a final answer of the router.
+	EndedByRouter EndSource = iota + 1
+	// EndedByCaller is a release by the caller's side.
+	EndedByCaller
+	// EndedByFarEnd is a release by the far end.
+	EndedByFarEnd
+	// EndedByLoss is the loss of either side of the call.
+	EndedByLoss
+	// EndedByTimer is a release by the watchdog.
+	EndedByTimer
+	// EndedByRecovery is a router that was killed during the call, which ended at an unknown time after LastSeen.
+	EndedByRecovery
 )
 
-var knownNames = []string{"", "router", "caller", "far end", "loss", "timer", "recovery"}
+var endSourceNames = []string{"", "router", "caller", "far end", "loss", "timer", "recovery"}
 
-func (k EndSource) String() string { return nameOf(knownNames, int(k)) }
+func (s EndSource) String() string { return enumName(endSourceNames, int(s)) }
 
-// MarshalText writes its name.
-func (k EndSource) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+// MarshalText returns the name of the source.
+func (s EndSource) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads it.
-func (k *EndSource) UnmarshalText(b []byte) error {
-	return valueOf(knownNames, "known", b, (*uint8)(k))
+// UnmarshalText parses the name of a source.
+func (s *EndSource) UnmarshalText(b []byte) error {
+	return parseEnum(endSourceNames, "known", b, (*uint8)(s))
 }
 
-func nameOf(names []string, i int) string {
+// enumName returns the name of an enum value, or its number if it has none.
+func enumName(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
 	return strconv.Itoa(i)
 }
 
-func valueOf(names []string, what string, b []byte, v *uint8) error {
+// parseEnum sets v to the enum value with a name. Errors name the kind of value.
+func parseEnum(names []string, kind string, b []byte, v *uint8) error {
 	for i, n := range names {
 		if n == string(b) && n != "" {
 			*v = uint8(i)
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: %q is none of %s", what, b, strings.Join(names[1:], ", "))
+	return fmt.Errorf("%s: unknown value %q, must be one of %s", kind, b, strings.Join(names[1:], ", "))
 }
 
 // Attempt is one set-up of a call.
 type Attempt struct {
-	Exchange int           `json:"exchange"` // number it was sent to; -1 unknown
+	Exchange int           `json:"exchange"` // number of the exchange it was sent to; -1 if unknown
 	Tandem   bool          `json:"tandem,omitempty"`
-	Front    string        `json:"front,omitempty"` // empty where it could not leave
+	Front    string        `json:"front,omitempty"` // empty if it was not sent
 	Circuit  int           `json:"circuit,omitempty"`
 	After    time.Duration `json:"after_ns"` // since the offer
 	Took     time.Duration `json:"took_ns"`
@@ -120,11 +135,11 @@
 	Cause    uint8         `json:"cause,omitempty"`
 }
 
-// Record is what is kept of one call. Times of day are by the router's clock at that moment, lengths by its monotonic
-// one: where the clock was set in mid-call they disagree, and Stepped says by how much.
+// Record is the record of one call. Times of day are by the router's wall clock at that moment, durations by
+// its monotonic clock. If the wall clock was set during the call they disagree by ClockStep.
 type Record struct {
 	ID        ID            `json:"id"`
-	Version   uint16        `json:"version"` // 1, and one more for each time it was rated again
+	Version   uint16        `json:"version"` // 1, plus one for each time it was rated again
 	End       End           `json:"end"`
 	Cause     uint8         `json:"cause"` // Q.850
 	EndSource EndSource     `json:"known"`
@@ -136,14 +151,14 @@
 	Context   string        `json:"context,omitempty"`
 	Front     string        `json:"front"`
 	Circuit   int           `json:"circuit,omitempty"`
-	Origin    int           `json:"origin"` // exchange whose group it came over; -1 a subscriber
+	Origin    int           `json:"origin"` // exchange whose group it came over; -1 for a subscriber
 	Dest      int           `json:"dest"`
 	Transit   bool          `json:"transit,omitempty"`
 	Width     int           `json:"width"`
 	Offered   time.Time     `json:"offered"`
 	Answered  time.Time     `json:"answered,omitzero"`
 	Ended     time.Time     `json:"ended"`
-	LastSeen  time.Time     `json:"seen,omitzero"` // of ByRecovery: when it was last known to stand
+	LastSeen  time.Time     `json:"seen,omitzero"` // with EndedByRecovery: when the call was last known to stand
 	SetUp     time.Duration `json:"setup_ns"`
 	Duration  time.Duration `json:"length_ns"`
 	ClockStep time.Duration `json:"stepped_ns,omitempty"`
@@ -151,17 +166,17 @@
 	Charge    Charge        `json:"charge"`
 }
 
-// Charge is what a call costs.
+// Charge is the price of a call.
 type Charge struct {
-	Tariff   string        `json:"tariff,omitempty"` // name and version that it was rated by; empty: unrated
-	Amount   string        `json:"amount,omitempty"` // decimal, exact to the currency's places
+	Tariff   string        `json:"tariff,omitempty"` // name and version of the tariff; empty if unrated
+	Amount   string        `json:"amount,omitempty"` // decimal with the currency's number of places
 	Currency string        `json:"currency,omitempty"`
 	Billed   time.Duration `json:"billed_ns,omitempty"`
-	Note     string        `json:"note,omitempty"` // free, emergency, not answered; or why it is unrated
+	Note     string        `json:"note,omitempty"` // free, emergency, not answered, or why the call is unrated
 }
 
-// Rated tells whether a tariff said what the call costs.
+// Rated reports whether the call was rated by a tariff.
 func (c Charge) Rated() bool { return c.Tariff != "" }
 
-// Equal tells whether two charges say the same; two that are unrated do, whatever the reason.
+// Equal reports whether two charges are equal. Any two unrated charges are.
 func (c Charge) Equal(o Charge) bool { return c == o || !c.Rated() && !o.Rated() }
--- a/internal/cdr/report.go
+++ b/internal/cdr/report.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Filter picks records; what is zero picks all.
+// Filter selects records. Fields that are zero select all.
 type Filter struct {
-	From, To       time.Time // of the offer; To is not included
+	From, To       time.Time // time of the offer, excluding To
 	Class, Tenant  string
 	End            string
-	Called         string // its beginning
-	Calling        string
+	Called         string // prefix of the number
+	Calling        string // prefix of the number
 	Unrated        bool
 	ID             *ID
-	NewestVersions bool // of each call only the last
+	NewestVersions bool // only the newest version of each call
 }
 
-// Matches tells whether a record is picked; NewestVersions is the reader's to see to.
+// Matches reports whether a record is selected. It does not check NewestVersions.
 func (f *Filter) Matches(r *Record) bool {
 	begins := func(s, prefix string) bool { return len(s) >= len(prefix) && s[:len(prefix)] == prefix }
 	return (f.From.IsZero() || !r.Offered.Before(f.From)) && (f.To.IsZero() || r.Offered.Before(f.To)) &&
@@ -29,18 +29,18 @@
 		(!f.Unrated || !r.Charge.Rated()) && (f.ID == nil || r.ID == *f.ID)
 }
 
-// Each calls f for all records that fit, in the order of their numbers; records that cannot be read are told to
-// damaged.
-func (f *Filter) Each(k Store, damaged func(n uint64, err error), do func(n uint64, r *Record) error) error {
-	first, last, err := numbers(k)
+// Each calls do for all selected records, in order of their numbers. Records that cannot be read are passed
+// to damaged.
+func (f *Filter) Each(store Store, damaged func(n uint64, err error), do func(n uint64, r *Record) error) error {
+	first, last, err := numberRange(store)
 	if err != nil {
 		return err
 	}
 	for n := first; n <= last; n++ {
-		r, found, err := ReadRecord(k, n)
+		r, found, err := ReadRecord(store, n)
 		if err != nil || !found {
 			if err == nil {
-				err = fmt.Errorf("no record")
+				err = fmt.Errorf("no record in the store")
 			}
 			damaged(n, err)
 			continue
@@ -49,7 +49,7 @@
 			continue
 		}
 		if f.NewestVersions {
-			if _, newer, err := k.Get(IDKey(r.ID, r.Version+1)); err != nil || newer {
+			if _, newer, err := store.Get(IDKey(r.ID, r.Version+1)); err != nil || newer {
 				continue
 			}
 		}
@@ -67,7 +67,7 @@
 	Tenant   string         `json:"tenant"`
 	Calls    int            `json:"calls"`
 	Ends     map[string]int `json:"ends"`
-	Minutes  float64        `json:"minutes"` // that calls stood
+	Minutes  float64        `json:"minutes"` // total duration of the calls
 	Charge   string         `json:"charge"`
 	Currency string         `json:"currency,omitempty"`
 	Unrated  int            `json:"unrated"`
@@ -75,13 +75,13 @@
 	places   int
 }
 
-// Report adds up records by day, class and tenant. Days are local ones of its zone.
+// Report adds up records by day, class, tenant and currency. Days are local days of Zone.
 type Report struct {
 	Zone  *time.Location
 	lines map[[4]string]*Line
 }
 
-// Add counts a record; only the newest version of a call may be added.
+// Add counts a record. Only the newest version of each call may be added.
 func (p *Report) Add(r *Record) error {
 	if p.lines == nil {
 		p.lines = map[[4]string]*Line{}
@@ -102,7 +102,7 @@
 	}
 	x, ok := new(big.Rat).SetString(r.Charge.Amount)
 	if !ok {
-		return fmt.Errorf("call %v: amount %q is no decimal", r.ID, r.Charge.Amount)
+		return fmt.Errorf("call %v: invalid amount %q, must be a decimal", r.ID, r.Charge.Amount)
 	}
 	l.sum.Add(l.sum, x)
 	if places, ok := decimals(r.Charge.Amount); ok {
@@ -111,6 +111,7 @@
 	return nil
 }
 
+// decimals returns the number of decimals of an amount, and whether it has any.
 func decimals(amount string) (int, bool) {
 	for i := range len(amount) {
 		if amount[i] == '.' {
@@ -120,7 +121,7 @@
 	return 0, false
 }
 
-// Lines are the report's, by day, class and tenant.
+// Lines returns the lines of the report, ordered by day, class, tenant and currency.
 func (p *Report) Lines() (out []Line) {
 	for _, l := range p.lines {
 		l.Charge = l.sum.FloatString(l.places)
--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -1,5 +1,5 @@
-// Package export carries batches of call detail records to where they are wanted: a directory, or a receiver that
-// speaks tus 1.0 (resumable uploads over HTTP). What goes when is decided by cdr.Export; this package does the I/O.
+// Package export delivers batches of call detail records to a target: a directory, or a receiver that speaks tus 1.0
+// (resumable uploads over HTTP). cdr.Export decides what is sent when; this package does the I/O.
 package export
 
 import (
@@ -15,23 +15,26 @@
 	"pipitring/internal/store"
 )
 
-// Target takes batches. A batch may come again, whole or in part: taking it twice must leave it there once.
+// Target receives batches. A batch may be sent again, whole or in part, and must be stored only once.
 type Target interface {
-	// Prepare makes room for a batch and returns what the target calls it; a batch that was placed before names that.
-	Prepare(ctx context.Context, s *cdr.Delivery) (where string, err error)
-	// Send brings a placed batch's bytes over and returns when the target has confirmed that it holds all of them.
+	// Prepare prepares the target for a batch and returns the batch's location there. A batch that was prepared
+	// before has its location in the delivery.
+	Prepare(ctx context.Context, s *cdr.Delivery) (location string, err error)
+	// Send sends the content of a prepared batch and returns once the target has confirmed that it holds all of
+	// it.
 	Send(ctx context.Context, s *cdr.Delivery, content []byte) error
 	Close() error
 }
 
-// ErrUnknownUpload says that the target no longer knows a batch that was placed: it has to be placed anew.
-var ErrUnknownUpload = errors.New("the target does not know this batch any more")
+// ErrUnknownUpload means that the target no longer knows a batch that was prepared: it has to be prepared
+// again.
+var ErrUnknownUpload = errors.New("upload no longer exists at the target")
 
-// ErrLocked says that another exporter writes to the same place.
-var ErrLocked = errors.New("another exporter writes there")
+// ErrLocked means that another exporter writes to the same directory.
+var ErrLocked = errors.New("another exporter writes to this directory")
 
-// Directory is a directory that complete files appear in. Each file gets its manifest after it, and both appear by
-// a rename of what was synced.
+// Directory is a target that stores batches as files. The manifest of a file is written after it. Both are
+// synced and then renamed, so that only complete files appear.
 type Directory struct {
 	fs   vfs.FS
 	dir  string
@@ -40,7 +43,8 @@
 
 const lockName = ".pipitring-export"
 
-// OpenDirectory takes a directory, which is made if need be, for one exporter; of two the second gets ErrTaken.
+// OpenDirectory locks a directory for one exporter and creates it if it does not exist. A second exporter
+// gets ErrLocked.
 func OpenDirectory(fs vfs.FS, dir string) (*Directory, error) {
 	if err := store.MkdirAllSync(fs, dir, 0o750); err != nil {
 		return nil, err
@@ -52,10 +56,10 @@
 	return &Directory{fs, dir, lock}, nil
 }
 
-// Close lets the directory go.
+// Close unlocks the directory.
 func (d *Directory) Close() error { return d.lock.Close() }
 
-// Prepare names the file.
+// Prepare returns the path of the batch's file.
 func (d *Directory) Prepare(_ context.Context, s *cdr.Delivery) (string, error) {
 	return d.fs.PathJoin(d.dir, s.File), nil
 }
@@ -68,16 +72,16 @@
 	return store.WriteFileAtomic(d.fs, d.fs.PathJoin(d.dir, cdr.ManifestName(s.Router, s.Batch)), s.Manifest.Encode())
 }
 
-// Files reads a directory's files.
+// Files reads the files of an export directory.
 type Files struct {
 	FS  vfs.FS
 	Dir string
 }
 
-// List names the files.
+// List returns the names of the files.
 func (f Files) List() ([]string, error) { return f.FS.List(f.Dir) }
 
-// Read reads one.
+// Read returns the content of a file.
 func (f Files) Read(name string) ([]byte, error) {
 	file, err := f.FS.Open(f.FS.PathJoin(f.Dir, name))
 	if err != nil {
@@ -87,11 +91,12 @@
 	return b, errors.Join(err, file.Close())
 }
 
-// Commit makes what build puts into a batch durable.
+// Commit calls build with a batch and makes the changes in it durable.
 type Commit func(build func(b cdr.WriteBatch) error) error
 
-// SendNext does the next thing there is to do for an export: it sends one batch, or finds none. again is when there may
-// be more to do. Everything is kept before the next thing follows, so that a crash anywhere repeats the same batch.
+// SendNext performs the next step of an export: it sends one batch, or none if there is none to send. again
+// is the time of the next call. Each state change is durable before the next step, so that a crash at any
+// point repeats the same batch.
 func SendNext(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit Commit) (sent bool,
 	again time.Time, err error) {
 	var s *cdr.Delivery
@@ -110,14 +115,16 @@
 	return true, now(), commit(func(b cdr.WriteBatch) error { e.MarkConfirmed(now(), b); return nil })
 }
 
+// deliver prepares a batch if needed and sends it. If the target no longer knows the upload, it is prepared
+// and sent once more.
 func deliver(ctx context.Context, e *cdr.Export, t Target, s *cdr.Delivery, content []byte, commit Commit) error {
 	for again := 0; ; again++ {
 		if s.Location == "" {
-			where, err := t.Prepare(ctx, s)
+			location, err := t.Prepare(ctx, s)
 			if err != nil {
 				return err
 			}
-			if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced(where, b); return nil }); err != nil {
+			if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced(location, b); return nil }); err != nil {
 				return err
 			}
 		}
--- a/internal/export/tus.go
+++ b/internal/export/tus.go
@@ -16,25 +16,28 @@
 	"pipitring/internal/cdr"
 )
 
-// Tus sends batches to a receiver by tus 1.0.0 with its creation extension: POST makes an upload, HEAD tells how much
-// of it is there, PATCH adds from there on. The upload's metadata name the batch, by which a receiver that was sent
-// one twice, since its own answer was lost, knows it again.
+// Tus is a target that uploads batches with tus 1.0.0 and its creation extension: POST creates an upload, HEAD returns
+// how much of it has arrived, PATCH appends from there on. The metadata of an upload identify the batch, so that the
+// receiver recognises one that is sent twice because its own answer was lost.
 type Tus struct {
-	URL       string // where uploads are made
+	URL       string // address for new uploads
 	Client    *http.Client
-	ChunkSize int // bytes of one PATCH; 0 is all that is left
-	Token     string
+	ChunkSize int    // most bytes in one PATCH; 0 is no limit
+	Token     string // bearer token, empty for none
 }
 
 const (
 	tusVersion = "1.0.0"
-	tusTries   = 4 // resumptions of one upload within one Send
-	tusBody    = 4 << 10
+	// tusMaxResumptions is how often one Send resumes an upload.
+	tusMaxResumptions = 4
+	// tusMaxDrain is how many bytes of an answer's body are read so that its connection can be used again.
+	tusMaxDrain = 4 << 10
 )
 
-// Close has nothing to do.
+// Close does nothing.
 func (t *Tus) Close() error { return nil }
 
+// request returns a request with the headers that all requests have.
 func (t *Tus) request(ctx context.Context, method, to string, body io.Reader) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, method, to, body)
 	if err != nil {
@@ -47,17 +50,17 @@
 	return q, nil
 }
 
-// do sends a request and takes the answer, whose body is of no use.
-func (t *Tus) do(q *http.Request) (*http.Response, error) {
+// roundTrip sends a request and returns the answer, whose body is discarded.
+func (t *Tus) roundTrip(q *http.Request) (*http.Response, error) {
 	resp, err := t.Client.Do(q)
 	if err != nil {
 		return nil, err
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, tusBody)) // so that the connection can be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, tusMaxDrain)) // so that the connection can be used again
 	return resp, resp.Body.Close()
 }
 
-// Prepare makes an upload.
+// Prepare creates an upload and returns its address.
 func (t *Tus) Prepare(ctx context.Context, s *cdr.Delivery) (string, error) {
 	q, err := t.request(ctx, http.MethodPost, t.URL, nil)
 	if err != nil {
@@ -65,23 +68,24 @@
 	}
 	q.Header.Set("Upload-Length", strconv.Itoa(s.Bytes))
 	q.Header.Set("Upload-Metadata", metadata(s))
-	resp, err := t.do(q)
+	resp, err := t.roundTrip(q)
 	if err != nil {
 		return "", err
 	}
 	if resp.StatusCode != http.StatusCreated {
-		return "", fmt.Errorf("making the upload: %s", resp.Status)
+		return "", fmt.Errorf("creating upload: unexpected status %s", resp.Status)
 	}
-	where, err := q.URL.Parse(resp.Header.Get("Location"))
+	location, err := q.URL.Parse(resp.Header.Get("Location"))
 	if err != nil || resp.Header.Get("Location") == "" {
-		return "", fmt.Errorf("making the upload: Location %q is no address", resp.Header.Get("Location"))
+		return "", fmt.Errorf("creating upload: invalid Location %q", resp.Header.Get("Location"))
 	}
-	if where.Host != q.URL.Host || where.Scheme != q.URL.Scheme {
-		return "", fmt.Errorf("making the upload: it would go to another host, %s", where.Host)
+	if location.Host != q.URL.Host || location.Scheme != q.URL.Scheme {
+		return "", fmt.Errorf("creating upload: Location is on another host, %s", location.Host)
 	}
-	return where.String(), nil
+	return location.String(), nil
 }
 
+// metadata returns the Upload-Metadata header of a batch.
 func metadata(s *cdr.Delivery) string {
 	var parts []string
 	for _, kv := range [][2]string{{"filename", s.File}, {"batch", strconv.FormatUint(s.Batch, 10)},
@@ -92,13 +96,13 @@
 	return strings.Join(parts, ",")
 }
 
-// offset asks how much of an upload is there.
+// offset returns how many bytes of an upload the receiver has.
 func (t *Tus) offset(ctx context.Context, s *cdr.Delivery) (int, error) {
 	q, err := t.request(ctx, http.MethodHead, s.Location, nil)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := t.do(q)
+	resp, err := t.roundTrip(q)
 	if err != nil {
 		return 0, err
 	}
@@ -107,26 +111,27 @@
 	case http.StatusNotFound, http.StatusGone, http.StatusForbidden:
 		return 0, ErrUnknownUpload
 	default:
-		return 0, fmt.Errorf("asking for the offset: %s", resp.Status)
+		return 0, fmt.Errorf("reading upload offset: unexpected status %s", resp.Status)
 	}
-	return offsetOf(resp, s.Bytes)
+	return parseOffset(resp, s.Bytes)
 }
 
-func offsetOf(resp *http.Response, most int) (int, error) {
+// parseOffset returns the Upload-Offset of an answer, which must be from 0 to limit.
+func parseOffset(resp *http.Response, limit int) (int, error) {
 	n, err := strconv.Atoi(resp.Header.Get("Upload-Offset"))
-	if err != nil || n < 0 || n > most {
-		return 0, fmt.Errorf("Upload-Offset %q is no place in %d bytes", resp.Header.Get("Upload-Offset"), most)
+	if err != nil || n < 0 || n > limit {
+		return 0, fmt.Errorf("invalid Upload-Offset %q for an upload of %d bytes", resp.Header.Get("Upload-Offset"), limit)
 	}
 	return n, nil
 }
 
-// Send brings over what the receiver does not have yet; how much that is, it says itself.
+// Send sends the bytes that the receiver does not have yet, by its own account.
 func (t *Tus) Send(ctx context.Context, s *cdr.Delivery, content []byte) error {
 	if _, err := url.Parse(s.Location); err != nil {
 		return ErrUnknownUpload
 	}
 	var last error
-	for range tusTries {
+	for range tusMaxResumptions {
 		at, err := t.offset(ctx, s)
 		if err != nil {
 			if errors.Is(err, ErrUnknownUpload) || ctx.Err() != nil {
@@ -146,9 +151,10 @@
 		}
 		last = err
 	}
-	return fmt.Errorf("after %d resumptions: %w", tusTries, last)
+	return fmt.Errorf("upload incomplete after %d resumptions: %w", tusMaxResumptions, last)
 }
 
+// patch sends one chunk from an offset on and returns the receiver's new offset.
 func (t *Tus) patch(ctx context.Context, s *cdr.Delivery, content []byte, at int) (int, error) {
 	end := len(content)
 	if t.ChunkSize > 0 {
@@ -160,26 +166,26 @@
 	}
 	q.Header.Set("Content-Type", "application/offset+octet-stream")
 	q.Header.Set("Upload-Offset", strconv.Itoa(at))
-	resp, err := t.do(q)
+	resp, err := t.roundTrip(q)
 	if err != nil {
 		return at, err
 	}
 	switch resp.StatusCode {
 	case http.StatusNoContent, http.StatusOK:
-		got, err := offsetOf(resp, len(content))
+		got, err := parseOffset(resp, len(content))
 		if err == nil && got <= at {
-			err = fmt.Errorf("sent %d bytes, and it stays at %d", end-at, got)
+			err = fmt.Errorf("receiver took none of %d bytes sent: its offset is still %d", end-at, got)
 		}
 		return got, err
 	case http.StatusNotFound, http.StatusGone:
 		return at, ErrUnknownUpload
 	}
-	return at, fmt.Errorf("sending from %d on: %s", at, resp.Status)
+	return at, fmt.Errorf("uploading from offset %d: unexpected status %s", at, resp.Status)
 }
 
-// NewTus returns a sender to a receiver; each request may take so long.
+// NewTus returns a target that uploads to an address, with a time limit for each request.
 func NewTus(to, token string, part int, limit time.Duration) *Tus {
 	return &Tus{URL: to, Token: token, ChunkSize: part, Client: &http.Client{Timeout: limit,
-		// An upload that is sent elsewhere would leave the receiver that was named.
+		// A redirect would send records to another receiver than the configured one.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
