--- a/internal/runtime/platform.go
+++ b/internal/runtime/platform.go
@@ -22,77 +22,77 @@
 )
 
 const (
-	memoryShare  = 0.6                    // of the limit, for what the garbage collector looks after
-	gentleFor    = 500 * time.Millisecond // a connection that ends gently is read on for so long,
-	gentleBytes  = 256 << 10              // for so many bytes,
-	gentleAtOnce = 32                     // and so many of them at once
-	unread       = 256 << 10              // bytes that wait for an end that does not read, then it is cut
-	readAtOnce   = 16 << 10               // bytes of one read: no message is longer
-	callerAtOnce = 64 << 10               // bytes of one caller in one round of the loop
-	lastWords    = 2 * time.Second        // at an end, for what is written and not taken yet,
-	lookAgain    = 20 * time.Millisecond  // looked at so often
-	acceptPause  = 5 * time.Millisecond   // after an accept that failed, doubling
-	acceptPauses = 6                      // this often
+	memoryShare        = 0.6                    // share of the memory limit for memory managed by the Go runtime
+	lingerTime         = 500 * time.Millisecond // a connection that closes gracefully is read on for at most this long
+	maxLingerBytes     = 256 << 10              // bytes read from a connection that closes gracefully
+	maxLingering       = 32                     // connections closing gracefully at the same time; further ones are closed at once
+	maxProxyOutbound   = 256 << 10              // bytes buffered for a peer that does not read; beyond that the connection is closed
+	proxyReadSize      = 16 << 10               // bytes of one read; no message is longer
+	maxCallerBytes     = 64 << 10               // bytes read from one caller in one pass of the loop
+	flushTimeout       = 2 * time.Second        // for writing buffered bytes before a connection closes or the proxy stops
+	flushPollInterval  = 20 * time.Millisecond  // between two checks whether they are written
+	acceptRetryDelay   = 5 * time.Millisecond   // after a failed accept; doubled on each further failure
+	maxAcceptDoublings = 6                      // number of times that the delay is doubled
 )
 
-// Platform is one signalling proxy of the users' platform on its sockets. One event loop owns it.
+// Platform runs one signalling proxy of the users' platform on its sockets. A single event loop owns it.
 type Platform struct {
 	gnet.BuiltinEventEngine
 
-	log    *zap.Logger
-	core   *platform.Core
-	cfg    *platform.Config
-	start  time.Time
-	lis    net.Listener
-	client *gnet.Client
-	loop   gnet.EventLoop
-	conns  map[platform.ConnID]gnet.Conn
-	gentle int
-	wake   waker
-	done   chan struct{}
-	once   sync.Once
-	failed error
-	side   sync.WaitGroup // dials and accepts
-	cancel context.CancelFunc
-	ctx    context.Context
-	trace  TraceFunc
-
-	leaving atomic.Bool  // the core has nothing left to do
-	mu      sync.RWMutex // held while something is handed to the loop
-	stopped bool         // it takes no more
-
-	// What the sockets brought since the last turn. Taken together, so that a caller who has gone is known to have gone
-	// before anything is begun for it.
-	inbox   []platform.Input
-	unread  map[platform.ConnID]*end // with bytes in the inbox
-	buf     []byte
-	waiting bool // a turn is on its way
+	log       *zap.Logger
+	core      *platform.Core
+	cfg       *platform.Config
+	start     time.Time
+	listener  net.Listener
+	client    *gnet.Client
+	loop      gnet.EventLoop
+	conns     map[platform.ConnID]gnet.Conn
+	lingering int
+	wake      waker
+	done      chan struct{}
+	once      sync.Once
+	stopErr   error
+	handovers sync.WaitGroup // goroutines that dial or accept
+	cancel    context.CancelFunc
+	ctx       context.Context
+	trace     TraceFunc
+
+	exiting atomic.Bool  // the core has requested its exit
+	mu      sync.RWMutex // held for reading while work is passed to the loop
+	stopped bool         // the loop accepts no more work
+
+	// Events from the sockets since the last turn. They are handled together, so that a caller's departure is known
+	// before any of its requests is acted on.
+	inputs        []platform.Input
+	unreadConns   map[platform.ConnID]*proxyConn // connections with bytes in inputs
+	readBuffer    []byte
+	turnScheduled bool // a turn is scheduled
 }
 
-// TraceFunc gets all that crosses the sockets: the time since the start, the connection, what happened, and the bytes. A nil
-// one is none.
-type TraceFunc func(at time.Duration, id platform.ConnID, what string, b []byte)
+// TraceFunc is called for all socket traffic, with the time since the start, the connection, the event and the bytes. It
+// may be nil.
+type TraceFunc func(at time.Duration, id platform.ConnID, event string, b []byte)
 
-func (p *Platform) tell(id platform.ConnID, what string, b []byte) {
+func (p *Platform) traceEvent(id platform.ConnID, event string, b []byte) {
 	if p.trace != nil {
-		p.trace(p.now(), id, what, b)
+		p.trace(p.now(), id, event, b)
 	}
 }
 
-// end is what a connection carries along.
-type end struct {
-	id     platform.ConnID
-	caller bool // it was accepted
-	known  bool // the loop has it
-	over   bool // the core has closed it
-	closed bool // and the loop
-	gone   bool // a caller's end was seen, behind what it still brought
-	gently bool
-	read   int    // bytes since
-	in     []byte // unread by the core
+// proxyConn is the context attached to a connection.
+type proxyConn struct {
+	id           platform.ConnID
+	caller       bool   // it was accepted, not dialled
+	registered   bool   // the loop has registered it
+	closedByCore bool   // the core has closed it
+	closedByLoop bool   // the loop has closed it
+	eof          bool   // the end of a caller's stream was read behind its bytes
+	graceful     bool   // it is being closed gracefully
+	discarded    int    // bytes read since the core closed it
+	input        []byte // not yet passed to the core
 }
 
-// SetLimits keeps the process within what the platform allows: cores and memory.
+// SetLimits applies the platform's limits of cores and memory to the process.
 func SetLimits(cfg *platform.Config) {
 	if cfg.Cores > 0 {
 		goruntime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
@@ -102,27 +102,27 @@
 	}
 }
 
-// StartPlatform listens and serves until Stop, or until Tell told the core to end and it has nothing left to do.
+// StartPlatform listens and serves until Stop, or until the core, shut down by Execute, requests its exit.
 func StartPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc) (*Platform, error) {
-	listener := net.ListenConfig{KeepAlive: -1} // who says nothing is found out by the core
-	lis, err := listener.Listen(context.Background(), "tcp4", cfg.Listen.String())
+	listenConfig := net.ListenConfig{KeepAlive: -1} // the core detects peers that do not respond
+	listener, err := listenConfig.Listen(context.Background(), "tcp4", cfg.Listen.String())
 	if err != nil {
 		return nil, fmt.Errorf("listening on %v: %w", cfg.Listen, err)
 	}
-	return startPlatform(cfg, log, trace, lis)
+	return startPlatform(cfg, log, trace, listener)
 }
 
-func startPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc, lis net.Listener) (*Platform, error) {
-	p := &Platform{log: log, cfg: cfg, trace: trace, lis: lis, conns: map[platform.ConnID]gnet.Conn{},
-		buf: make([]byte, readAtOnce), unread: map[platform.ConnID]*end{}, done: make(chan struct{})}
+func startPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc, listener net.Listener) (*Platform, error) {
+	p := &Platform{log: log, cfg: cfg, trace: trace, listener: listener, conns: map[platform.ConnID]gnet.Conn{},
+		readBuffer: make([]byte, proxyReadSize), unreadConns: map[platform.ConnID]*proxyConn{}, done: make(chan struct{})}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	p.wake = newWaker(p.fire)
+	p.wake = newWaker(p.onTimer)
 	p.start = time.Now()
 	p.core = platform.New(cfg, p.start)
 	var err error
-	// The listener is ours and not the library's, whose loop ends for good when an accept fails.
-	// Connections come to it with TCP_NODELAY set; were it to set that again and fail, it would lose a descriptor.
-	p.client, err = gnet.NewClient(p, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readAtOnce), gnet.WithTCPNoDelay(gnet.TCPDelay),
+	// The listener is separate from gnet's, whose loop ends for good when an accept fails. Connections already have
+	// TCP_NODELAY set; gnet leaks a descriptor if it sets the option again and fails.
+	p.client, err = gnet.NewClient(p, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(proxyReadSize), gnet.WithTCPNoDelay(gnet.TCPDelay),
 		gnet.WithLogger(quiet{log.Sugar()}))
 	if err == nil {
 		err = p.client.Start()
@@ -131,27 +131,27 @@
 		err = p.findLoop()
 	}
 	if err != nil {
-		lis.Close()
+		listener.Close()
 		p.cancel()
 		if p.client != nil {
-			_ = p.client.Stop() // what went wrong is told already
+			_ = p.client.Stop() // the first error is returned
 		}
-		return nil, fmt.Errorf("serving on %v: %w", cfg.Listen, err)
+		return nil, fmt.Errorf("starting the event loop for %v: %w", cfg.Listen, err)
 	}
-	p.do(p.turn)
-	p.side.Go(p.accept)
+	p.runOnLoop(p.turn)
+	p.handovers.Go(p.acceptLoop)
 	log.Info("signalling proxy started", zap.String("name", cfg.Name), zap.Stringer("listen", cfg.Listen))
 	return p, nil
 }
 
-// findLoop knocks at the own door: the loop gets to be known by a connection on it.
+// findLoop learns the event loop from a connection to the proxy's own listener.
 func (p *Platform) findLoop() error {
 	d := net.Dialer{Timeout: doWait, KeepAlive: -1}
-	conn, err := d.DialContext(p.ctx, "tcp4", p.lis.Addr().String())
+	conn, err := d.DialContext(p.ctx, "tcp4", p.listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	c, err := p.client.EnrollContext(conn, &end{over: true})
+	c, err := p.client.EnrollContext(conn, &proxyConn{closedByCore: true})
 	if err != nil {
 		return err
 	}
@@ -159,95 +159,96 @@
 	return c.Close()
 }
 
-// accept takes callers' connections, each once the loop has the one before, so that the core can make room in time. For
-// want of descriptors an accept may still fail; then room is made and the accept tried again after a pause.
-func (p *Platform) accept() {
-	for pauses := 0; ; {
-		conn, err := p.lis.Accept()
+// acceptLoop accepts callers' connections, each after the loop has registered the one before, so that the core can evict
+// callers in time. If an accept fails for lack of descriptors, a caller is evicted and the accept is retried after a
+// delay.
+func (p *Platform) acceptLoop() {
+	for failures := 0; ; {
+		conn, err := p.listener.Accept()
 		if err == nil {
-			err = p.enroll(conn, &end{caller: true})
+			err = p.enroll(conn, &proxyConn{caller: true})
 		}
 		switch {
 		case err == nil:
-			pauses = 0
+			failures = 0
 			continue
 		case errors.Is(err, net.ErrClosed) || p.ctx.Err() != nil:
 			return
 		case errors.Is(err, syscall.ECONNABORTED):
-			continue // gone before it was taken
+			continue // closed by the peer before it was accepted
 		}
-		p.log.Warn("connection not accepted", zap.Error(err))
-		p.do(func() { p.core.EvictCaller(p.now()); p.wantTurn() })
+		p.log.Warn("accept failed, evicting a caller without calls, if any, and retrying", zap.Error(err))
+		p.runOnLoop(func() { p.core.EvictCaller(p.now()); p.scheduleTurn() })
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-time.After(acceptPause << min(pauses, acceptPauses)):
-			pauses++
+		case <-time.After(acceptRetryDelay << min(failures, maxAcceptDoublings)):
+			failures++
 		}
 	}
 }
 
-// enroll hands a connection to the loop.
-func (p *Platform) enroll(conn net.Conn, e *end) error {
+// enroll registers a connection with the loop.
+func (p *Platform) enroll(conn net.Conn, e *proxyConn) error {
 	if _, err := p.client.EnrollContext(conn, e); err != nil {
 		return err
 	}
-	if !e.known { // the loop could not watch it, which the library keeps to itself
+	if !e.registered { // gnet does not report that it failed to watch the connection
 		return errNotWatched
 	}
 	return nil
 }
 
-var errNotWatched = errors.New("runtime: the loop cannot watch the connection")
+var errNotWatched = errors.New("runtime: event loop cannot watch the connection")
 
 func (p *Platform) now() time.Duration { return time.Since(p.start) }
 
-// OnOpen takes a connection that was dialled or accepted.
+// OnOpen handles a connection that was dialled or accepted.
 func (p *Platform) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	e := c.Context().(*end)
-	e.known = true
-	if e.over {
+	e := c.Context().(*proxyConn)
+	e.registered = true
+	if e.closedByCore {
 		return nil, gnet.None
 	}
 	if e.caller {
 		e.id = p.core.Accept(p.now())
-		p.wantTurn()
+		p.scheduleTurn()
 	} else {
-		p.tell(e.id, "up", nil)
-		p.take(e.id, platform.InputOpened)
+		p.traceEvent(e.id, "up", nil)
+		p.queueInput(e.id, platform.InputOpened)
 	}
 	p.conns[e.id] = c
 	return nil, gnet.None
 }
 
-// OnTraffic takes what a connection brought.
+// OnTraffic handles bytes received on a connection.
 func (p *Platform) OnTraffic(c gnet.Conn) gnet.Action {
-	e := c.Context().(*end)
-	b, _ := c.Next(-1) // -1 is all there is, which cannot be too much
-	if e.over {
-		if e.read += len(b); e.read > gentleBytes {
+	e := c.Context().(*proxyConn)
+	b, _ := c.Next(-1) // -1 requests all buffered bytes, which cannot fail
+	if e.closedByCore {
+		if e.discarded += len(b); e.discarded > maxLingerBytes {
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	had := len(e.in)
-	if had == 0 {
-		p.take(e.id, platform.InputData)
-		p.unread[e.id] = e
+	before := len(e.input)
+	if before == 0 {
+		p.queueInput(e.id, platform.InputData)
+		p.unreadConns[e.id] = e
 	}
-	e.in = append(e.in, b...)
+	e.input = append(e.input, b...)
 	if e.caller {
-		e.gone = p.readOn(e, c.Fd())
+		e.eof = p.readRemaining(e, c.Fd())
 	}
-	p.tell(e.id, "<", e.in[had:])
+	p.traceEvent(e.id, "<", e.input[before:])
 	return gnet.None
 }
 
-// readOn fetches what a caller sent behind what was read, and tells whether its end lies behind that. The loop finds the
-// end again and closes the connection.
-func (p *Platform) readOn(e *end, fd int) (gone bool) {
-	for len(e.in) < callerAtOnce {
-		n, err := unix.Read(fd, p.buf)
+// readRemaining reads the bytes that a caller sent after those already read, and reports whether the end of its stream
+// was reached. The loop detects the end again and closes the connection.
+func (p *Platform) readRemaining(e *proxyConn, fd int) (eof bool) {
+	for len(e.input) < maxCallerBytes {
+		n, err := unix.Read(fd, p.readBuffer)
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
@@ -255,33 +256,34 @@
 		case err != nil || n <= 0:
 			return true
 		default:
-			e.in = append(e.in, p.buf[:n]...)
+			e.input = append(e.input, p.readBuffer[:n]...)
 		}
 	}
 	return false
 }
 
-// OnClose takes in that a connection is gone.
+// OnClose handles the end of a connection.
 func (p *Platform) OnClose(c gnet.Conn, _ error) gnet.Action {
-	e := c.Context().(*end)
-	e.closed = true
-	if e.gently {
-		p.gentle--
-	}
-	if !e.over {
-		e.over = true
-		p.tell(e.id, "closed", nil)
+	e := c.Context().(*proxyConn)
+	e.closedByLoop = true
+	if e.graceful {
+		p.lingering--
+	}
+	if !e.closedByCore {
+		e.closedByCore = true
+		p.traceEvent(e.id, "closed", nil)
 		delete(p.conns, e.id)
-		p.take(e.id, platform.InputClosed)
+		p.queueInput(e.id, platform.InputClosed)
 	}
 	return gnet.None
 }
 
-// fire is the timer's end; it runs beside the loop.
-func (p *Platform) fire() { p.do(func() { p.wake.rang(); p.turn() }) }
+// onTimer is called when the timer fires, outside the loop.
+func (p *Platform) onTimer() { p.runOnLoop(func() { p.wake.rang(); p.turn() }) }
 
-// do runs f on the loop, behind the input of the round that it falls into; once the loop has ended there is nothing to do.
-func (p *Platform) do(f func()) {
+// runOnLoop runs f on the loop, after the input of the pass in which it arrives. It does nothing once the loop has
+// ended.
+func (p *Platform) runOnLoop(f func()) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	if p.stopped {
@@ -290,79 +292,80 @@
 	_ = p.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error { f(); return nil }))
 }
 
-// take puts news aside for the next turn.
-func (p *Platform) take(id platform.ConnID, what platform.InputKind) {
-	p.inbox = append(p.inbox, platform.Input{Conn: id, Kind: what})
-	p.wantTurn()
+// queueInput queues an event for the next turn.
+func (p *Platform) queueInput(id platform.ConnID, kind platform.InputKind) {
+	p.inputs = append(p.inputs, platform.Input{Conn: id, Kind: kind})
+	p.scheduleTurn()
 }
 
-func (p *Platform) wantTurn() {
-	if !p.waiting {
-		p.waiting = true
-		p.do(func() { p.waiting = false; p.turn() })
+func (p *Platform) scheduleTurn() {
+	if !p.turnScheduled {
+		p.turnScheduled = true
+		p.runOnLoop(func() { p.turnScheduled = false; p.turn() })
 	}
 }
 
-// turn tells the core what the sockets brought, carries out what it wants and sets the timer.
+// turn passes the queued events to the core, applies its outputs and sets the timer.
 func (p *Platform) turn() {
-	in := p.inbox
-	p.inbox = nil
-	for i, n := range in {
-		if n.Kind == platform.InputData {
-			e := p.unread[n.Conn]
-			in[i].Bytes, in[i].EOF, e.in = e.in, e.gone, nil
+	inputs := p.inputs
+	p.inputs = nil
+	for i, input := range inputs {
+		if input.Kind == platform.InputData {
+			e := p.unreadConns[input.Conn]
+			inputs[i].Bytes, inputs[i].EOF, e.input = e.input, e.eof, nil
 		}
 	}
-	clear(p.unread)
+	clear(p.unreadConns)
 	now := p.now()
-	p.core.ProcessBatch(now, in)
-	p.settle(now)
+	p.core.ProcessBatch(now, inputs)
+	p.applyOutputs(now)
 }
 
-// settle carries out what the core wants and sets the timer.
-func (p *Platform) settle(now time.Duration) {
-	for outs := p.core.Outputs(); len(outs) > 0; outs = p.core.Outputs() {
-		for _, o := range outs {
-			p.carryOut(o)
+// applyOutputs applies the core's outputs and sets the timer.
+func (p *Platform) applyOutputs(now time.Duration) {
+	for outputs := p.core.Outputs(); len(outputs) > 0; outputs = p.core.Outputs() {
+		for _, o := range outputs {
+			p.applyOutput(o)
 		}
 	}
 	at, ok := p.core.NextWakeUp()
 	p.wake.want(now, at, ok)
 }
 
-func (p *Platform) carryOut(o platform.Output) {
+func (p *Platform) applyOutput(o platform.Output) {
 	switch o := o.(type) {
 	case platform.Write:
 		c := p.conns[o.Conn]
 		if c == nil {
 			return
 		}
-		p.tell(o.Conn, ">", o.Bytes)
-		if _, err := c.Write(o.Bytes); err == nil && c.OutboundBuffered() > unread {
+		p.traceEvent(o.Conn, ">", o.Bytes)
+		if _, err := c.Write(o.Bytes); err == nil && c.OutboundBuffered() > maxProxyOutbound {
 			_ = c.Close() // OnClose follows
 		}
 	case platform.Close:
 		p.close(o)
 	case platform.Dial:
-		p.tell(o.Conn, "dial", []byte(o.To.String()))
-		p.side.Go(func() { p.connect(o) })
+		p.traceEvent(o.Conn, "dial", []byte(o.To.String()))
+		p.handovers.Go(func() { p.dial(o) })
 	case platform.LogLine:
 		p.log.Info(o.Text)
 	case platform.Exit:
-		p.log.Info("nothing left to do")
-		p.leaving.Store(true)
-		p.leave(p.now() + lastWords)
+		p.log.Info("shutdown complete: no calls left")
+		p.exiting.Store(true)
+		p.stopWhenFlushed(p.now() + flushTimeout)
 	}
 }
 
-// leave ends the proxy once what it wrote is on its way, or at a time at the latest: who reads slowly has not got it yet.
-func (p *Platform) leave(latest time.Duration) {
+// stopWhenFlushed stops the proxy once all buffered bytes are written, or at the deadline, as a slow reader may not
+// have received its answers yet.
+func (p *Platform) stopWhenFlushed(deadline time.Duration) {
 	pending := false
 	for _, c := range p.conns {
 		pending = pending || c.OutboundBuffered() > 0
 	}
-	if pending && p.now() < latest {
-		time.AfterFunc(lookAgain, func() { p.do(func() { p.leave(latest) }) })
+	if pending && p.now() < deadline {
+		time.AfterFunc(flushPollInterval, func() { p.runOnLoop(func() { p.stopWhenFlushed(deadline) }) })
 		return
 	}
 	go func() { _ = p.Stop() }()
@@ -373,62 +376,62 @@
 	if c == nil {
 		return
 	}
-	p.tell(o.Conn, "close", nil)
+	p.traceEvent(o.Conn, "close", nil)
 	delete(p.conns, o.Conn)
-	e := c.Context().(*end)
-	e.over = true
-	if !o.Graceful || p.gentle >= gentleAtOnce {
+	e := c.Context().(*proxyConn)
+	e.closedByCore = true
+	if !o.Graceful || p.lingering >= maxLingering {
 		_ = c.Close()
 		return
 	}
-	e.gently = true
-	p.gentle++
-	p.endGently(c, e, p.now()+lastWords)
+	e.graceful = true
+	p.lingering++
+	p.closeGracefully(c, e, p.now()+flushTimeout)
 }
 
-// endGently ends a connection from this side once what was written is on its way, and reads on for a while: to close with
-// bytes unread would reset the connection, and destroy what was just written.
-func (p *Platform) endGently(c gnet.Conn, e *end, latest time.Duration) {
+// closeGracefully shuts down the sending side once the buffered bytes are written, and reads on for a while: closing with
+// unread bytes would reset the connection and discard what was just written.
+func (p *Platform) closeGracefully(c gnet.Conn, e *proxyConn, deadline time.Duration) {
 	switch {
-	case e.closed: // and its descriptor may be another's by now
-	case c.OutboundBuffered() > 0 && p.now() < latest:
-		time.AfterFunc(lookAgain, func() { p.do(func() { p.endGently(c, e, latest) }) })
+	case e.closedByLoop: // its descriptor may belong to another connection by now
+	case c.OutboundBuffered() > 0 && p.now() < deadline:
+		time.AfterFunc(flushPollInterval, func() { p.runOnLoop(func() { p.closeGracefully(c, e, deadline) }) })
 	case c.OutboundBuffered() > 0 || unix.Shutdown(c.Fd(), unix.SHUT_WR) != nil:
 		_ = c.Close()
 	default:
-		time.AfterFunc(gentleFor, func() { p.do(func() { _ = c.Close() }) })
+		time.AfterFunc(lingerTime, func() { p.runOnLoop(func() { _ = c.Close() }) })
 	}
 }
 
-// connect makes a connection beside the loop and hands it over.
-func (p *Platform) connect(o platform.Dial) {
+// dial establishes a connection outside the loop and registers it.
+func (p *Platform) dial(o platform.Dial) {
 	d := net.Dialer{Timeout: o.Timeout, KeepAlive: -1}
 	conn, err := d.DialContext(p.ctx, "tcp4", o.To.String())
 	if err == nil {
-		err = p.enroll(conn, &end{id: o.Conn})
+		err = p.enroll(conn, &proxyConn{id: o.Conn})
 	}
 	if err == nil {
 		return
 	}
-	why := platform.DialTimedOut
+	failure := platform.DialTimedOut
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		why = platform.DialRefused
+		failure = platform.DialRefused
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, errNotWatched):
-		why = platform.DialNoDescriptors
+		failure = platform.DialNoDescriptors
 	}
-	p.do(func() {
-		p.tell(o.Conn, "not up", []byte(err.Error()))
-		p.core.DialFailed(p.now(), o.Conn, why)
-		p.wantTurn()
+	p.runOnLoop(func() {
+		p.traceEvent(o.Conn, "dial failed", []byte(err.Error()))
+		p.core.DialFailed(p.now(), o.Conn, failure)
+		p.scheduleTurn()
 	})
 }
 
-// Execute runs f on the loop: news for the core from outside, such as signals.
+// Execute runs f on the loop, for events from outside such as signals.
 func (p *Platform) Execute(f func(core *platform.Core, now time.Duration)) {
-	p.do(func() {
+	p.runOnLoop(func() {
 		f(p.core, p.now())
-		p.wantTurn()
+		p.scheduleTurn()
 	})
 }
 
@@ -436,26 +439,26 @@
 func (p *Platform) Stop() error {
 	p.once.Do(func() {
 		p.cancel()
-		_ = p.lis.Close()
-		p.side.Wait() // while the loop still takes what they hand over
+		_ = p.listener.Close()
+		p.handovers.Wait() // while the loop still accepts their work
 		p.mu.Lock()
 		p.stopped = true
 		p.mu.Unlock()
 		p.wake.stop()
-		p.failed = p.client.Stop()
+		p.stopErr = p.client.Stop()
 		close(p.done)
 	})
 	<-p.done
-	return p.failed
+	return p.stopErr
 }
 
 // Wait returns when the proxy has ended.
 func (p *Platform) Wait() error {
 	<-p.done
-	return p.failed
+	return p.stopErr
 }
 
-// LoadPlatformConfig reads the configuration that the environment names.
+// LoadPlatformConfig reads the configuration of a proxy from a file. An error names the file.
 func LoadPlatformConfig(file string) (*platform.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -18,44 +18,44 @@
 	"pipitring/internal/standin"
 )
 
-// hold stops the proxy's loop, as a process that gets no processor stands still, until the returned function is called.
-// What the tests do meanwhile waits unread in the sockets' buffers: on loopback it is there when the write returns.
-func (s *scene) hold() (release func()) {
-	held, gate := make(chan bool), make(chan bool)
-	s.proxy.Execute(func(*platform.Core, time.Duration) { close(held); <-gate })
-	<-held
+// pauseLoop stops the proxy's loop until the returned function is called, like a process that gets no processor time.
+// Meanwhile all that the test sends stays unread in the socket buffers; on loopback it is there when the write returns.
+func (h *proxyHarness) pauseLoop() (release func()) {
+	paused, gate := make(chan bool), make(chan bool)
+	h.proxy.Execute(func(*platform.Core, time.Duration) { close(paused); <-gate })
+	<-paused
 	return func() { close(gate) }
 }
 
-// settled has all that was sent before taken in and acted upon: a call made after it is answered.
-func (s *scene) settled() { s.call(s.dial(), 99) }
+// awaitProcessed waits until all that was sent before is handled: it sets up a call, which is answered after that.
+func (h *proxyHarness) awaitProcessed() { h.call(h.dial(), 99) }
 
-// nothingLeft checks that no set-up left for call 1, whose caller had gone.
-func (s *scene) nothingLeft() {
-	s.t.Helper()
-	s.settled()
-	if s.saw("new " + callRef(1)) {
-		s.t.Fatal("a set-up left for a caller that had gone")
+// expectNoSetUp checks that no set-up was sent for call 1, whose caller had left.
+func (h *proxyHarness) expectNoSetUp() {
+	h.t.Helper()
+	h.awaitProcessed()
+	if h.received("new " + callRef(1)) {
+		h.t.Fatal("set-up sent for a caller that had left")
 	}
 }
 
-// TestNothingLeavesForACallerThatHasGone: while the proxy stands still a caller asks and goes, and a circuit for its
-// call is freed. Whatever the order in which the sockets are read, no set-up may leave for it.
-func TestNothingLeavesForACallerThatHasGone(t *testing.T) {
-	giveUp := string(jsonl.AppendDown(nil, callRef(1), jsonl.CauseNormal, 0))
-	for name, goes := range map[string]func(s *scene, send func(string)){
-		"closes behind its set-up":      func(s *scene, send func(string)) { send(offerLine(1)) },
-		"gives up behind its set-up":    func(s *scene, send func(string)) { send(offerLine(1)); send(giveUp) },
-		"closes, set-up in small parts": func(s *scene, send func(string)) { l := offerLine(1); send(l[:7]); send(l[7:90]); send(l[90:]) },
-		"closes behind much else": func(s *scene, send func(string)) {
-			send(offerLine(1) + strings.Repeat(`{"t":"ack","ref":"00000000000000ff","f":{},"c":0}`+"\n", 3*readAtOnce/48))
+// TestNoSetUpForDepartedCaller: while the proxy is paused, a caller requests a call and leaves. In whatever order the sockets
+// are read, no set-up may be sent for it.
+func TestNoSetUpForDepartedCaller(t *testing.T) {
+	abandonment := string(jsonl.AppendDown(nil, callRef(1), jsonl.CauseNormal, 0))
+	for name, leave := range map[string]func(h *proxyHarness, send func(string)){
+		"closes after its set-up":       func(h *proxyHarness, send func(string)) { send(setUpLine(1)) },
+		"abandons after its set-up":     func(h *proxyHarness, send func(string)) { send(setUpLine(1)); send(abandonment) },
+		"closes, set-up in small parts": func(h *proxyHarness, send func(string)) { l := setUpLine(1); send(l[:7]); send(l[7:90]); send(l[90:]) },
+		"closes after many other lines": func(h *proxyHarness, send func(string)) {
+			send(setUpLine(1) + strings.Repeat(`{"t":"ack","ref":"00000000000000ff","f":{},"c":0}`+"\n", 3*proxyReadSize/48))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(t, 256)
-			p := s.dial()
-			release := s.hold()
-			goes(s, func(text string) {
+			h := newProxyHarness(t, 256)
+			p := h.dial()
+			release := h.pauseLoop()
+			leave(h, func(text string) {
 				if err := p.Send(text); err != nil {
 					t.Fatal(err)
 				}
@@ -64,136 +64,136 @@
 				p.Close()
 			}
 			release()
-			s.nothingLeft()
+			h.expectNoSetUp()
 		})
 	}
 }
 
-// TestACloseBehindASetUpInARoundWithOtherWork: the loop is held while it reads another caller, and meanwhile a caller asks and
-// goes and work is queued for the loop, so that the next round reads the set-up and acts at once. The close has to be found
-// in that same round.
-func TestACloseBehindASetUpInARoundWithOtherWork(t *testing.T) {
-	s := newScene(t, 256)
-	p, q := s.dial(), s.dial()
-	await(t, "both are taken", func() bool { return s.callers() >= 2 })
-	held, gate := make(chan bool), make(chan bool)
-	var hold TraceFunc = func(_ time.Duration, _ platform.ConnID, what string, b []byte) {
-		if what == "<" && strings.HasPrefix(string(b), `{"t":"ack"`) {
-			close(held)
+// TestCloseAfterSetUpInSamePass: the loop is paused while it reads from another caller. Meanwhile a caller requests a call
+// and leaves, and work is queued for the loop, so that the next pass reads the set-up and acts on it at once. The close has
+// to be detected in that same pass.
+func TestCloseAfterSetUpInSamePass(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	p, q := h.dial(), h.dial()
+	await(t, "both callers are accepted", func() bool { return h.callerCount() >= 2 })
+	paused, gate := make(chan bool), make(chan bool)
+	var pause TraceFunc = func(_ time.Duration, _ platform.ConnID, event string, b []byte) {
+		if event == "<" && strings.HasPrefix(string(b), `{"t":"ack"`) {
+			close(paused)
 			<-gate
 		}
 	}
-	s.trace.Store(&hold)
+	h.trace.Store(&pause)
 	if err := q.Send(`{"t":"ack","ref":"00000000000000ff","f":{},"c":0}` + "\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-held
-	if err := p.Send(offerLine(1)); err != nil {
+	<-paused
+	if err := p.Send(setUpLine(1)); err != nil {
 		t.Fatal(err)
 	}
 	p.Close()
-	s.proxy.Execute(func(*platform.Core, time.Duration) {})
+	h.proxy.Execute(func(*platform.Core, time.Duration) {})
 	close(gate)
-	s.nothingLeft()
+	h.expectNoSetUp()
 }
 
-// TestACircuitFreedBehindACallersBack: a held call's caller closes, after a circuit was told free that the proxy, standing
-// still, has not read of.
-func TestACircuitFreedBehindACallersBack(t *testing.T) {
-	s := newScene(t, 256)
+// TestCircuitFreedAfterCallerLeft: the caller of a queued call closes its connection after the switch reported a free
+// circuit, while the proxy is paused and has not read the report.
+func TestCircuitFreedAfterCallerLeft(t *testing.T) {
+	h := newProxyHarness(t, 256)
 	await(t, "the group is full", func() bool {
-		s.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:0;x1:100"}}` + "\n")
-		return s.believes(func(b decide.Estimate) bool { return b.Free == 0 })
+		h.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:0;x1:100"}}` + "\n")
+		return h.hasEstimate(func(b decide.Estimate) bool { return b.Free == 0 })
 	})
-	p := s.dial()
-	if err := p.Send(offerLine(1)); err != nil {
+	p := h.dial()
+	if err := p.Send(setUpLine(1)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the call is held", func() bool {
-		return askCore(s, func(core *platform.Core, _ time.Duration) bool { return core.QueuedCalls() == 1 })
+	await(t, "the call is queued", func() bool {
+		return queryCore(h, func(core *platform.Core, _ time.Duration) bool { return core.QueuedCalls() == 1 })
 	})
-	release := s.hold()
-	s.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
+	release := h.pauseLoop()
+	h.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
 	p.Close()
 	release()
-	s.nothingLeft()
+	h.expectNoSetUp()
 }
 
-// TestADrainToldBesideASetUp: both are unread when the proxy comes back, the set-up first. The switch is told to drain.
-func TestADrainToldBesideASetUp(t *testing.T) {
-	s := newScene(t, 256)
-	await(t, "the coordinator is asked", func() bool { return len(s.coord.RequestedFrom()) > 0 })
-	s.settled()
-	p := s.dial()
-	await(t, "the caller is taken", func() bool { return s.callers() > 1 })
-	release := s.hold()
-	if err := p.Send(offerLine(1)); err != nil {
+// TestDrainBesideSetUp: a set-up and the drain of its switch are both unread when the proxy resumes, the set-up first.
+func TestDrainBesideSetUp(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	await(t, "the coordinator gets a request", func() bool { return len(h.coord.RequestedFrom()) > 0 })
+	h.awaitProcessed()
+	p := h.dial()
+	await(t, "the caller is accepted", func() bool { return h.callerCount() > 1 })
+	release := h.pauseLoop()
+	if err := p.Send(setUpLine(1)); err != nil {
 		t.Fatal(err)
 	}
-	s.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}})
+	h.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), Number: 1, Phase: decide.Draining}}})
 	release()
-	s.expect(p, jsonl.TypeDown, 1)
-	if s.saw("new " + callRef(1)) {
-		t.Fatal("a set-up left for a switch that was told to drain")
+	h.expect(p, jsonl.TypeDown, 1)
+	if h.received("new " + callRef(1)) {
+		t.Fatal("set-up sent to a draining switch")
 	}
 }
 
-// lacking is a listener whose accepts fail for want of descriptors at first.
-type lacking struct {
+// failingListener is a listener whose first accepts fail for lack of descriptors.
+type failingListener struct {
 	net.Listener
 	fail int
 }
 
-func (l *lacking) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.fail--; l.fail >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// TestAcceptsThatFailDoNotEndTheListener: the library's own listener ended the process for good.
-func TestAcceptsThatFailDoNotEndTheListener(t *testing.T) {
-	s := sceneOn(t, 256, func(lis net.Listener) net.Listener { return &lacking{lis, 5} })
-	s.call(s.dial(), 1)
+// TestAcceptErrorsAreRetried guards against a failed accept that ends the listener for good, as in gnet's own listener.
+func TestAcceptErrorsAreRetried(t *testing.T) {
+	h := newProxyHarnessOn(t, 256, func(lis net.Listener) net.Listener { return &failingListener{lis, 5} })
+	h.call(h.dial(), 1)
 }
 
-// TestStopWaitsForWhatIsBeingHandedOver: a connection that is on its way to the loop when the proxy stops leaves nothing
-// behind; TestMain looks for goroutines.
-func TestStopWaitsForWhatIsBeingHandedOver(t *testing.T) {
-	s := newScene(t, 256)
-	release := s.hold()
-	p := s.dial()
+// TestStopWaitsForHandovers checks that a connection being handed to the loop when the proxy stops is not leaked. TestMain
+// checks for leaked goroutines.
+func TestStopWaitsForHandovers(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	release := h.pauseLoop()
+	p := h.dial()
 	stopped := make(chan error, 1)
-	go func() { stopped <- s.proxy.Stop() }()
+	go func() { stopped <- h.proxy.Stop() }()
 	release()
 	if err := <-stopped; err != nil {
 		t.Fatal(err)
 	}
 	if _, err := p.Receive(); err == nil {
-		t.Fatal("it answers after its end")
+		t.Fatal("answer received after Stop")
 	}
-	s.proxy.Execute(func(*platform.Core, time.Duration) { t.Error("something is done after the end") })
+	h.proxy.Execute(func(*platform.Core, time.Duration) { t.Error("function run after Stop") })
 }
 
-// TestAConnectionResetAsItIsHandedOver: the far end resets a new connection while the loop, held, has not taken it yet.
-// Another is made, and set-ups that waited for the first go out on it or are told as not sent.
-func TestAConnectionResetAsItIsHandedOver(t *testing.T) {
-	s := newScene(t, 256)
+// TestConnectionResetDuringHandover: the switch resets a new connection before the paused loop has registered it. Another
+// one is dialled, and set-ups that waited for the first are sent there or reported as not sent.
+func TestConnectionResetDuringHandover(t *testing.T) {
+	h := newProxyHarness(t, 256)
 	resets := 0
 	greet := func(p *standin.JSONPeer) {
 		if resets++; resets <= 3 {
-			release := s.hold()
-			_ = p.Reset() // if it cannot, the close is an ordinary one
+			release := h.pauseLoop()
+			_ = p.Reset() // if it fails, the connection is closed without a reset
 			release()
 		}
 	}
-	s.sw.Greet.Store(&greet)
-	s.sw.Reset()
-	p := s.dial()
+	h.sw.Greet.Store(&greet)
+	h.sw.Reset()
+	p := h.dial()
 	n := 100
 	await(t, "calls are answered again", func() bool {
 		n++
-		if err := p.Send(offerLine(n)); err != nil {
+		if err := p.Send(setUpLine(n)); err != nil {
 			t.Fatal(err)
 		}
 		m, err := p.Receive()
@@ -202,13 +202,13 @@
 		}
 		return m.Type == jsonl.TypeUp
 	})
-	s.settled()
+	h.awaitProcessed()
 }
 
-// narrow is a listener whose connections hold little that is written and not taken yet.
-type narrow struct{ net.Listener }
+// smallBufferListener is a listener whose connections have a small send buffer.
+type smallBufferListener struct{ net.Listener }
 
-func (n narrow) Accept() (net.Conn, error) {
+func (n smallBufferListener) Accept() (net.Conn, error) {
 	conn, err := n.Listener.Accept()
 	if err == nil {
 		err = conn.(*net.TCPConn).SetWriteBuffer(4096)
@@ -216,70 +216,69 @@
 	return conn, err
 }
 
-// behindASlowReader has a caller that does not read ask until answers wait behind what the sockets' buffers hold. Each is
-// answered at once, with a failure for its class.
-func behindASlowReader(t *testing.T) (s *scene, p *standin.JSONPeer, asked int) {
-	s = sceneOn(t, 256, func(lis net.Listener) net.Listener { return narrow{lis} })
-	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		_ = c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) }) // err tells
+// newSlowReader returns a caller that does not read and has sent requests until answers wait behind the socket buffers. Each
+// request is answered at once, with a failure for its unknown class.
+func newSlowReader(t *testing.T) (h *proxyHarness, p *standin.JSONPeer, requests int) {
+	h = newProxyHarnessOn(t, 256, func(lis net.Listener) net.Listener { return smallBufferListener{lis} })
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
+		_ = c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) }) // err has the result
 		return err
 	}}
-	conn, err := small.Dial("tcp4", s.at.String())
+	conn, err := dialer.Dial("tcp4", h.addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience)) // without it a failure hangs
+	_ = conn.SetDeadline(time.Now().Add(platformTestTimeout)) // so that a failure does not block for ever
 	p = standin.NewJSONPeer(conn)
 	buffered := func(*platform.Core, time.Duration) (n int) {
-		for _, c := range s.proxy.conns {
+		for _, c := range h.proxy.conns {
 			n += c.OutboundBuffered()
 		}
 		return n
 	}
-	for askCore(s, buffered) == 0 {
-		asked++
-		if err := p.Send(strings.Replace(offerLine(asked), "voice", "fax", 1)); err != nil {
+	for queryCore(h, buffered) == 0 {
+		requests++
+		if err := p.Send(strings.Replace(setUpLine(requests), "voice", "fax", 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return s, p, asked
+	return h, p, requests
 }
 
-// TestTheEndWaitsForASlowReader: a caller that reads late has more answers to come than the sockets' buffers hold when the
-// proxy, told to stop, has nothing left to do.
-func TestTheEndWaitsForASlowReader(t *testing.T) {
-	s, p, asked := behindASlowReader(t)
-	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
-	await(t, "it is about to end", func() bool { return s.proxy.leaving.Load() })
-	for n := 1; n <= asked; n++ {
-		s.expect(p, jsonl.TypeDown, n)
+// TestShutdownWaitsForSlowReader: a caller that reads slowly has more answers to read than the socket buffers hold when the
+// proxy, after Stop, has no calls left.
+func TestShutdownWaitsForSlowReader(t *testing.T) {
+	h, p, requests := newSlowReader(t)
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	await(t, "the proxy is exiting", func() bool { return h.proxy.exiting.Load() })
+	for n := 1; n <= requests; n++ {
+		h.expect(p, jsonl.TypeDown, n)
 	}
-	if err := s.proxy.Wait(); err != nil {
+	if err := h.proxy.Wait(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestACloseWaitsForASlowReader: so does the end of a connection that brought what cannot be read.
-func TestACloseWaitsForASlowReader(t *testing.T) {
-	s, p, asked := behindASlowReader(t)
-	before := s.callers()
+// TestCloseWaitsForSlowReader: the same holds when the proxy closes a connection after an invalid line.
+func TestCloseWaitsForSlowReader(t *testing.T) {
+	h, p, requests := newSlowReader(t)
+	before := h.callerCount()
 	if err := p.Send("{\n"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the connection is given up", func() bool { return s.callers() < before })
-	for n := 1; n <= asked; n++ {
-		s.expect(p, jsonl.TypeDown, n)
+	await(t, "the connection is closed", func() bool { return h.callerCount() < before })
+	for n := 1; n <= requests; n++ {
+		h.expect(p, jsonl.TypeDown, n)
 	}
 	if m, err := p.Receive(); err == nil {
-		t.Fatalf("more: %+v", m)
+		t.Fatalf("unexpected message: %+v", m)
 	}
 }
 
-// TestStartPlatformSaysWhatIsInTheWay: the address is taken.
-func TestStartPlatformSaysWhatIsInTheWay(t *testing.T) {
-	s := newScene(t, 256)
-	if _, err := StartPlatform(s.cfg, zap.NewNop(), nil); err == nil {
-		t.Fatal("two listen at one address")
+func TestStartPlatformAddressInUse(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	if _, err := StartPlatform(h.cfg, zap.NewNop(), nil); err == nil {
+		t.Fatal("second listener started at the same address")
 	}
 }
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -22,115 +22,115 @@
 	"pipitring/internal/standin"
 )
 
-// scene is a proxy on loopback with one switch and a coordinator.
-type scene struct {
-	t     *testing.T
-	proxy *Platform
-	cfg   *platform.Config
-	at    netip.AddrPort
-	sw    *standin.PlatformSwitch
-	coord *standin.PlatformCoordinator
-	trace atomic.Pointer[TraceFunc] // called on the loop for what crosses the sockets, as soon as it is read
-	mu    sync.Mutex
-	seen  []string // set-ups and releases at the switch
+// proxyHarness is a proxy on loopback with one switch and a coordinator.
+type proxyHarness struct {
+	t             *testing.T
+	proxy         *Platform
+	cfg           *platform.Config
+	addr          netip.AddrPort
+	sw            *standin.PlatformSwitch
+	coord         *standin.PlatformCoordinator
+	trace         atomic.Pointer[TraceFunc] // called on the loop for socket traffic, as soon as it is read
+	mu            sync.Mutex
+	receivedLines []string // set-ups and releases received by the switch
 }
 
-const patience = 20 * time.Second // of the tests: only a failure waits so long
+const platformTestTimeout = 20 * time.Second // reached only by a failing test
 
-// answer is what the switch does unless told otherwise: it answers, and never releases by itself.
-func (s *scene) answer(p *standin.JSONPeer, m jsonl.Message) {
-	s.mu.Lock()
-	s.seen = append(s.seen, m.Type+" "+m.Ref)
-	s.mu.Unlock()
+// answer handles a message at the switch: it answers every set-up, and never releases a call by itself.
+func (h *proxyHarness) answer(p *standin.JSONPeer, m jsonl.Message) {
+	h.mu.Lock()
+	h.receivedLines = append(h.receivedLines, m.Type+" "+m.Ref)
+	h.mu.Unlock()
 	if m.Type == jsonl.TypeNew {
-		_ = p.Send(string(jsonl.AppendUp(nil, m.Ref, m.Desc))) // a lost connection is the test's doing
+		_ = p.Send(string(jsonl.AppendUp(nil, m.Ref, m.Desc))) // a connection is lost only if the test closes it
 	}
 }
 
-func (s *scene) traced(at time.Duration, id platform.ConnID, what string, b []byte) {
-	if f := s.trace.Load(); f != nil {
-		(*f)(at, id, what, b)
+func (h *proxyHarness) traceEvent(at time.Duration, id platform.ConnID, event string, b []byte) {
+	if f := h.trace.Load(); f != nil {
+		(*f)(at, id, event, b)
 	}
 }
 
-// askCore has the loop look something up.
-func askCore[T any](s *scene, f func(core *platform.Core, now time.Duration) T) T {
-	found := make(chan T)
-	s.proxy.Execute(func(core *platform.Core, now time.Duration) { found <- f(core, now) })
-	return <-found
+// queryCore runs f on the loop and returns its result.
+func queryCore[T any](h *proxyHarness, f func(core *platform.Core, now time.Duration) T) T {
+	result := make(chan T)
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { result <- f(core, now) })
+	return <-result
 }
 
-// believes asks what the module holds true of a far end.
-func (s *scene) believes(f func(decide.Estimate) bool) bool {
-	return askCore(s, func(core *platform.Core, now time.Duration) bool { return slices.ContainsFunc(core.Estimates(now), f) })
+// hasEstimate reports whether f holds for the decision module's estimate of any neighbour.
+func (h *proxyHarness) hasEstimate(f func(decide.Estimate) bool) bool {
+	return queryCore(h, func(core *platform.Core, now time.Duration) bool { return slices.ContainsFunc(core.Estimates(now), f) })
 }
 
-func (s *scene) callers() int {
-	return askCore(s, func(core *platform.Core, _ time.Duration) int { return core.CallerConnections() })
+func (h *proxyHarness) callerCount() int {
+	return queryCore(h, func(core *platform.Core, _ time.Duration) int { return core.CallerConnections() })
 }
 
-func (s *scene) saw(what string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, x := range s.seen {
-		if x == what {
+func (h *proxyHarness) received(line string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, x := range h.receivedLines {
+		if x == line {
 			return true
 		}
 	}
 	return false
 }
 
-func newScene(t *testing.T, sockets int) *scene {
+func newProxyHarness(t *testing.T, sockets int) *proxyHarness {
 	t.Helper()
-	return sceneOn(t, sockets, func(lis net.Listener) net.Listener { return lis })
+	return newProxyHarnessOn(t, sockets, func(lis net.Listener) net.Listener { return lis })
 }
 
-// sceneOn has the proxy accept on what wrap makes of its listener.
-func sceneOn(t *testing.T, sockets int, wrap func(net.Listener) net.Listener) *scene {
+// newProxyHarnessOn starts a proxy that accepts on the listener that wrap returns.
+func newProxyHarnessOn(t *testing.T, sockets int, wrap func(net.Listener) net.Listener) *proxyHarness {
 	t.Helper()
-	s := &scene{t: t}
+	h := &proxyHarness{t: t}
 	var err error
-	if s.sw, err = standin.StartPlatformSwitch("127.0.0.1:0", s.answer); err != nil {
+	if h.sw, err = standin.StartPlatformSwitch("127.0.0.1:0", h.answer); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.sw.Kill)
-	if s.coord, err = standin.StartPlatformCoordinator(); err != nil {
+	t.Cleanup(h.sw.Kill)
+	if h.coord, err = standin.StartPlatformCoordinator(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.coord.Stop)
-	s.at = freePort(t)
-	cfg, err := platform.ParseConfig(standin.PlatformConfig(s.at, s.coord.Addr(), sockets, s.sw.Addr()))
+	t.Cleanup(h.coord.Stop)
+	h.addr = freePort(t)
+	cfg, err := platform.ParseConfig(standin.PlatformConfig(h.addr, h.coord.Addr(), sockets, h.sw.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.cfg = cfg
-	lis, err := net.Listen("tcp4", s.at.String())
+	h.cfg = cfg
+	lis, err := net.Listen("tcp4", h.addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.proxy, err = startPlatform(cfg, zap.NewNop(), s.traced, wrap(lis)); err != nil {
+	if h.proxy, err = startPlatform(cfg, zap.NewNop(), h.traceEvent, wrap(lis)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = s.proxy.Stop() })
-	await(s.t, "the proxy passes its test", func() bool { return s.tested() })
-	return s
+	t.Cleanup(func() { _ = h.proxy.Stop() })
+	await(h.t, "heartbeats succeed", func() bool { return h.heartbeatSucceeds() })
+	return h
 }
 
-func (s *scene) dial() *standin.JSONPeer {
-	s.t.Helper()
-	p, err := standin.DialJSON(s.at)
+func (h *proxyHarness) dial() *standin.JSONPeer {
+	h.t.Helper()
+	p, err := standin.DialJSON(h.addr)
 	if err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if err := p.Conn().SetDeadline(time.Now().Add(patience)); err != nil {
-		s.t.Fatal(err)
+	if err := p.Conn().SetDeadline(time.Now().Add(platformTestTimeout)); err != nil {
+		h.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { p.Close() })
+	h.t.Cleanup(func() { p.Close() })
 	return p
 }
 
-func (s *scene) tested() bool {
-	p := s.dial()
+func (h *proxyHarness) heartbeatSucceeds() bool {
+	p := h.dial()
 	defer p.Close()
 	_ = p.Send(`{"t":"hb","ref":"00000000000000aa","f":{},"c":0}` + "\n") // if it fails, so does the read
 	m, err := p.Receive()
@@ -139,56 +139,56 @@
 
 func callRef(n int) string { return fmt.Sprintf("%016x", n) }
 
-func offerLine(n int) string {
+func setUpLine(n int) string {
 	return fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"voice","left":"9000","key":"1","extras":"dest:1;width:1;via:-1"},"d":"d%d"}`+"\n", callRef(n), n)
 }
 
-// call sends one call and wants its answer.
-func (s *scene) call(p *standin.JSONPeer, n int) {
-	s.t.Helper()
-	if err := p.Send(offerLine(n)); err != nil {
-		s.t.Fatal(err)
+// call sets up one call and expects its answer.
+func (h *proxyHarness) call(p *standin.JSONPeer, n int) {
+	h.t.Helper()
+	if err := p.Send(setUpLine(n)); err != nil {
+		h.t.Fatal(err)
 	}
-	s.expect(p, jsonl.TypeUp, n)
+	h.expect(p, jsonl.TypeUp, n)
 }
 
-// hangUp releases a call that stands.
-func (s *scene) hangUp(p *standin.JSONPeer, n int) {
-	s.t.Helper()
+// hangUp releases a standing call.
+func (h *proxyHarness) hangUp(p *standin.JSONPeer, n int) {
+	h.t.Helper()
 	if err := p.Send(string(jsonl.AppendDown(nil, callRef(n), jsonl.CauseNormal, 0))); err != nil {
-		s.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 }
 
-func (s *scene) expect(p *standin.JSONPeer, typ string, n int) jsonl.Message {
-	s.t.Helper()
+func (h *proxyHarness) expect(p *standin.JSONPeer, typ string, n int) jsonl.Message {
+	h.t.Helper()
 	m, err := p.Receive()
 	if err != nil || m.Type != typ || m.Ref != callRef(n) {
-		s.t.Fatalf("got %+v, %v; want %s for call %d", m, err, typ, n)
+		h.t.Fatalf("got %+v, %v; want %s for call %d", m, err, typ, n)
 	}
 	return m
 }
 
 func TestPlatformServesCallsOnSockets(t *testing.T) {
-	s := newScene(t, 256)
-	p := s.dial()
+	h := newProxyHarness(t, 256)
+	p := h.dial()
 	for n := 1; n <= 50; n++ {
-		s.call(p, n)
+		h.call(p, n)
 	}
-	q := s.dial()
-	for n := 1; n <= 50; n++ { // on another connection than their set-up's
-		s.hangUp(q, n)
+	q := h.dial()
+	for n := 1; n <= 50; n++ { // on another connection than that of their set-ups
+		h.hangUp(q, n)
 	}
-	await(s.t, "all releases reach the switch", func() bool { return s.saw("down " + callRef(50)) })
+	await(h.t, "all releases reach the switch", func() bool { return h.received("down " + callRef(50)) })
 }
 
-func TestPlatformLosesNoStandingCallToAReset(t *testing.T) {
-	s := newScene(t, 256)
-	p := s.dial()
-	s.call(p, 1)
-	s.sw.Reset()
-	s.call(p, 2) // over a new connection
-	s.sw.Kill()  // now the process is dead, and nobody listens
+func TestPlatformStandingCallsSurviveReset(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	p := h.dial()
+	h.call(p, 1)
+	h.sw.Reset()
+	h.call(p, 2) // over a new connection
+	h.sw.Kill()  // now the process is dead and nothing listens
 	first, err := p.Receive()
 	second, err2 := p.Receive()
 	if err != nil || err2 != nil || first.Cause != jsonl.CauseTemporaryFailure || second.Cause != jsonl.CauseTemporaryFailure || first.Ref == second.Ref {
@@ -196,101 +196,102 @@
 	}
 }
 
-func TestPlatformFollowsTheCoordinatorToAnotherAddress(t *testing.T) {
-	s := newScene(t, 256)
-	gone := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: s.sw.Addr(), Number: 1, Phase: decide.Draining}}}
-	await(s.t, "the coordinator is asked", func() bool { return len(s.coord.RequestedFrom()) > 0 })
+func TestPlatformCoordinatorAddressChange(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	drain := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), Number: 1, Phase: decide.Draining}}}
+	await(h.t, "the coordinator gets a request", func() bool { return len(h.coord.RequestedFrom()) > 0 })
 	next, err := standin.StartPlatformCoordinator()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Stop()
-	next.Publish(gone)
-	p := s.dial()
-	s.call(p, 1)
-	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Addr()) })
-	await(s.t, "the new one is asked", func() bool { a := next.RequestedFrom(); return len(a) > 0 && a[0] == 1 })
-	await(s.t, "its news count", func() bool {
-		if err := p.Send(offerLine(2)); err != nil {
+	next.Publish(drain)
+	p := h.dial()
+	h.call(p, 1)
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Addr()) })
+	await(h.t, "the new coordinator gets a request", func() bool { a := next.RequestedFrom(); return len(a) > 0 && a[0] == 1 })
+	await(h.t, "its list update is applied", func() bool {
+		if err := p.Send(setUpLine(2)); err != nil {
 			t.Fatal(err)
 		}
 		m, err := p.Receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Type == jsonl.TypeUp { // came before the news: ended, and asked again
+		if m.Type == jsonl.TypeUp { // answered before the list update: released and set up again
 			_ = p.Send(string(jsonl.AppendDown(nil, callRef(2), jsonl.CauseNormal, 0))) // if it fails, so does the next send
 		}
 		return m.Type == jsonl.TypeDown
 	})
-	s.hangUp(p, 1)
-	await(s.t, "the call that stood is still known", func() bool { return s.saw("down " + callRef(1)) })
+	h.hangUp(p, 1)
+	await(h.t, "the standing call is still known", func() bool { return h.received("down " + callRef(1)) })
 }
 
-func TestPlatformEndsByItselfAfterSIGTERM(t *testing.T) {
-	s := newScene(t, 256)
-	p := s.dial()
-	s.call(p, 1)
-	s.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
-	if s.tested() {
-		t.Fatal("tests still pass")
+func TestPlatformExitsAfterSIGTERM(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	p := h.dial()
+	h.call(p, 1)
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	if h.heartbeatSucceeds() {
+		t.Fatal("heartbeats still succeed")
 	}
-	s.call(p, 2)
+	h.call(p, 2)
 	for n := 1; n <= 2; n++ {
-		s.hangUp(p, n)
+		h.hangUp(p, n)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- s.proxy.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- h.proxy.Wait() }()
 	select {
-	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("it does not end")
+	case <-exited:
+	case <-time.After(platformTestTimeout):
+		t.Fatal("proxy does not exit")
 	}
-	if !s.saw("down "+callRef(1)) || !s.saw("down "+callRef(2)) {
-		t.Fatal("ended before the releases were passed on")
+	if !h.received("down "+callRef(1)) || !h.received("down "+callRef(2)) {
+		t.Fatal("exited before the releases were forwarded")
 	}
 }
 
-// TestPlatformOutlivesBadCallers: each of them gets a failure or a close, and the usual caller beside them its answer.
-func TestPlatformOutlivesBadCallers(t *testing.T) {
-	s := newScene(t, 256)
-	usual := s.dial()
+// TestPlatformSurvivesInvalidCallers checks that each invalid caller gets a failure or a close, and that a valid caller
+// beside it gets its answers.
+func TestPlatformSurvivesInvalidCallers(t *testing.T) {
+	h := newProxyHarness(t, 256)
+	valid := h.dial()
 	long := strings.Repeat("x", 4<<20)
 	for i, bad := range []string{"\x00\xff\n", "{\n", long, `{"t":"new","ref":"` + long, `{"t":"new","ref":"` + callRef(7) + `","f":{"class":"fax"},"d":""}` + "\n",
-		strings.Repeat(`{"t":"down","ref":"`+callRef(9)+`","c":16}`+"\n", 300), offerLine(1)[:40], ""} {
-		p := s.dial()
-		go func() { _ = p.Send(bad) }() // it may be cut in the middle
+		strings.Repeat(`{"t":"down","ref":"`+callRef(9)+`","c":16}`+"\n", 300), setUpLine(1)[:40], ""} {
+		p := h.dial()
+		go func() { _ = p.Send(bad) }() // the proxy may close the connection during the write
 		if m, err := p.Receive(); err == nil && (m.Type != jsonl.TypeDown || m.Cause != jsonl.CauseTemporaryFailure) {
 			t.Errorf("%.30q got %+v", bad, m)
 		}
-		s.call(usual, 100+i)
+		h.call(valid, 100+i)
 	}
-	if !s.saw("new "+callRef(100)) || s.saw("new "+callRef(7)) || s.saw("down "+callRef(9)) {
-		t.Fatal("what reached the switch is not what usual callers sent")
+	if !h.received("new "+callRef(100)) || h.received("new "+callRef(7)) || h.received("down "+callRef(9)) {
+		t.Fatal("the switch did not receive exactly the valid set-ups")
 	}
 }
 
-// TestPlatformKeepsWithinItsDescriptors: hundreds that connect and say nothing do not keep a usual caller out.
-func TestPlatformKeepsWithinItsDescriptors(t *testing.T) {
+// TestPlatformDescriptorLimit checks that hundreds of connections that send nothing do not keep a valid caller out.
+func TestPlatformDescriptorLimit(t *testing.T) {
 	const sockets = 128
 	before := descriptors(t)
-	s := newScene(t, sockets)
-	var silent []net.Conn
+	h := newProxyHarness(t, sockets)
+	var idle []net.Conn
 	for range 2 * sockets {
-		c, err := net.Dial("tcp4", s.at.String())
+		c, err := net.Dial("tcp4", h.addr.String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
 	defer func() {
-		for _, c := range silent {
+		for _, c := range idle {
 			c.Close()
 		}
 	}()
-	s.call(s.dial(), 1)
-	// Both ends are in this process: the callers' own ends are taken off.
-	await(s.t, "its descriptors are within the limit", func() bool { return descriptors(t)-before-2*sockets-8 <= sockets })
+	h.call(h.dial(), 1)
+	// Both ends are in this process, so the callers' own ends are subtracted.
+	await(h.t, "descriptors are within the limit", func() bool { return descriptors(t)-before-2*sockets-8 <= sockets })
 }
 
 func descriptors(t *testing.T) int {
@@ -302,7 +303,7 @@
 	return len(list)
 }
 
-func TestLoadPlatformSaysWhichFileAndKey(t *testing.T) {
+func TestLoadPlatformConfigErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if _, err := LoadPlatformConfig(file); err == nil || !strings.Contains(err.Error(), file) {
 		t.Fatalf("error %v", err)
