--- a/cmd/pipitring/cdr.go
+++ b/cmd/pipitring/cdr.go
@@ -26,39 +26,39 @@
 	"pipitring/internal/store"
 )
 
-// cdrFlags tell where the records are and which are meant.
+// cdrFlags holds the flags that locate the records and select some of them.
 type cdrFlags struct {
 	config, dir, from, to, id string
 	json                      bool
 	filter                    cdr.Filter
-	set                       *config.Settings // nil without config
+	settings                  *config.Settings // nil without --config
 }
 
 func cdrCommand() *cobra.Command {
 	c := &cobra.Command{Use: "cdr", Short: "Call detail records", RunE: func(cmd *cobra.Command, _ []string) error {
-		return fmt.Errorf("what is to be done is needed: see %s --help", cmd.CommandPath())
+		return fmt.Errorf("a subcommand is required: see %s --help", cmd.CommandPath())
 	}}
 	c.AddCommand(cdrList(), cdrExport(), cdrVerify(), cdrRate(), cdrReport())
 	return c
 }
 
-func (f *cdrFlags) place(c *cobra.Command) {
-	c.Flags().StringVarP(&f.config, "config", "c", "", "settings of the router whose records they are")
-	c.Flags().StringVar(&f.dir, "store", "", "directory of the records, in place of the settings'")
+func (f *cdrFlags) addStoreFlags(c *cobra.Command) {
+	c.Flags().StringVarP(&f.config, "config", "c", "", "settings file of the router that owns the records")
+	c.Flags().StringVar(&f.dir, "store", "", "directory of the records, instead of the one in the settings")
 	c.Flags().BoolVar(&f.json, "json", false, "print JSON")
 }
 
-func (f *cdrFlags) pick(c *cobra.Command) {
-	c.Flags().StringVar(&f.from, "from", "", "offered from this time on (2026-12-01 or 2026-12-01T14:00:00Z)")
-	c.Flags().StringVar(&f.to, "to", "", "offered before this time")
-	c.Flags().StringVar(&f.id, "id", "", "one call (router-life-call)")
-	c.Flags().StringVar(&f.filter.Class, "class", "", "of this class")
-	c.Flags().StringVar(&f.filter.Tenant, "tenant", "", "of this tenant")
-	c.Flags().StringVar(&f.filter.End, "end", "", "that ended so: stood, cut, refused, failed, left")
-	c.Flags().StringVar(&f.filter.Called, "called", "", "whose called number begins so")
-	c.Flags().StringVar(&f.filter.Calling, "calling", "", "whose calling number begins so")
-	c.Flags().BoolVar(&f.filter.Unrated, "unrated", false, "beyond any tariff")
-	c.Flags().BoolVar(&f.filter.NewestVersions, "newest", false, "of a call that was rated again, the newest version alone")
+func (f *cdrFlags) addFilterFlags(c *cobra.Command) {
+	c.Flags().StringVar(&f.from, "from", "", "calls offered at or after this time (2026-12-01 or 2026-12-01T14:00:00Z)")
+	c.Flags().StringVar(&f.to, "to", "", "calls offered before this time")
+	c.Flags().StringVar(&f.id, "id", "", "the call with this ID (router-incarnation-call)")
+	c.Flags().StringVar(&f.filter.Class, "class", "", "calls of this class")
+	c.Flags().StringVar(&f.filter.Tenant, "tenant", "", "calls of this tenant")
+	c.Flags().StringVar(&f.filter.End, "end", "", "calls that ended this way: stood, cut, refused, failed, left")
+	c.Flags().StringVar(&f.filter.Called, "called", "", "calls whose called number has this prefix")
+	c.Flags().StringVar(&f.filter.Calling, "calling", "", "calls whose calling number has this prefix")
+	c.Flags().BoolVar(&f.filter.Unrated, "unrated", false, "calls without a matching tariff")
+	c.Flags().BoolVar(&f.filter.NewestVersions, "newest", false, "only the newest version of a call that was rated again")
 }
 
 func parseTime(flag, s string) (t time.Time, err error) {
@@ -67,14 +67,14 @@
 	}
 	if t, err = time.Parse(time.RFC3339, s); err != nil {
 		if t, err = time.Parse(time.DateOnly, s); err != nil {
-			return t, fmt.Errorf("--%s: %q is no time such as 2026-12-01 or 2026-12-01T14:00:00Z", flag, s)
+			return t, fmt.Errorf("--%s: %q is not a time such as 2026-12-01 or 2026-12-01T14:00:00Z", flag, s)
 		}
 	}
 	return t, nil
 }
 
-// read takes the flags in.
-func (f *cdrFlags) read() (err error) {
+// parse validates the flags and loads the settings.
+func (f *cdrFlags) parse() (err error) {
 	if f.filter.From, err = parseTime("from", f.from); err != nil {
 		return err
 	}
@@ -94,31 +94,31 @@
 		}
 	}
 	if f.config != "" {
-		if f.set, err = config.Load(f.config); err != nil {
+		if f.settings, err = config.Load(f.config); err != nil {
 			return err
 		}
 		if f.dir == "" {
-			f.dir = f.set.Records.Dir
+			f.dir = f.settings.Records.Dir
 		}
 	}
 	if f.dir == "" {
-		return errors.New("where the records are is needed: -c SETTINGS with a [records] dir, or --store DIR")
+		return errors.New("location of the records is required: -c SETTINGS with a [records] dir, or --store DIR")
 	}
 	return nil
 }
 
-// open opens the store; a running router has its own to itself.
+// open opens the store. A running router holds its store exclusively.
 func (f *cdrFlags) open(write bool) (*store.Store, error) {
 	s, err := store.Open(store.Options{Dir: f.dir, Schema: records.Schema(), ReadOnly: !write})
 	if errors.Is(err, store.ErrInUse) {
-		return nil, fmt.Errorf("%w: a router that runs keeps its records to itself; list them by --http, or ask when it has stopped", err)
+		return nil, fmt.Errorf("%w: a running router locks its store; use cdr list --http, or stop the router", err)
 	}
 	return s, err
 }
 
-// with opens the store for as long as do takes.
-func (f *cdrFlags) with(write bool, do func(*store.Store) error) error {
-	if err := f.read(); err != nil {
+// withStore opens the store, calls do and closes the store.
+func (f *cdrFlags) withStore(write bool, do func(*store.Store) error) error {
+	if err := f.parse(); err != nil {
 		return err
 	}
 	s, err := f.open(write)
@@ -128,50 +128,50 @@
 	return errors.Join(do(s), s.Close())
 }
 
-func complain(n uint64, err error) { fmt.Fprintf(os.Stderr, "number %d: %v\n", n, err) }
+func reportDamaged(n uint64, err error) { fmt.Fprintf(os.Stderr, "record number %d: %v\n", n, err) }
 
 func cdrList() *cobra.Command {
 	f := &cdrFlags{}
 	var from string
-	c := &cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Print records, as a table or as lines of JSON",
+	c := &cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Print records as a table or as JSON lines",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(os.Stdout, f.json)
 			print := func(r *cdr.Record) error { return p.print(r) }
 			var err error
 			if from != "" {
-				err = listRunning(cmd.Context(), from, f, print)
+				err = listFromRouter(cmd.Context(), from, f, print)
 			} else {
-				err = f.with(false, func(s *store.Store) error {
-					return f.filter.Each(s, func(n uint64, err error) { p.damaged++; complain(n, err) },
+				err = f.withStore(false, func(s *store.Store) error {
+					return f.filter.Each(s, func(n uint64, err error) { p.damaged++; reportDamaged(n, err) },
 						func(_ uint64, r *cdr.Record) error { return print(r) })
 				})
 			}
-			return errors.Join(err, p.end())
+			return errors.Join(err, p.finish())
 		}}
-	f.place(c)
-	f.pick(c)
-	c.Flags().StringVar(&from, "http", "", "ask a running router at this address (its http.listen)")
+	f.addStoreFlags(c)
+	f.addFilterFlags(c)
+	c.Flags().StringVar(&from, "http", "", "request the records from a running router at this address (its http.listen)")
 	return c
 }
 
-// listRunning asks a running router for its records.
-func listRunning(ctx context.Context, at string, f *cdrFlags, do func(*cdr.Record) error) error {
-	f.dir = at
-	if err := f.read(); err != nil {
+// listFromRouter requests the records from a running router.
+func listFromRouter(ctx context.Context, address string, f *cdrFlags, do func(*cdr.Record) error) error {
+	f.dir = address
+	if err := f.parse(); err != nil {
 		return err
 	}
-	u := url.URL{Scheme: "http", Host: at, Path: "/records"}
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	u := url.URL{Scheme: "http", Host: address, Path: "/records"}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return err
 	}
-	resp, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s: does it keep records?", u.String(), resp.Status)
+		return fmt.Errorf("%s: %s: check that the router stores records", u.String(), resp.Status)
 	}
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 1<<20)
@@ -189,26 +189,26 @@
 	return lines.Err()
 }
 
-// printer prints records.
+// printer prints records as a table or as JSON lines.
 type printer struct {
 	w       io.Writer
-	tab     *tabwriter.Writer // nil: JSON
-	n       int
+	table   *tabwriter.Writer // nil for JSON
+	printed int
 	damaged int
 }
 
 func newPrinter(w io.Writer, asJSON bool) *printer {
 	p := &printer{w: w}
 	if !asJSON {
-		p.tab = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(p.tab, "id\toffered\tend\tcause\tknown by\tclass\ttenant\tcalling\tcalled\tset-up\tlength\troute\tcharge\ttariff")
+		p.table = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(p.table, "id\toffered\tend\tcause\tknown by\tclass\ttenant\tcalling\tcalled\tset-up\tlength\troute\tcharge\ttariff")
 	}
 	return p
 }
 
 func (p *printer) print(r *cdr.Record) error {
-	p.n++
-	if p.tab == nil {
+	p.printed++
+	if p.table == nil {
 		return json.NewEncoder(p.w).Encode(r)
 	}
 	var route []string
@@ -219,37 +219,37 @@
 	if r.Charge.Note != "" {
 		charge += " (" + r.Charge.Note + ")"
 	}
-	_, err := fmt.Fprintf(p.tab, "%v/%d\t%s\t%v\t%d\t%v\t%s\t%s\t%s\t%s\t%v\t%v\t%s\t%s\t%s\n", r.ID, r.Version,
+	_, err := fmt.Fprintf(p.table, "%v/%d\t%s\t%v\t%d\t%v\t%s\t%s\t%s\t%s\t%v\t%v\t%s\t%s\t%s\n", r.ID, r.Version,
 		r.Offered.Format("2006-01-02T15:04:05.000Z"), r.End, r.Cause, r.EndSource, r.Class, r.Tenant, r.Calling, r.Called,
 		r.SetUp.Round(time.Millisecond), r.Duration.Round(time.Millisecond), strings.Join(route, " "), charge, r.Charge.Tariff)
 	return err
 }
 
-func (p *printer) end() error {
-	if p.tab != nil {
-		return p.tab.Flush()
+func (p *printer) finish() error {
+	if p.table != nil {
+		return p.table.Flush()
 	}
-	return json.NewEncoder(p.w).Encode(map[string]int{"records": p.n, "damaged": p.damaged})
+	return json.NewEncoder(p.w).Encode(map[string]int{"records": p.printed, "damaged": p.damaged})
 }
 
 func cdrExport() *cobra.Command {
 	f := &cdrFlags{}
 	var to, format, name string
-	c := &cobra.Command{Use: "export", Args: cobra.NoArgs, Short: "Send all records that wait to the settings' exports, or to a directory",
+	c := &cobra.Command{Use: "export", Args: cobra.NoArgs, Short: "Send all pending records to the exports of the settings, or to one destination",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.with(true, func(s *store.Store) error {
-				outs, err := f.exports(s, name, to, format)
+			return f.withStore(true, func(s *store.Store) error {
+				targets, err := f.exportTargets(s, name, to, format)
 				if err != nil {
 					return err
 				}
 				total := map[string]uint64{}
-				for i := range outs {
-					n, err := exportAll(cmd.Context(), s, &outs[i])
-					total[outs[i].Target] = n
+				for i := range targets {
+					n, err := exportAll(cmd.Context(), s, &targets[i])
+					total[targets[i].Target] = n
 					if err != nil {
-						return fmt.Errorf("export %s: %w", outs[i].Target, err)
+						return fmt.Errorf("export %s: %w", targets[i].Target, err)
 					}
-					fmt.Fprintf(os.Stderr, "%s: %d batches sent\n", outs[i].Target, n)
+					fmt.Fprintf(os.Stderr, "%s: %d batches sent\n", targets[i].Target, n)
 				}
 				if f.json {
 					return printJSON(map[string]any{"batches_sent": total})
@@ -257,21 +257,21 @@
 				return nil
 			})
 		}}
-	f.place(c)
-	c.Flags().StringVar(&to, "to", "", "a directory, or the address of a receiver (tus 1.0), beside the settings'")
+	f.addStoreFlags(c)
+	c.Flags().StringVar(&to, "to", "", "a directory, or the address of a receiver (tus 1.0), instead of the exports of the settings")
 	c.Flags().StringVar(&format, "format", string(cdr.CSV), "with --to: csv or parquet")
-	c.Flags().StringVar(&name, "name", "", "only this export of the settings; with --to: what its progress is kept under")
+	c.Flags().StringVar(&name, "name", "", "only this export of the settings; with --to: the name under which its progress is stored")
 	return c
 }
 
-// exports are those meant by the flags.
-func (f *cdrFlags) exports(s *store.Store, name, to, format string) ([]records.ExportOptions, error) {
+// exportTargets returns the exports that the flags select.
+func (f *cdrFlags) exportTargets(s *store.Store, name, to, format string) ([]records.ExportOptions, error) {
 	if to != "" {
-		form, err := cdr.ParseFormat(format)
+		fileFormat, err := cdr.ParseFormat(format)
 		if err != nil {
 			return nil, fmt.Errorf("--format: %w", err)
 		}
-		router, err := routerOf(s)
+		router, err := storeRouter(s)
 		if err != nil {
 			return nil, err
 		}
@@ -279,16 +279,16 @@
 			name = "command line " + to
 		}
 		o := records.ExportOptions{Dir: to, Timeout: 30 * time.Second, ExportSettings: cdr.ExportSettings{Target: name, Router: router,
-			Format: form, MaxRecords: 10000, MinRecords: 1, KeepBatches: 1000}}
+			Format: fileFormat, MaxRecords: 10000, MinRecords: 1, KeepBatches: 1000}}
 		if (&config.Export{To: to}).IsURL() {
 			o.Dir, o.URL = "", to
 		}
 		return []records.ExportOptions{o}, nil
 	}
-	if f.set == nil {
-		return nil, errors.New("where to is needed: -c SETTINGS with [[records.export]], or --to")
+	if f.settings == nil {
+		return nil, errors.New("export destination is required: -c SETTINGS with [[records.export]], or --to")
 	}
-	all, err := runtime.ExportOptions(f.set)
+	all, err := runtime.ExportOptions(f.settings)
 	if err != nil || name == "" {
 		return all, err
 	}
@@ -297,49 +297,49 @@
 			return []records.ExportOptions{o}, nil
 		}
 	}
-	return nil, fmt.Errorf("--name: no export of the settings is named %q", name)
+	return nil, fmt.Errorf("--name: the settings have no export named %q", name)
 }
 
-// routerOf is the router that a store belongs to.
-func routerOf(s *store.Store) (uint32, error) {
+// storeRouter returns the number of the router that owns the store.
+func storeRouter(s *store.Store) (uint32, error) {
 	owner, err := s.Owner()
 	if err != nil {
 		return 0, err
 	}
 	var n uint32
 	if _, err := fmt.Sscanf(owner, records.OwnerName(0)[:len(records.OwnerName(0))-1]+"%d", &n); err != nil {
-		return 0, fmt.Errorf("the store belongs to %q, which is no router", owner)
+		return 0, fmt.Errorf("the store belongs to %q, which is not a router", owner)
 	}
 	return n, nil
 }
 
-const exportTries = 5
+const maxExportAttempts = 5
 
 func exportAll(ctx context.Context, s *store.Store, o *records.ExportOptions) (uint64, error) {
-	e, err := cdr.OpenExport(s, o.ExportSettings)
+	exporter, err := cdr.OpenExport(s, o.ExportSettings)
 	if err != nil {
 		return 0, err
 	}
-	t, err := records.OpenTarget(vfs.Default, o)
+	target, err := records.OpenTarget(vfs.Default, o)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = t.Close() }()
-	l, err := cdr.OpenLedger(s, o.Router, nil)
+	defer func() { _ = target.Close() }()
+	ledger, err := cdr.OpenLedger(s, o.Router, nil)
 	if err != nil {
 		return 0, err
 	}
-	from := e.BatchCount()
-	for fails := 0; ; {
-		sent, _, err := export.SendNext(ctx, e, t, l.LastNumber(), true, time.Now, records.Commit(s))
+	from := exporter.BatchCount()
+	for failures := 0; ; {
+		sent, _, err := export.SendNext(ctx, exporter, target, ledger.LastNumber(), true, time.Now, records.Commit(s))
 		switch {
-		case err != nil && (fails == exportTries || ctx.Err() != nil):
-			return e.BatchCount() - from, err
+		case err != nil && (failures == maxExportAttempts || ctx.Err() != nil):
+			return exporter.BatchCount() - from, err
 		case err != nil:
-			fails++
+			failures++
 			fmt.Fprintln(os.Stderr, err)
 		case !sent:
-			return e.BatchCount() - from, nil
+			return exporter.BatchCount() - from, nil
 		}
 	}
 }
@@ -348,19 +348,19 @@
 	f := &cdrFlags{}
 	var dirs []string
 	c := &cobra.Command{Use: "verify", Args: cobra.NoArgs,
-		Short: "Look for gaps, doubles, damaged and unrated records in the store and in exported files",
+		Short: "Check the store and exported files for missing, duplicate, damaged and unrated records",
 		RunE: func(*cobra.Command, []string) error {
 			var a *cdr.Audit
-			err := f.with(false, func(s *store.Store) (err error) {
+			err := f.withStore(false, func(s *store.Store) (err error) {
 				if a, err = cdr.Verify(s); err != nil {
 					return err
 				}
-				router, err := routerOf(s)
+				router, err := storeRouter(s)
 				if err != nil {
 					return err
 				}
-				if f.set != nil {
-					for _, e := range f.set.Records.Export {
+				if f.settings != nil {
+					for _, e := range f.settings.Records.Export {
 						if !e.IsURL() {
 							dirs = append(dirs, e.To)
 						}
@@ -391,12 +391,12 @@
 				}
 			}
 			if err == nil && !a.Good() {
-				err = errBroken
+				err = errCheckFailed
 			}
 			return err
 		}}
-	f.place(c)
-	c.Flags().StringSliceVar(&dirs, "files", nil, "directories of exported files, beside the settings'")
+	f.addStoreFlags(c)
+	c.Flags().StringSliceVar(&dirs, "files", nil, "directories of exported files, in addition to those of the settings")
 	return c
 }
 
@@ -405,33 +405,33 @@
 	var file string
 	var write bool
 	c := &cobra.Command{Use: "rate", Args: cobra.NoArgs,
-		Short: "Try tariffs on stored records; with --write, keep the outcome as new versions",
+		Short: "Apply tariffs to stored records; with --write, store the results as new versions",
 		RunE: func(*cobra.Command, []string) error {
 			if file == "" {
-				return errors.New("--tariffs: the file of tariffs is needed")
+				return errors.New("--tariffs: a tariff file is required")
 			}
 			t, err := config.LoadTariffs(file)
 			if err != nil {
 				return err
 			}
 			f.filter.NewestVersions = true
-			return f.with(write, func(s *store.Store) error { return f.rate(s, t, write) })
+			return f.withStore(write, func(s *store.Store) error { return f.rate(s, t, write) })
 		}}
-	f.place(c)
-	f.pick(c)
-	c.Flags().StringVar(&file, "tariffs", "", "the tariffs (TOML)")
-	c.Flags().BoolVar(&write, "write", false, "write a new version of each record whose charge is another now; older versions stay")
+	f.addStoreFlags(c)
+	f.addFilterFlags(c)
+	c.Flags().StringVar(&file, "tariffs", "", "tariff file (TOML)")
+	c.Flags().BoolVar(&write, "write", false, "store a new version of each record whose charge changes; older versions are kept")
 	return c
 }
 
-// rateBatch is how many records are rated again in one commit.
+// rateBatch is the number of records rated again in one commit.
 const rateBatch = 1000
 
 func (f *cdrFlags) rate(s *store.Store, t *cdr.Tariffs, write bool) error {
 	before, after := &cdr.Report{Zone: t.Zone}, &cdr.Report{Zone: t.Zone}
 	var changed []cdr.ID
 	n := 0
-	err := f.filter.Each(s, complain, func(_ uint64, r *cdr.Record) error {
+	err := f.filter.Each(s, reportDamaged, func(_ uint64, r *cdr.Record) error {
 		n++
 		if err := before.Add(r); err != nil {
 			return err
@@ -447,18 +447,18 @@
 		return err
 	}
 	if write {
-		router, err := routerOf(s)
+		router, err := storeRouter(s)
 		if err != nil {
 			return err
 		}
-		l, err := cdr.OpenLedger(s, router, nil)
+		ledger, err := cdr.OpenLedger(s, router, nil)
 		if err != nil {
 			return err
 		}
 		for i := 0; i < len(changed); i += rateBatch {
 			b := s.Batch()
 			for _, id := range changed[i:min(len(changed), i+rateBatch)] {
-				if _, err := l.Rerate(b, id, t); err != nil {
+				if _, err := ledger.Rerate(b, id, t); err != nil {
 					return err
 				}
 			}
@@ -470,7 +470,7 @@
 	if f.json {
 		return printJSON(map[string]any{"records": n, "changed": len(changed), "written": write, "before": before.Lines(), "after": after.Lines()})
 	}
-	fmt.Printf("%d records, %d with another charge\n\nbefore\n", n, len(changed))
+	fmt.Printf("%d records, %d with a changed charge\n\nbefore\n", n, len(changed))
 	printReport(os.Stdout, before.Lines())
 	fmt.Println("\nafter")
 	printReport(os.Stdout, after.Lines())
@@ -484,7 +484,7 @@
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s %s\t%d\t\n", l.Day, l.Class, l.Tenant, l.Calls, l.Ends["stood"], l.Ends["cut"],
 			l.Ends["refused"], l.Ends["failed"], l.Ends["left"], l.Minutes, l.Charge, l.Currency, l.Unrated)
 	}
-	_ = t.Flush() // to standard output: nowhere is left to say so
+	_ = t.Flush() // an error on standard output cannot be reported anywhere
 }
 
 func cdrReport() *cobra.Command {
@@ -503,8 +503,8 @@
 			}
 			p := &cdr.Report{Zone: z}
 			f.filter.NewestVersions = true
-			err = f.with(false, func(s *store.Store) error {
-				return f.filter.Each(s, complain, func(_ uint64, r *cdr.Record) error { return p.Add(r) })
+			err = f.withStore(false, func(s *store.Store) error {
+				return f.filter.Each(s, reportDamaged, func(_ uint64, r *cdr.Record) error { return p.Add(r) })
 			})
 			if err != nil {
 				return err
@@ -520,32 +520,32 @@
 			printReport(os.Stdout, p.Lines())
 			return nil
 		}}
-	f.place(c)
-	f.pick(c)
+	f.addStoreFlags(c)
+	f.addFilterFlags(c)
 	c.Flags().StringVar(&zone, "zone", "UTC", "time zone of the days")
-	c.Flags().StringVar(&file, "plot", "", "draw calls by day and class into this file (.svg, .png)")
+	c.Flags().StringVar(&file, "plot", "", "plot calls by day and class to this file (.svg, .png)")
 	return c
 }
 
-// plotReport draws calls by day, a set of bars for each class.
+// plotReport plots calls by day, with one series of bars for each class.
 func plotReport(file string, lines []cdr.Line) error {
 	var days []string
-	place, classes := map[string]int{}, map[string]int{}
+	dayIndex, seriesIndex := map[string]int{}, map[string]int{}
 	var series []plots.Series
 	for _, l := range lines {
-		if _, ok := place[l.Day]; !ok {
-			place[l.Day] = len(days)
+		if _, ok := dayIndex[l.Day]; !ok {
+			dayIndex[l.Day] = len(days)
 			days = append(days, l.Day)
 		}
 	}
 	for _, l := range lines {
-		i, ok := classes[l.Class]
+		i, ok := seriesIndex[l.Class]
 		if !ok {
 			i = len(series)
-			classes[l.Class] = i
+			seriesIndex[l.Class] = i
 			series = append(series, plots.Series{Name: l.Class, Y: make([]float64, len(days))})
 		}
-		series[i].Y[place[l.Day]] += float64(l.Calls)
+		series[i].Y[dayIndex[l.Day]] += float64(l.Calls)
 	}
 	return plots.Bars(file, "Calls by day and class", "calls", days, series)
 }
--- a/cmd/pipitring/cdr_test.go
+++ b/cmd/pipitring/cdr_test.go
@@ -38,8 +38,8 @@
 
 func TestCDRCommands(t *testing.T) {
 	dir := t.TempDir()
-	kept := filepath.Join(dir, "records")
-	rec, err := records.Open(records.Options{Dir: kept, Router: 4, MaxBatch: 8, HeartbeatInterval: time.Hour,
+	recordsDir := filepath.Join(dir, "records")
+	rec, err := records.Open(records.Options{Dir: recordsDir, Router: 4, MaxBatch: 8, HeartbeatInterval: time.Hour,
 		Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 100}})
 	if err != nil {
 		t.Fatal(err)
@@ -50,11 +50,11 @@
 		r := cdr.Record{ID: rec.ID(call + 1), End: cdr.Answered, EndSource: cdr.EndedByCaller, Class: class, Called: "21", Calling: "9", Width: 1,
 			Offered: at, Answered: at, Ended: at.Add(time.Minute), Duration: time.Minute}
 		if _, ok := rec.Submit(cdr.Item{Record: r}); !ok {
-			t.Fatal("not taken")
+			t.Fatal("record not accepted")
 		}
 	}
-	if _, status := output(t, "cdr", "verify", "--store", kept); status != exitUse {
-		t.Errorf("of a running router: status %d", status)
+	if _, status := output(t, "cdr", "verify", "--store", recordsDir); status != exitUsage {
+		t.Errorf("store of a running router: status %d", status)
 	}
 	if err := rec.Close(); err != nil {
 		t.Fatal(err)
@@ -69,43 +69,43 @@
 		status int
 		want   string
 	}{
-		{"cdr list --store DIR", exitGood, "4-1-3/1"},
-		{"cdr list --store DIR --class alarm --json", exitGood, `{"damaged":0,"records":1}`},
-		{"cdr list --store DIR --end gone", exitUse, ""},
-		{"cdr list --store DIR --from yesterday", exitUse, ""},
-		{"cdr list --store DIR/none", exitUse, ""},
-		{"cdr list", exitUse, ""},
-		{"cdr rate --store DIR --tariffs TARIFFS", exitGood, "5 records, 4 with another charge"},
-		{"cdr report --store DIR", exitGood, "2026-12-01  status              4      4    0        0       0     0     4.00      0         4"},
-		{"cdr rate --store DIR --tariffs TARIFFS --write --json", exitGood, `"changed":4`},
-		{"cdr rate --store DIR --tariffs TARIFFS --write --json", exitGood, `"changed":0`},
-		{"cdr report --store DIR --json", exitGood, `"charge":"0.48"`},
-		{"cdr report --store DIR --plot DIR.gif", exitUse, ""},
-		{"cdr report --store DIR --plot DIR.svg", exitGood, ""},
-		{"cdr export --store DIR --to OUT", exitGood, ""},
-		{"cdr export --store DIR --to OUT", exitGood, ""},
-		{"cdr export --store DIR --to OUT2 --format xml", exitUse, ""},
-		{"cdr export --store DIR --to OUT2 --format parquet --json", exitGood, `{"batches_sent"`},
-		{"cdr verify --store DIR --files OUT --json", exitGood, `"exported":9`},
-		{"cdr verify --store DIR --files OUT2", exitGood, "9 records, numbers 1 to 9; 0 open calls, 1 unrated; 9 records in 1 exported batches"},
+		{"cdr list --store DIR", exitOK, "4-1-3/1"},
+		{"cdr list --store DIR --class alarm --json", exitOK, `{"damaged":0,"records":1}`},
+		{"cdr list --store DIR --end gone", exitUsage, ""},
+		{"cdr list --store DIR --from yesterday", exitUsage, ""},
+		{"cdr list --store DIR/none", exitUsage, ""},
+		{"cdr list", exitUsage, ""},
+		{"cdr rate --store DIR --tariffs TARIFFS", exitOK, "5 records, 4 with a changed charge"},
+		{"cdr report --store DIR", exitOK, "2026-12-01  status              4      4    0        0       0     0     4.00      0         4"},
+		{"cdr rate --store DIR --tariffs TARIFFS --write --json", exitOK, `"changed":4`},
+		{"cdr rate --store DIR --tariffs TARIFFS --write --json", exitOK, `"changed":0`},
+		{"cdr report --store DIR --json", exitOK, `"charge":"0.48"`},
+		{"cdr report --store DIR --plot DIR.gif", exitUsage, ""},
+		{"cdr report --store DIR --plot DIR.svg", exitOK, ""},
+		{"cdr export --store DIR --to OUT", exitOK, ""},
+		{"cdr export --store DIR --to OUT", exitOK, ""},
+		{"cdr export --store DIR --to OUT2 --format xml", exitUsage, ""},
+		{"cdr export --store DIR --to OUT2 --format parquet --json", exitOK, `{"batches_sent"`},
+		{"cdr verify --store DIR --files OUT --json", exitOK, `"exported":9`},
+		{"cdr verify --store DIR --files OUT2", exitOK, "9 records, numbers 1 to 9; 0 open calls, 1 unrated; 9 records in 1 exported batches"},
 	} {
-		args := strings.NewReplacer("DIR", kept, "TARIFFS", tariffs, "OUT", filepath.Join(dir, "out")).Replace(c.args)
+		args := strings.NewReplacer("DIR", recordsDir, "TARIFFS", tariffs, "OUT", filepath.Join(dir, "out")).Replace(c.args)
 		got, status := output(t, strings.Fields(args)...)
 		if status != c.status || !strings.Contains(got, c.want) {
 			t.Errorf("%s: status %d, printed\n%s", c.args, status, got)
 		}
 	}
-	if info, err := os.Stat(kept + ".svg"); err != nil || info.Size() < 1000 {
+	if info, err := os.Stat(recordsDir + ".svg"); err != nil || info.Size() < 1000 {
 		t.Errorf("the plot: %v", err)
 	}
-	gap(t, kept)
-	if got, status := output(t, "cdr", "verify", "--store", kept); status != exitBroken || !strings.Contains(got, "no record under number 2") {
+	deleteRecord(t, recordsDir)
+	if got, status := output(t, "cdr", "verify", "--store", recordsDir); status != exitCheckFailed || !strings.Contains(got, "no record under number 2") {
 		t.Errorf("with a gap: status %d, printed\n%s", status, got)
 	}
 }
 
-// gap takes the second record out.
-func gap(t *testing.T, dir string) {
+// deleteRecord deletes the record with number 2.
+func deleteRecord(t *testing.T, dir string) {
 	t.Helper()
 	s, err := store.Open(store.Options{Dir: dir, Schema: records.Schema()})
 	if err != nil {
--- a/cmd/pipitring/day.go
+++ b/cmd/pipitring/day.go
@@ -23,8 +23,8 @@
 	var asJSON, debug, virtual bool
 	var file, front string
 	c := &cobra.Command{Use: "day [SCRIPT]", Args: cobra.MaximumNArgs(1),
-		Short: "Play a fleet on loopback through a scripted bad day and judge the rules from its capture",
-		Long:  "Without SCRIPT the built-in bad day is played. Kinds of trouble:\n\n  " + strings.Join(lab.KindNames(), "\n  "),
+		Short: "Run a fleet on loopback through a scripted day of faults and check the rules from its capture",
+		Long:  "Without SCRIPT the built-in day is run. Kinds of fault:\n\n  " + strings.Join(lab.KindNames(), "\n  "),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			script, err := lab.BadDay()
 			if len(args) > 0 {
@@ -58,19 +58,19 @@
 				printDay(os.Stdout, res)
 			}
 			if err == nil && !res.Good() {
-				err = errBroken
+				err = errCheckFailed
 			}
 			return err
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	c.Flags().StringVar(&front, "front", "", "between routers: "+strings.Join(lab.FrontNames, ", ")+" (ISUP over M3UA)")
-	c.Flags().StringVar(&file, "capture", "", "keep the capture in this file (pcapng)")
-	c.Flags().BoolVar(&virtual, "virtual", false, "on a virtual clock and network in place of sockets: the same each time")
+	c.Flags().StringVar(&front, "front", "", "protocol between routers: "+strings.Join(lab.FrontNames, ", ")+" (ISUP over M3UA)")
+	c.Flags().StringVar(&file, "capture", "", "write the capture to this file (pcapng)")
+	c.Flags().BoolVar(&virtual, "virtual", false, "use a deterministic virtual clock and network instead of sockets")
 	c.Flags().BoolVar(&debug, "debug", false, "log every final answer of the routers")
 	return c
 }
 
-// virtualDay plays a script on the virtual clock.
+// virtualDay runs a script on the virtual clock.
 func virtualDay(ctx context.Context, script *lab.Script, asJSON bool) error {
 	res, err := lab.Virtual(ctx, script, lab.VirtualOptions{Drift: 0.01})
 	if err != nil {
@@ -83,14 +83,14 @@
 		fmt.Printf("virtual: %v in %.2f s, %d steps, trace %016x\n", res.Virtual, res.WallSeconds, res.Steps, res.Trace)
 	}
 	if err == nil && !res.Good() {
-		err = errBroken
+		err = errCheckFailed
 	}
 	return err
 }
 
 func checkFront(front string) error {
 	if !slices.Contains(lab.FrontNames, front) {
-		return fmt.Errorf("--front: %q is none of %s", front, strings.Join(lab.FrontNames, ", "))
+		return fmt.Errorf("--front: %q is not one of %s", front, strings.Join(lab.FrontNames, ", "))
 	}
 	return nil
 }
@@ -106,15 +106,15 @@
 	for _, c := range slices.Sorted(maps.Keys(r.Causes)) {
 		fmt.Fprintf(w, " %d: %d", c, r.Causes[c])
 	}
-	fmt.Fprintf(w, "\nleft at the end: %d calls, %d legs, %d dialogs, %d circuits; switches pushed over: %d\n", r.LeftOver.Calls,
+	fmt.Fprintf(w, "\nremaining at the end: %d calls, %d legs, %d dialogs, %d circuits; switches collapsed: %d\n", r.LeftOver.Calls,
 		r.LeftOver.Legs, r.LeftOver.Dialogs, r.LeftOver.Circuits, r.SwitchFell)
 	k := &r.Records
-	fmt.Fprintf(w, "records: %d kept (%d closed by recovery, %d unrated); of %d tries %d without, %d with two, %d with another end\n", k.Records,
+	fmt.Fprintf(w, "records: %d stored (%d closed by recovery, %d unrated); of %d tries %d without a record, %d with two, %d with a wrong end\n", k.Records,
 		k.Recovered, k.Unrated, k.Looked, k.Missing, k.Doubled, k.Wrong)
 	for _, f := range k.Found[:min(20, len(k.Found))] {
 		fmt.Fprintln(w, " ", f)
 	}
-	fmt.Fprintf(w, "rules broken: %d; overdue answers %d, faults %d, malformed frames %d\n", r.RulesBroken, r.Overdue, r.Faults, r.Malformed)
+	fmt.Fprintf(w, "rule violations: %d; overdue answers %d, faults %d, malformed frames %d\n", r.RulesBroken, r.Overdue, r.Faults, r.Malformed)
 	for _, b := range r.Broken[:min(20, len(r.Broken))] {
 		fmt.Fprintln(w, " ", b)
 	}
@@ -122,16 +122,16 @@
 
 var outcomes = []rules.Outcome{rules.Answered, rules.Refused, rules.Failed, rules.Abandoned, rules.Unanswered, rules.Unfinished}
 
-func printOutcomes(w io.Writer, by map[string]map[rules.Outcome]int) {
+func printOutcomes(w io.Writer, byClass map[string]map[rules.Outcome]int) {
 	fmt.Fprintf(w, "%-20s", "class")
 	for _, o := range outcomes {
 		fmt.Fprintf(w, "%12s", o)
 	}
 	fmt.Fprintln(w)
-	for _, class := range slices.Sorted(maps.Keys(by)) {
+	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		fmt.Fprintf(w, "%-20s", class)
 		for _, o := range outcomes {
-			fmt.Fprintf(w, "%12d", by[class][o])
+			fmt.Fprintf(w, "%12d", byClass[class][o])
 		}
 		fmt.Fprintln(w)
 	}
@@ -140,7 +140,7 @@
 func rulesCommand() *cobra.Command {
 	var asJSON bool
 	var call string
-	c := &cobra.Command{Use: "rules CAPTURE", Args: cobra.ExactArgs(1), Short: "Judge the five rules from a capture alone",
+	c := &cobra.Command{Use: "rules CAPTURE", Args: cobra.ExactArgs(1), Short: "Check the five rules from a capture alone",
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
@@ -159,13 +159,13 @@
 				err = printJSON(lab.Summary(rep))
 			} else {
 				printOutcomes(os.Stdout, rep.Outcomes)
-				fmt.Printf("%d datagrams, %d malformed; rules broken: %d\n", rep.Datagrams, rep.Malformed, len(rep.Violations))
+				fmt.Printf("%d datagrams, %d malformed; rule violations: %d\n", rep.Datagrams, rep.Malformed, len(rep.Violations))
 				for _, b := range rep.Violations {
 					fmt.Println(" ", b)
 				}
 			}
 			if err == nil && len(rep.Violations) > 0 {
-				err = errBroken
+				err = errCheckFailed
 			}
 			return err
 		}}
--- a/cmd/pipitring/main.go
+++ b/cmd/pipitring/main.go
@@ -14,13 +14,13 @@
 
 // Exit statuses.
 const (
-	exitGood   = 0
-	exitBroken = 1 // a rule or a check failed
-	exitUse    = 2 // wrong use or settings
+	exitOK          = 0
+	exitCheckFailed = 1 // a check failed
+	exitUsage       = 2 // invalid usage or settings
 )
 
-// errBroken says that the tool ran and found something broken, which it has printed.
-var errBroken = errors.New("something is broken")
+// errCheckFailed reports that a check failed. Its details are already printed.
+var errCheckFailed = errors.New("a check failed")
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -33,11 +33,11 @@
 	root.SetArgs(args)
 	switch err := root.ExecuteContext(ctx); {
 	case err == nil:
-		return exitGood
-	case errors.Is(err, errBroken):
-		return exitBroken
+		return exitOK
+	case errors.Is(err, errCheckFailed):
+		return exitCheckFailed
 	default:
 		fmt.Fprintln(os.Stderr, "pipitring:", err)
-		return exitUse
+		return exitUsage
 	}
 }
--- a/cmd/pipitring/platform.go
+++ b/cmd/pipitring/platform.go
@@ -17,35 +17,35 @@
 	"pipitring/internal/runtime"
 )
 
-const platformLinesPerSecond = 20 // of one kind: the log costs the proxy's own core
+const platformLinesPerSecond = 20 // of one kind; logging takes time from the proxy's only core
 
 func platformCommand() *cobra.Command {
 	var trace bool
-	c := &cobra.Command{Use: "platform", Short: "Run as a signalling proxy of the users' platform, told by NODE_CONFIG",
+	c := &cobra.Command{Use: "platform", Short: "Run as a signalling proxy of the users' platform, configured by the file in NODE_CONFIG",
 		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error { return servePlatform(cmd.Context(), trace) }}
-	c.Flags().BoolVar(&trace, "trace", false, "write all that crosses the sockets to standard error")
+	c.Flags().BoolVar(&trace, "trace", false, "write all socket traffic to standard error")
 	return c
 }
 
-const traced = 1000 // bytes of one piece that a trace shows
+const maxTracedBytes = 1000 // bytes shown of one read or write
 
-// writeTrace writes what happened on a socket: seconds since the start, connection, what, bytes.
-func writeTrace(at time.Duration, id platform.ConnID, what string, b []byte) {
-	fmt.Fprintf(os.Stderr, "%.6f %d %s %q\n", at.Seconds(), id, what, b[:min(len(b), traced)])
+// writeTrace writes a socket event to standard error: seconds since the start, connection, event, bytes.
+func writeTrace(at time.Duration, id platform.ConnID, event string, b []byte) {
+	fmt.Fprintf(os.Stderr, "%.6f %d %s %q\n", at.Seconds(), id, event, b[:min(len(b), maxTracedBytes)])
 }
 
-// servePlatform runs one proxy: SIGTERM lets it end once nothing is open, SIGHUP rereads the configuration.
+// servePlatform runs one proxy. SIGTERM shuts it down once no calls are open, SIGHUP reloads the configuration.
 func servePlatform(ctx context.Context, trace bool) error {
-	var each runtime.TraceFunc
+	var traceFunc runtime.TraceFunc
 	if trace {
-		each = writeTrace
+		traceFunc = writeTrace
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	file := os.Getenv("NODE_CONFIG")
 	if file == "" {
-		return errors.New("NODE_CONFIG names no file")
+		return errors.New("NODE_CONFIG is not set")
 	}
 	cfg, err := runtime.LoadPlatformConfig(file)
 	if err != nil {
@@ -56,24 +56,24 @@
 		return err
 	}
 	runtime.SetLimits(cfg)
-	p, err := runtime.StartPlatform(cfg, log, each)
+	p, err := runtime.StartPlatform(cfg, log, traceFunc)
 	if err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- p.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- p.Wait() }()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return err
 		case <-ctx.Done():
-			log.Info("told to end: tests fail from now, what comes is still served")
+			log.Info("shutting down: heartbeats fail from now on, calls are still served")
 			p.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
 			ctx = context.Background()
 		case <-hup:
 			next, err := runtime.LoadPlatformConfig(file)
 			if err != nil {
-				log.Error("configuration not reread: the old one stays", zap.Error(err))
+				log.Error("configuration reload failed, keeping the old one", zap.Error(err))
 				continue
 			}
 			p.Execute(func(core *platform.Core, now time.Duration) { core.SetCoordinator(now, next.Coordinator) })
--- a/cmd/pipitring/serve.go
+++ b/cmd/pipitring/serve.go
@@ -24,22 +24,22 @@
 			}
 			return serve(cmd.Context(), file)
 		}}
-	c.Flags().StringVarP(&file, "config", "c", "", "settings (TOML)")
+	c.Flags().StringVarP(&file, "config", "c", "", "settings file (TOML)")
 	return c
 }
 
-// serve runs one router: SIGTERM and SIGINT drain it, a second one ends it, SIGHUP rereads the settings.
+// serve runs one router. SIGTERM and SIGINT drain it, a second one stops it at once, SIGHUP reloads the settings.
 func serve(ctx context.Context, file string) error {
-	set, err := config.Load(file)
+	settings, err := config.Load(file)
 	if err != nil {
 		return err
 	}
-	log, err := runtime.NewLogger(set.Log)
+	log, err := runtime.NewLogger(settings.Log)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // fails on terminals, and there is nowhere left to say so
-	r, err := runtime.Start(set, log)
+	defer func() { _ = log.Sync() }() // fails on terminals, and the error could not be logged
+	r, err := runtime.Start(settings, log)
 	if err != nil {
 		return err
 	}
@@ -54,29 +54,29 @@
 				err = r.Reload(next)
 			}
 			if err != nil {
-				log.Error("settings not reloaded: the old ones stay", zap.Error(err))
+				log.Error("settings reload failed, keeping the old ones", zap.Error(err))
 			}
 		case <-ctx.Done():
-			again, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+			secondSignal, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return r.Drain(again)
+			return r.Drain(secondSignal)
 		}
 	}
 }
 
-// serveBuiltIn runs three routers with their switches on loopback, for a first look.
+// serveBuiltIn runs three routers and their switches on loopback, as a demonstration.
 func serveBuiltIn(ctx context.Context) error {
 	return lab.Demo(ctx, func(line string) { fmt.Fprintln(os.Stderr, line) })
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE", Short: "Check a router's settings; every error is told with file, line and key",
+	return &cobra.Command{Use: "check FILE", Short: "Check a router's settings; report every error with file, line and key",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			set, err := config.Load(args[0])
+			settings, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%s: good: exchange %d, %d classes, %d groups\n", args[0], set.Router.Exchange, len(set.Class), len(set.GroupSizes))
+			fmt.Printf("%s: valid: exchange %d, %d classes, %d groups\n", args[0], settings.Router.Exchange, len(settings.Class), len(settings.GroupSizes))
 			return nil
 		}}
 }
