--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,7 +10,8 @@
 	"pipitring/internal/tomlbind"
 )
 
-// check looks for what cannot work and makes the plan. It goes on after a problem, so that all are told.
+// check validates the settings, fills in defaults and builds the dial plan. It continues after a problem, so that all of
+// them are reported.
 func (s *Settings) check(d *tomlbind.Doc) {
 	s.checkRouter(d)
 	s.checkRules(d)
@@ -19,7 +20,7 @@
 	s.checkClasses(d)
 	s.checkTenants(d)
 	s.checkGroups(d)
-	s.checkRest(d)
+	s.checkServices(d)
 	s.checkRecords(d)
 	if len(d.Problems) == 0 {
 		if err := s.DecideSettings().Validate(); err != nil {
@@ -28,7 +29,8 @@
 	}
 }
 
-func positive(d *tomlbind.Doc, key string, t time.Duration) {
+// requirePositive reports a duration that is zero or negative.
+func requirePositive(d *tomlbind.Doc, key string, t time.Duration) {
 	if t <= 0 {
 		d.Report(key, "%v must be above zero", t)
 	}
@@ -37,7 +39,7 @@
 func (s *Settings) checkRouter(d *tomlbind.Doc) {
 	r := &s.Router
 	if !r.Listen.IsValid() {
-		d.Report("router.listen", "an address such as \"127.0.0.1:4569\" is needed")
+		d.Report("router.listen", "an address such as \"127.0.0.1:4569\" is required")
 	} else if !r.Listen.Addr().Is4() {
 		d.Report("router.listen", "%v is not an IPv4 address", r.Listen)
 	}
@@ -48,7 +50,7 @@
 		r.Routers = max(1, len(s.Exchange))
 	}
 	if r.Routers < 1 {
-		d.Report("router.routers", "%d routers", r.Routers)
+		d.Report("router.routers", "%d routers; the minimum is 1", r.Routers)
 	}
 	if r.MaxCalls < 0 {
 		d.Report("router.max_calls", "%d is negative", r.MaxCalls)
@@ -56,7 +58,7 @@
 	if r.AnswerMargin < 0 {
 		d.Report("router.answer_margin", "%v is negative", r.AnswerMargin)
 	}
-	positive(d, "router.drain_limit", r.DrainLimit)
+	requirePositive(d, "router.drain_limit", r.DrainLimit)
 }
 
 func (s *Settings) checkRules(d *tomlbind.Doc) {
@@ -64,25 +66,25 @@
 	if r.ReleaseWait < 0 {
 		d.Report("rules.release_wait", "%v is negative", r.ReleaseWait)
 	}
-	positive(d, "rules.drain_grace", r.DrainGrace)
+	requirePositive(d, "rules.drain_grace", r.DrainGrace)
 	if r.DrainGrace > 0 && r.DrainGrace < 4*s.IAX.AcceptDelay {
-		d.Report("rules.drain_grace", "%v is under four times iax.accept_delay (%v): set-ups that arrived could not be told "+
-			"from lost ones before it ends", r.DrainGrace, s.IAX.AcceptDelay)
+		d.Report("rules.drain_grace", "%v is under four times iax.accept_delay (%v): set-ups that arrived could not be distinguished "+
+			"from lost ones before the grace period ends", r.DrainGrace, s.IAX.AcceptDelay)
 	}
 	if r.ColdCapacity <= 0 || r.ColdCapacity > 1 {
-		d.Report("rules.cold_from", "%v is not a share above 0, up to 1", r.ColdCapacity)
+		d.Report("rules.cold_from", "%v is not a share above 0 and up to 1", r.ColdCapacity)
 	}
 	if r.ColdDuration < 0 {
 		d.Report("rules.cold_for", "%v is negative", r.ColdDuration)
 	}
 	if r.OverloadMultiple < 1 {
-		d.Report("rules.fall_multiple", "%v is under 1", r.OverloadMultiple)
+		d.Report("rules.fall_multiple", "%v is under the minimum of 1", r.OverloadMultiple)
 	}
 	if r.ClockDrift < 0 || r.ClockDrift > 0.1 {
-		d.Report("rules.clock_drift", "%v is not a part from 0 to 0.1", r.ClockDrift)
+		d.Report("rules.clock_drift", "%v is not a share from 0 to 0.1", r.ClockDrift)
 	}
 	if r.MaxAttempts < 1 {
-		d.Report("rules.max_attempts", "%d attempts", r.MaxAttempts)
+		d.Report("rules.max_attempts", "%d attempts per call; the minimum is 1", r.MaxAttempts)
 	}
 }
 
@@ -104,7 +106,7 @@
 		}
 		for j, p := range x.Prefixes {
 			if p == "" {
-				d.Report(fmt.Sprintf("%s.prefixes[%d]", key, j+1), "an empty prefix would take every number")
+				d.Report(fmt.Sprintf("%s.prefixes[%d]", key, j+1), "an empty prefix would match every number")
 			} else if err := s.Plan.AddDest(p, x.Number); err != nil {
 				d.Report(fmt.Sprintf("%s.prefixes[%d]", key, j+1), "%v", err)
 			}
@@ -117,7 +119,7 @@
 
 func (s *Settings) checkClasses(d *tomlbind.Doc) {
 	if len(s.Class) == 0 {
-		d.Report("class", "at least one [[class]] is needed")
+		d.Report("class", "at least one [[class]] is required")
 	}
 	seen := map[string]bool{}
 	for i := range s.Class {
@@ -131,18 +133,18 @@
 			c.Width = 1
 		}
 		if c.Width < 1 {
-			d.Report(key+".width", "%d circuits", c.Width)
+			d.Report(key+".width", "%d circuits per call; the minimum is 1", c.Width)
 		}
-		positive(d, key+".hold", c.HoldTime)
-		positive(d, key+".aim", c.SetupTarget)
-		positive(d, key+".deadline", c.Deadline)
+		requirePositive(d, key+".hold", c.HoldTime)
+		requirePositive(d, key+".aim", c.SetupTarget)
+		requirePositive(d, key+".deadline", c.Deadline)
 		if c.Patience == 0 {
 			c.Patience = c.Deadline
 		}
 		if c.Patience < 0 || c.Patience > c.Deadline {
 			d.Report(key+".patience", "%v is not from 0 to the deadline of %v", c.Patience, c.Deadline)
 		} else if c.Patience > 0 && c.Patience <= 2*s.Router.AnswerMargin {
-			d.Report(key+".patience", "%v leaves no time beside twice the router's answer_margin of %v", c.Patience,
+			d.Report(key+".patience", "%v leaves no time for the call: it must be above twice router.answer_margin (%v)", c.Patience,
 				s.Router.AnswerMargin)
 		}
 		if c.Value <= 0 {
@@ -151,7 +153,7 @@
 		if c.LateValue < 0 || c.LateValue > 1 {
 			d.Report(key+".late_worth", "%v is not a share from 0 to 1", c.LateValue)
 		}
-		s.entries(d, key, c.Users, c.Contexts, c.Prefixes, i, s.Plan.AddClass, s.Plan.AddClassPrefix)
+		s.addPlanEntries(d, key, c.Users, c.Contexts, c.Prefixes, i, s.Plan.AddClass, s.Plan.AddClassPrefix)
 		if c.Name == s.Router.DefaultClass {
 			s.Plan.DefaultClass = i
 		}
@@ -172,12 +174,12 @@
 		if t.Quota < 0 {
 			d.Report(key+".quota", "%v is negative", t.Quota)
 		}
-		s.entries(d, key, t.Users, t.Contexts, t.Prefixes, i, s.Plan.AddTenant, s.Plan.AddTenantPrefix)
+		s.addPlanEntries(d, key, t.Users, t.Contexts, t.Prefixes, i, s.Plan.AddTenant, s.Plan.AddTenantPrefix)
 	}
 }
 
-// entries puts what a class or a tenant is known by into the plan.
-func (s *Settings) entries(d *tomlbind.Doc, key string, users, contexts, prefixes []string, value int,
+// addPlanEntries adds the users, contexts and prefixes that identify a class or tenant to the dial plan.
+func (s *Settings) addPlanEntries(d *tomlbind.Doc, key string, users, contexts, prefixes []string, value int,
 	byName func(call.PlanKey, string, int) error, byPrefix func(string, int) error) {
 	for j, u := range users {
 		if err := byName(call.KeyUser, u, value); err != nil {
@@ -206,7 +208,7 @@
 		key := fmt.Sprintf("group[%d]", i+1)
 		switch _, twice := s.GroupSizes[g.To]; {
 		case g.To == s.Router.Exchange:
-			d.Report(key+".to", "a group to the own exchange")
+			d.Report(key+".to", "the group leads to the router's own exchange")
 		case !known[g.To]:
 			d.Report(key+".to", "exchange %d is not among the [[exchange]] tables", g.To)
 		case twice:
@@ -223,25 +225,25 @@
 	s.checkISUP(d)
 }
 
-// checkISUP checks the groups with circuits of their own. Point codes are the exchange's number plus one where
-// none is given.
+// checkISUP validates the groups with ISUP circuits and the [switch], [m3ua] and [isup] tables. A point code that is not
+// given is the exchange's number plus one.
 func (s *Settings) checkISUP(d *tomlbind.Doc) {
-	const longest = 1<<24 - 1 // the widest point codes that M3UA carries
+	const maxPointCode = 1<<24 - 1 // M3UA carries point codes of at most 24 bits
 	if s.Router.PointCode == 0 {
 		s.Router.PointCode = uint32(s.Router.Exchange + 1)
 	}
-	if s.Router.PointCode > longest {
+	if s.Router.PointCode > maxPointCode {
 		d.Report("router.point_code", "%d has more than 24 bits", s.Router.PointCode)
 	}
 	codes := map[uint32]bool{s.Router.PointCode: true}
-	any := false
+	hasISUP := false
 	own := Group{To: s.Router.Exchange, Circuits: s.Switch.Circuits, Front: s.Switch.Front, PointCode: s.Switch.PointCode,
 		FirstCIC: s.Switch.FirstCIC, Connect: s.Switch.Connect}
 	if own.Front == FrontISUP && own.PointCode == 0 {
-		d.Report("switch.point_code", "the switch needs a point code of its own")
+		d.Report("switch.point_code", "is required for a switch that uses ISUP")
 	}
 	if own.Circuits < 0 || own.Front == FrontISUP && own.Circuits < 1 {
-		d.Report("switch.circuits", "%d circuits", own.Circuits)
+		d.Report("switch.circuits", "%d circuits; the minimum is 0, or 1 for a switch that uses ISUP", own.Circuits)
 	}
 	for i := range len(s.Group) + 1 {
 		g, key := &own, "switch"
@@ -252,7 +254,7 @@
 		case "", FrontIAX2:
 			g.Front = FrontIAX2
 			if len(g.Connect) > 0 || g.FirstCIC != 0 || g.PointCode != 0 {
-				d.Report(key, "connect, first_cic and point_code are of groups with front = %q", FrontISUP)
+				d.Report(key, "connect, first_cic and point_code apply only to groups with front = %q", FrontISUP)
 			}
 			continue
 		case FrontISUP:
@@ -260,73 +262,74 @@
 			d.Report(key+".front", "%q is none of %s, %s", g.Front, FrontIAX2, FrontISUP)
 			continue
 		}
-		any = true
+		hasISUP = true
 		if g.PointCode == 0 {
 			g.PointCode = uint32(g.To + 1)
 		}
-		if g.PointCode > longest || codes[g.PointCode] {
+		if g.PointCode > maxPointCode || codes[g.PointCode] {
 			d.Report(key+".point_code", "%d has more than 24 bits or is another exchange's", g.PointCode)
 		}
 		codes[g.PointCode] = true
 		g.FirstCIC = max(g.FirstCIC, 1)
 		if last := g.FirstCIC + g.Circuits - 1; last > int(isup.MaxCIC) {
-			d.Report(key+".circuits", "the last circuit's CIC would be %d, over %d", last, isup.MaxCIC)
+			d.Report(key+".circuits", "the last circuit's CIC would be %d, over the maximum of %d", last, isup.MaxCIC)
 		}
 		for j, a := range g.Connect {
 			if !a.IsValid() {
-				d.Report(fmt.Sprintf("%s.connect[%d]", key, j+1), "an address such as \"127.0.0.1:2905\" is needed")
+				d.Report(fmt.Sprintf("%s.connect[%d]", key, j+1), "an address such as \"127.0.0.1:2905\" is required")
 			}
 		}
 		if len(g.Connect) == 0 && !s.M3UA.Listen.IsValid() {
-			d.Report(key+".connect", "nothing to connect to, and m3ua.listen is not set: no signalling could come up")
+			d.Report(key+".connect", "the list is empty and m3ua.listen is not set: no association could be established")
 		}
 	}
 	s.Switch.FirstCIC, s.Switch.Front = own.FirstCIC, own.Front
-	if m := &s.M3UA; any || m.Listen.IsValid() {
+	if m := &s.M3UA; hasISUP || m.Listen.IsValid() {
 		if m.Mode != "override" && m.Mode != "loadshare" {
 			d.Report("m3ua.mode", "%q is none of override, loadshare", m.Mode)
 		}
-		positive(d, "m3ua.ack_wait", m.AckTimeout)
-		positive(d, "m3ua.beat", m.HeartbeatInterval)
+		requirePositive(d, "m3ua.ack_wait", m.AckTimeout)
+		requirePositive(d, "m3ua.beat", m.HeartbeatInterval)
 		if m.MaxRetries < 1 {
-			d.Report("m3ua.retries", "%d repeats", m.MaxRetries)
+			d.Report("m3ua.retries", "%d retransmissions; the minimum is 1", m.MaxRetries)
 		}
 		if m.MaxUnsentBytes < 4096 {
-			d.Report("m3ua.max_out", "%d bytes are under 4096", m.MaxUnsentBytes)
+			d.Report("m3ua.max_out", "%d bytes is under the minimum of 4096", m.MaxUnsentBytes)
 		}
 	}
 	t := &s.ISUP
 	for key, v := range map[string]time.Duration{"t1": t.T1, "t7": t.T7, "t9": t.T9, "t12": t.T12, "t16": t.T16} {
-		positive(d, "isup."+key, v)
+		requirePositive(d, "isup."+key, v)
 	}
 	for key, v := range map[string][2]time.Duration{"t5": {t.T5, t.T1}, "t13": {t.T13, t.T12}, "t17": {t.T17, t.T16}} {
 		if v[0] < v[1] {
-			d.Report("isup."+key, "%v is under the timer of its repeats (%v)", v[0], v[1])
+			d.Report("isup."+key, "%v is under the timer of its retransmissions (%v)", v[0], v[1])
 		}
 	}
 }
 
-func (s *Settings) checkRest(d *tomlbind.Doc) {
+// checkServices validates the [list], [iax], [[user]], [log] and [http] tables.
+func (s *Settings) checkServices(d *tomlbind.Doc) {
 	switch l := &s.List; {
 	case l.File == "" && l.DiscoveryURL == "":
-		d.Report("list", "either file or register is needed")
+		d.Report("list", "either file or register is required")
 	case l.File != "" && l.DiscoveryURL != "":
-		d.Report("list.register", "file and register are both given")
+		d.Report("list.register", "file and register must not both be given")
 	case l.DiscoveryURL != "":
 		u, err := url.Parse(l.DiscoveryURL)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			d.Report("list.register", "%q is no address such as \"http://127.0.0.1:8500\"", l.DiscoveryURL)
+			d.Report("list.register", "%q is not a URL such as \"http://127.0.0.1:8500\"", l.DiscoveryURL)
 		}
-		positive(d, "list.wait", l.Wait)
+		requirePositive(d, "list.wait", l.Wait)
 	}
 	x := &s.IAX
-	positive(d, "iax.retry_first", x.RetransmitInterval)
-	positive(d, "iax.linger", x.Linger)
+	requirePositive(d, "iax.retry_first", x.RetransmitInterval)
+	requirePositive(d, "iax.linger", x.Linger)
 	if x.MaxRetransmitInterval < x.RetransmitInterval {
 		d.Report("iax.retry_max", "%v is under retry_first (%v)", x.MaxRetransmitInterval, x.RetransmitInterval)
 	}
 	if x.MaxRetransmits < 1 {
-		d.Report("iax.retries", "%d repeats", x.MaxRetransmits)
+		d.Report("iax.retries", "%d retransmissions; the minimum is 1", x.MaxRetransmits)
 	}
 	if x.AckDelay < 0 || x.AckDelay > x.RetransmitInterval/2 {
 		d.Report("iax.ack_delay", "%v is not from 0 to half of retry_first (%v)", x.AckDelay, x.RetransmitInterval)
@@ -341,12 +344,12 @@
 		d.Report("iax.max_per_host", "%d is negative", x.MaxPerHost)
 	}
 	if x.Challenge && len(s.User) == 0 {
-		d.Report("iax.challenge", "calls are to be challenged, and no [[user]] could answer")
+		d.Report("iax.challenge", "calls would be challenged, but no [[user]] is configured")
 	}
 	names := map[string]bool{}
 	for i, u := range s.User {
 		if u.Name == "" || u.Secret == "" || names[u.Name] {
-			d.Report(fmt.Sprintf("user[%d]", i+1), "name and secret are needed, and %q only once", u.Name)
+			d.Report(fmt.Sprintf("user[%d]", i+1), "name and secret are required, and name %q must be unique", u.Name)
 		}
 		names[u.Name] = true
 	}
@@ -356,7 +359,7 @@
 		d.Report("log.level", "%q is none of debug, info, warn, error", s.Log.Level)
 	}
 	if s.Log.PerSecond < 1 {
-		d.Report("log.per_second", "%d lines", s.Log.PerSecond)
+		d.Report("log.per_second", "%d lines; the minimum is 1", s.Log.PerSecond)
 	}
 	if s.HTTP.Listen.IsValid() && !s.HTTP.Listen.Addr().IsLoopback() {
 		d.Report("http.listen", "%v is not a loopback address: metrics are served without a password", s.HTTP.Listen)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a router's settings from TOML and checks them. Everything that is wrong is reported at
-// once, with file, line and key.
+// Package config reads a router's settings from TOML and validates them. All problems are reported together, each with
+// file, line and key.
 package config
 
 import (
@@ -18,7 +18,7 @@
 	"pipitring/internal/tomlbind"
 )
 
-// File is a router's settings as they are written.
+// File mirrors the settings file of a router.
 type File struct {
 	Router         Router     `toml:"router"`
 	Rules          Rules      `toml:"rules"`
@@ -51,19 +51,19 @@
 	PointCode    uint32         `toml:"point_code"`
 }
 
-// Rules are the figures of the five rules.
+// Rules is the [rules] table: the limits that the router's call-handling rules work with.
 type Rules struct {
-	ReleaseWait      time.Duration `toml:"release_wait"`
-	DrainGrace       time.Duration `toml:"drain_grace"`
-	ColdCapacity     float64       `toml:"cold_from"`
-	ColdDuration     time.Duration `toml:"cold_for"`
-	OverloadMultiple float64       `toml:"fall_multiple"`
-	MaxAttempts      int           `toml:"max_attempts"`
-	MaxRetryAfter    time.Duration `toml:"max_stay_away"`
-	ClockDrift       float64       `toml:"clock_drift"`
+	ReleaseWait      time.Duration `toml:"release_wait"`  // before the next attempt after a time-out, cut or cancelled attempt
+	DrainGrace       time.Duration `toml:"drain_grace"`   // after it no new call reaches a draining or removed exchange
+	ColdCapacity     float64       `toml:"cold_from"`     // share of its capacity that a just started processor has, above 0 to 1
+	ColdDuration     time.Duration `toml:"cold_for"`      // after a start, until the full capacity is reached
+	OverloadMultiple float64       `toml:"fall_multiple"` // load, as a multiple of its capacity, above which a processor collapses
+	MaxAttempts      int           `toml:"max_attempts"`  // set-up attempts per call
+	MaxRetryAfter    time.Duration `toml:"max_stay_away"` // longest retry-after sent to a caller
+	ClockDrift       float64       `toml:"clock_drift"`   // largest relative difference between clock rates, 0 to 0.1
 }
 
-// Class is one class of call.
+// Class is one [[class]] table: a class of calls and how calls are recognised as belonging to it.
 type Class struct {
 	Name        string        `toml:"name"`
 	HoldTime    time.Duration `toml:"hold"`
@@ -78,7 +78,7 @@
 	Prefixes    []string      `toml:"prefixes"`
 }
 
-// Tenant is one owner of traffic.
+// Tenant is one [[tenant]] table: an owner of traffic with a quota.
 type Tenant struct {
 	Name     string   `toml:"name"`
 	Quota    float64  `toml:"quota"`
@@ -87,7 +87,7 @@
 	Prefixes []string `toml:"prefixes"`
 }
 
-// Exchange is one exchange of the network and the numbers it serves.
+// Exchange is one [[exchange]] table: an exchange of the network and the number prefixes that it serves.
 type Exchange struct {
 	Number   int      `toml:"number"`
 	Name     string   `toml:"name"`
@@ -95,20 +95,20 @@
 	Prefixes []string `toml:"prefixes"`
 }
 
-// Group is one trunk group of this router's exchange.
+// Group is one [[group]] table: a trunk group of this router's exchange.
 type Group struct {
 	To       int            `toml:"to"`
 	Circuits int            `toml:"circuits"`
 	Peer     netip.AddrPort `toml:"peer"`
-	// Of groups with front = "isup":
+	// Front is FrontIAX2 or FrontISUP; empty means FrontIAX2. The fields below apply to FrontISUP only.
 	Front     string           `toml:"front"`
 	PointCode uint32           `toml:"point_code"`
 	FirstCIC  int              `toml:"first_cic"`
 	Connect   []netip.AddrPort `toml:"connect"`
 }
 
-// Switch sets the circuits to the own switch where it speaks ISUP; without front it speaks IAX2 at the address on the
-// list, and circuits are its lines.
+// Switch is the [switch] table: the circuits to the exchange's own switch if that uses ISUP. If front is empty, the
+// switch uses IAX2 at its address on the exchange list, and circuits is the number of its lines.
 type Switch struct {
 	Front     string           `toml:"front"`
 	PointCode uint32           `toml:"point_code"`
@@ -117,13 +117,13 @@
 	Connect   []netip.AddrPort `toml:"connect"`
 }
 
-// Fronts of a group.
+// Signalling protocols of a group.
 const (
-	FrontIAX2 = "iax2"
-	FrontISUP = "isup"
+	FrontIAX2 = "iax2" // IAX2 (RFC 5456) over UDP
+	FrontISUP = "isup" // ISUP over M3UA over TCP
 )
 
-// List tells where the exchange list comes from.
+// List is the [list] table: the source of the exchange list, either a file or a service-discovery API.
 type List struct {
 	File         string        `toml:"file"`
 	DiscoveryURL string        `toml:"register"`
@@ -131,7 +131,7 @@
 	Wait         time.Duration `toml:"wait"`
 }
 
-// IAX sets the IAX2 front.
+// IAX is the [iax] table: the parameters of the IAX2 endpoint.
 type IAX struct {
 	RetransmitInterval    time.Duration `toml:"retry_first"`
 	MaxRetransmitInterval time.Duration `toml:"retry_max"`
@@ -147,7 +147,7 @@
 	Challenge             bool          `toml:"challenge"`
 }
 
-// M3UA sets the associations of groups with front = "isup", over TCP.
+// M3UA is the [m3ua] table: the M3UA associations over TCP of groups with front = "isup".
 type M3UA struct {
 	Listen            netip.AddrPort `toml:"listen"`
 	Mode              string         `toml:"mode"`
@@ -158,7 +158,7 @@
 	MaxUnsentBytes    int            `toml:"max_out"`
 }
 
-// ISUP sets the circuits' timers (Q.764, annex A).
+// ISUP is the [isup] table: the circuits' timers (Q.764, annex A).
 type ISUP struct {
 	T1  time.Duration `toml:"t1"`
 	T5  time.Duration `toml:"t5"`
@@ -170,24 +170,24 @@
 	T17 time.Duration `toml:"t17"`
 }
 
-// User is a subscriber that proves who it is.
+// User is one [[user]] table: the credentials of a subscriber that authenticates itself.
 type User struct {
 	Name   string `toml:"name"`
 	Secret string `toml:"secret"`
 }
 
-// HTTP is where metrics and health are served.
+// HTTP is the [http] table: the address on which metrics and health are served.
 type HTTP struct {
 	Listen netip.AddrPort `toml:"listen"`
 }
 
-// Log sets the log.
+// Log is the [log] table.
 type Log struct {
 	Level     string `toml:"level"`
-	PerSecond int    `toml:"per_second"`
+	PerSecond int    `toml:"per_second"` // lines of the same message written per second
 }
 
-// Defaults are the settings of a file that says nothing.
+// Defaults returns the settings of an empty file.
 func Defaults() File {
 	return File{
 		Router: Router{AnswerMargin: 60 * time.Millisecond, DrainLimit: 30 * time.Second, MaxCalls: 20000},
@@ -205,17 +205,17 @@
 	}
 }
 
-// Settings are a router's checked settings.
+// Settings is a router's validated configuration.
 type Settings struct {
 	File
 	Path       string
-	Tariffs    *cdr.Tariffs // nil: records are kept unrated
+	Tariffs    *cdr.Tariffs // nil: call records are stored unrated
 	Plan       *call.Plan
-	GroupSizes map[int]int // circuits by exchange number
+	GroupSizes map[int]int // circuits of each trunk group by exchange number
 	Zones      []string
 }
 
-// Load reads and checks a file.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -224,7 +224,7 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks settings; path names them in errors.
+// Parse reads and validates settings; path is the file name given in errors.
 func Parse(path string, data []byte) (*Settings, error) {
 	s := &Settings{File: Defaults(), Path: path}
 	doc := tomlbind.Read(path, data, &s.File)
@@ -235,11 +235,11 @@
 	return s, nil
 }
 
-// DecideSettings puts the settings in the module's terms.
+// DecideSettings converts the settings to those of the decision module.
 func (s *Settings) DecideSettings() decide.Settings {
 	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers, OverShareValue: s.OverShareValue,
 		MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.Rules.MaxRetryAfter,
-		ReleaseGuard: s.atLeast(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity,
+		ReleaseGuard: s.lengthenForDrift(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity,
 		ColdDuration: s.Rules.ColdDuration, OverloadMultiple: s.Rules.OverloadMultiple}
 	for _, c := range s.Class {
 		d.Classes = append(d.Classes, decide.Class{HoldTime: c.HoldTime, Width: c.Width, SetupTarget: c.SetupTarget, Deadline: c.Deadline,
@@ -251,8 +251,8 @@
 	return d
 }
 
-// OwnCircuits is the size of the own switch: its circuits, or lines, as set; else as many as its groups bring calls
-// on, so that a cold switch is not taken for one of a single line.
+// OwnCircuits returns the number of circuits or lines of the exchange's own switch. If that is not set, it is the sum of
+// the trunk groups' circuits: with a default of 0 or 1, a switch in slow start would be limited to a single call.
 func (s *Settings) OwnCircuits() int {
 	if s.Switch.Circuits > 0 {
 		return s.Switch.Circuits
@@ -264,40 +264,43 @@
 	return n
 }
 
-// CallSettings puts them in the call core's terms; seed replaces a seed of 0.
+// CallSettings converts the settings to those of the call core; seed is used if the settings have a seed of 0.
 func (s *Settings) CallSettings(seed uint64) call.Settings {
 	if s.Router.Seed != 0 {
 		seed = s.Router.Seed
 	}
 	c := call.Settings{Decide: s.DecideSettings(), Seed: seed, Groups: s.GroupSizes, OwnCircuits: s.OwnCircuits(), Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin,
-		DrainGrace: s.atMost(s.Rules.DrainGrace), MaxCalls: s.Router.MaxCalls}
+		DrainGrace: s.shortenForDrift(s.Rules.DrainGrace), MaxCalls: s.Router.MaxCalls}
 	if s.Records.Dir != "" && s.Records.Answer == AnswerDurable {
 		c.DurableTimeout = s.Records.AnswerWait
 	}
 	for _, class := range s.Class {
-		c.Patience = append(c.Patience, s.atMost(class.Patience))
+		c.Patience = append(c.Patience, s.shortenForDrift(class.Patience))
 	}
 	return c
 }
 
-// atLeast is what this router's clock has to show for a time to have passed on every clock that runs up to clock_drift
-// slower, atMost what it may show for a time not to have passed on one that runs faster.
-func (s *Settings) atLeast(d time.Duration) time.Duration {
+// lengthenForDrift returns the duration to measure on the local clock so that at least d has passed on every clock that
+// runs up to clock_drift slower.
+func (s *Settings) lengthenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + s.Rules.ClockDrift))
 }
 
-func (s *Settings) atMost(d time.Duration) time.Duration {
+// shortenForDrift returns the duration to measure on the local clock so that at most d has passed on every clock that
+// runs up to clock_drift faster.
+func (s *Settings) shortenForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / (1 + s.Rules.ClockDrift))
 }
 
-// ISUPGroups are the groups, and the circuits to the own switch as one more.
+// ISUPGroups returns the trunk groups and, as the last one, the circuits to the exchange's own switch. Groups that use
+// IAX2 are included.
 func (s *Settings) ISUPGroups() []Group {
 	w := s.Switch
 	return append(slices.Clone(s.Group), Group{To: s.Router.Exchange, Circuits: w.Circuits, Front: w.Front, PointCode: w.PointCode,
 		FirstCIC: w.FirstCIC, Connect: w.Connect})
 }
 
-// ISUPConfig puts the groups with front = "isup" in their front's terms.
+// ISUPConfig converts the groups with front = "isup" to the configuration of the ISUP front end.
 func (s *Settings) ISUPConfig() isupfront.Config {
 	t := isup.Timers(s.ISUP)
 	c := isupfront.Config{Mode: m3ua.TrafficOverride, Own: s.Router.Exchange}
@@ -315,7 +318,7 @@
 	return c
 }
 
-// Secret finds a user's secret.
+// Secret returns a user's secret, and whether the user is known.
 func (s *Settings) Secret(user string) (string, bool) {
 	for _, u := range s.User {
 		if u.Name == user {
@@ -325,24 +328,24 @@
 	return "", false
 }
 
-// CheckReload reports what of next cannot be taken over while the router runs.
+// CheckReload returns an error if next differs from s in settings that cannot change while the router runs.
 func (s *Settings) CheckReload(next *Settings) error {
-	if !s.Records.same(&next.Records) {
-		return fmt.Errorf("%s: [records] changes only with a restart", next.Path)
+	if !s.Records.equal(&next.Records) {
+		return fmt.Errorf("%s: a change of [records] needs a restart", next.Path)
 	}
-	moved := s.Router.Listen != next.Router.Listen && next.Router.Listen.Port() != 0 // port 0 is any
-	if s.Router.Exchange != next.Router.Exchange || moved {
-		return fmt.Errorf("%s: exchange and listen change only with a restart", next.Path)
+	listenChanged := s.Router.Listen != next.Router.Listen && next.Router.Listen.Port() != 0 // port 0 accepts any port
+	if s.Router.Exchange != next.Router.Exchange || listenChanged {
+		return fmt.Errorf("%s: a change of router.exchange or router.listen needs a restart", next.Path)
 	}
 	if !slices.EqualFunc(s.ISUPConfig().Groups, next.ISUPConfig().Groups, func(a, b isupfront.GroupConfig) bool { return a == b }) {
-		return fmt.Errorf("%s: groups with front = \"isup\" change only with a restart", next.Path)
+		return fmt.Errorf("%s: a change of groups with front = \"isup\" needs a restart", next.Path)
 	}
 	if len(s.Class) != len(next.Class) || len(s.Tenant) != len(next.Tenant) {
-		return fmt.Errorf("%s: the number of classes and tenants changes only with a restart", next.Path)
+		return fmt.Errorf("%s: a change of the number of classes or tenants needs a restart", next.Path)
 	}
 	for i := range s.Class {
 		if s.Class[i].Name != next.Class[i].Name {
-			return fmt.Errorf("%s: class %d was %q: classes change only with a restart", next.Path, i+1, s.Class[i].Name)
+			return fmt.Errorf("%s: class %d was named %q: a change of class names needs a restart", next.Path, i+1, s.Class[i].Name)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 
 const example = "../../deploy/router.toml"
 
-func TestExampleIsGood(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	s, err := Load(example)
 	if err != nil {
 		t.Fatal(err)
@@ -28,8 +28,8 @@
 	}
 }
 
-// The example names every key there is, so that operators find all of them.
-func TestExampleNamesEveryDefault(t *testing.T) {
+// The example file has to contain every key, so that operators find all of them.
+func TestExampleContainsEveryKey(t *testing.T) {
 	data, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Each change to the example brings the error that it should, at its line.
-func TestWhatIsReported(t *testing.T) {
+// Each invalid change to the example is reported with its key.
+func TestInvalidSettings(t *testing.T) {
 	data, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -57,10 +57,10 @@
 		{`listen = "127.0.0.1:4569"`, `listen = "[::1]:4569"`, "router.listen: [::1]:4569 is not an IPv4 address"},
 		{"exchange = 0", "exchange = 7", "router.exchange: exchange 7 is not among"},
 		{"exchange = 0", "exchnge = 0", "router.exchnge: unknown key"},
-		{`drain_grace = "1s"`, `drain_grace = 1`, "rules.drain_grace: a time such as"},
+		{`drain_grace = "1s"`, `drain_grace = 1`, "rules.drain_grace: expected a time such as"},
 		{`drain_grace = "1s"`, `drain_grace = "200ms"`, "rules.drain_grace: 200ms is under four times"},
 		{"cold_from = 0.29", "cold_from = 1.5", "rules.cold_from: 1.5 is not a share"},
-		{"fall_multiple = 3.0", "fall_multiple = 0.5", "rules.fall_multiple: 0.5 is under 1"},
+		{"fall_multiple = 3.0", "fall_multiple = 0.5", "rules.fall_multiple: 0.5 is under the minimum of 1"},
 		{`patience = "3s"`, `patience = "30s"`, "class[1].patience: 30s is not from 0 to the deadline"},
 		{`patience = "3s"`, `patience = "100ms"`, "class[1].patience: 100ms leaves no time"},
 		{"width = 1 ", "width = -1 ", "class[1].width: -1 circuits"},
@@ -72,21 +72,21 @@
 		{"number = 2", "number = 1", "exchange[3].number: exchange 1 is given twice"},
 		{"to = 2", "to = 9", "group[2].to: exchange 9 is not among"},
 		{"to = 2", "to = 1", "group[2].to: the group to exchange 1 is given twice"},
-		{"to = 2", "to = 0", "group[2].to: a group to the own exchange"},
+		{"to = 2", "to = 0", "group[2].to: the group leads to the router's own exchange"},
 		{"circuits = 30", "circuits = -3", "group[2].circuits: -3 is negative"},
-		{`file = "exchanges.toml"`, `register = "nowhere"`, "list.register: \"nowhere\" is no address"},
-		{`file = "exchanges.toml"`, ``, "list: either file or register is needed"},
+		{`file = "exchanges.toml"`, `register = "nowhere"`, "list.register: \"nowhere\" is not a URL"},
+		{`file = "exchanges.toml"`, ``, "list: either file or register is required"},
 		{`ack_delay = "20ms"`, `ack_delay = "2s"`, "iax.ack_delay: 2s is not from 0"},
 		{"max_dialogs = 32000", "max_dialogs = 90000", "iax.max_dialogs: 90000"},
-		{`secret = "change me too"`, ``, "user[2]: name and secret are needed"},
+		{`secret = "change me too"`, ``, "user[2]: name and secret are required"},
 		{`listen = "127.0.0.1:9100"`, `listen = "0.0.0.0:9100"`, "http.listen: 0.0.0.0:9100 is not a loopback address"},
 		{`level = "info"`, `level = "loud"`, "log.level: \"loud\" is none of"},
 		{`front = "isup"`, `front = "ss7"`, "group[2].front: \"ss7\" is none of iax2, isup"},
-		{`front = "isup"`, `front = "iax2"`, "group[2]: connect, first_cic and point_code are of groups with front"},
+		{`front = "isup"`, `front = "iax2"`, "group[2]: connect, first_cic and point_code apply only to groups with front"},
 		{"point_code = 3", "point_code = 1", "group[2].point_code: 1 has more than 24 bits or is another exchange's"},
 		{"first_cic = 1", "first_cic = 4090", "group[2].circuits: the last circuit's CIC would be 4119"},
 		{`mode = "override"`, `mode = "both"`, "m3ua.mode: \"both\" is none of"},
-		{`t5 = "5m"`, `t5 = "5s"`, "isup.t5: 5s is under the timer of its repeats (15s)"},
+		{`t5 = "5m"`, `t5 = "5s"`, "isup.t5: 5s is under the timer of its retransmissions (15s)"},
 		{`contexts = ["alarm"]`, `contexts = ["alarm", "alarm"]`, "class[2].contexts[2]: \"alarm\" is given twice"},
 	} {
 		text := string(data)
@@ -97,7 +97,7 @@
 		changed := strings.Replace(text, c.from, c.to, 1)
 		_, err := Parse("r.toml", []byte(changed))
 		if err == nil {
-			t.Errorf("%q was taken", c.to)
+			t.Errorf("%q was accepted", c.to)
 			continue
 		}
 		if !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "r.toml:") {
@@ -106,7 +106,8 @@
 	}
 }
 
-func TestAllAtOnce(t *testing.T) {
+// All problems of a file are reported together.
+func TestAllProblemsAreReported(t *testing.T) {
 	_, err := Parse("r.toml", []byte("[router]\nlisten = 5\n[[group]]\nto = 3\n[log]\nlevel = \"x\"\n"))
 	if err == nil {
 		t.Fatal("taken")
@@ -118,7 +119,7 @@
 	}
 }
 
-func TestWhatAReloadMayChange(t *testing.T) {
+func TestCheckReload(t *testing.T) {
 	data, _ := os.ReadFile(example)
 	s, _ := Load(example)
 	for from, ok := range map[string]bool{"circuits = 60": true, "max_calls = 20000": true, "exchange = 0": false,
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -10,8 +10,8 @@
 	"pipitring/internal/node"
 )
 
-// NodeSettings puts the settings in a router's terms. seed replaces a seed of 0, random is where call numbers and challenges
-// come from, serves tells whether a called number is known.
+// NodeSettings converts the settings to those of a router node. seed is used if the settings have a seed of 0, random is
+// the source of call numbers and challenges, and serves reports whether a called number has a route.
 func (s *Settings) NodeSettings(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
 	x := &s.IAX
 	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
@@ -29,24 +29,27 @@
 	return n
 }
 
-var outcomes = [...]string{"", "completed", "busy", "full", "timed out", "unreachable", "cut", "cancelled", "not sent"}
+// outcomeNames holds the stored names of decide.Outcome values, by value.
+var outcomeNames = [...]string{"", "completed", "busy", "full", "timed out", "unreachable", "cut", "cancelled", "not sent"}
 
+// outcomeName returns the stored name of an outcome, or its number if it has no name.
 func outcomeName(o decide.Outcome) string {
-	if int(o) < len(outcomes) {
-		return outcomes[o]
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
 	}
 	return strconv.Itoa(int(o))
 }
 
+// How call-core enumerations map to those of stored records.
 var (
-	ends   = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
-	knowns = [...]cdr.EndSource{call.EndedByRouter: cdr.EndedByRouter, call.EndedByCaller: cdr.EndedByCaller, call.EndedByFarEnd: cdr.EndedByFarEnd, call.EndedByLoss: cdr.EndedByLoss,
+	cdrEnds       = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
+	cdrEndSources = [...]cdr.EndSource{call.EndedByRouter: cdr.EndedByRouter, call.EndedByCaller: cdr.EndedByCaller, call.EndedByFarEnd: cdr.EndedByFarEnd, call.EndedByLoss: cdr.EndedByLoss,
 		call.EndedByTimer: cdr.EndedByTimer}
 )
 
-// CallRecord puts a core's record in the form that is kept; clock tells what its moments were on the wall.
+// CallRecord converts a record of the call core to the stored form. clock converts monotonic times to wall-clock times.
 func (s *Settings) CallRecord(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
-	out := cdr.Record{ID: id, End: ends[r.End], Cause: uint8(r.Cause), EndSource: knowns[r.EndSource], Class: s.Class[r.Class].Name,
+	out := cdr.Record{ID: id, End: cdrEnds[r.End], Cause: uint8(r.Cause), EndSource: cdrEndSources[r.EndSource], Class: s.Class[r.Class].Name,
 		Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context, Front: r.Bearer.Front, Circuit: r.Bearer.Circuit,
 		Origin: r.Origin, Dest: r.Dest, Transit: r.Transit, Width: r.Width, Offered: clock.At(r.Offered)}
 	if r.Tenant < len(s.Tenant) {
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -15,57 +15,58 @@
 	"pipitring/internal/tomlbind"
 )
 
-// Records is the [records] table: call detail records. Without a dir none are kept.
+// Records is the [records] table: storage and export of call detail records. If dir is empty, no records are stored.
 type Records struct {
 	Dir               string        `toml:"dir"`
-	Answer            string        `toml:"answer"`
-	AnswerWait        time.Duration `toml:"answer_wait"`
-	OnSlow            string        `toml:"on_slow"`
+	Answer            string        `toml:"answer"`      // AnswerDurable or AnswerAtOnce
+	AnswerWait        time.Duration `toml:"answer_wait"` // longest wait of an answer for its record, under AnswerDurable
+	OnSlow            string        `toml:"on_slow"`     // "go_on" or "refuse": what happens to new calls
 	OnFull            string        `toml:"on_full"`
 	OnFailed          string        `toml:"on_failed"`
-	SlowAfter         time.Duration `toml:"slow_after"`
-	Queue             int           `toml:"queue"`
-	Batch             int           `toml:"batch"`
-	BatchDelay        time.Duration `toml:"gather"`
-	HeartbeatInterval time.Duration `toml:"alive"`
-	Retention         time.Duration `toml:"keep"`
-	DiskLimit         int           `toml:"disk_limit"`
-	Tariffs           string        `toml:"tariffs"`
+	SlowAfter         time.Duration `toml:"slow_after"` // age of the oldest waiting record from which the disk counts as slow
+	Queue             int           `toml:"queue"`      // records that may wait
+	Batch             int           `toml:"batch"`      // records per commit
+	BatchDelay        time.Duration `toml:"gather"`     // delay before a commit, so that more records join it
+	HeartbeatInterval time.Duration `toml:"alive"`      // interval of heartbeats in the store
+	Retention         time.Duration `toml:"keep"`       // how long exported records are retained
+	DiskLimit         int           `toml:"disk_limit"` // bytes; 0 is unlimited
+	Tariffs           string        `toml:"tariffs"`    // file of tariffs, relative to the settings file
 	Export            []Export      `toml:"export"`
 }
 
-// Export is one [[records.export]].
+// Export is one [[records.export]] table.
 type Export struct {
 	Name       string        `toml:"name"`
-	To         string        `toml:"to"`
+	To         string        `toml:"to"` // directory or URL of a tus receiver
 	Format     string        `toml:"format"`
-	MaxRecords int           `toml:"most"`
-	MinRecords int           `toml:"least"`
-	MaxWait    time.Duration `toml:"wait"`
+	MaxRecords int           `toml:"most"`  // records per batch
+	MinRecords int           `toml:"least"` // smaller batches wait
+	MaxWait    time.Duration `toml:"wait"`  // longest wait for a batch to reach least
 	TokenFile  string        `toml:"token_file"`
-	ChunkSize  int           `toml:"part"`
-	Timeout    time.Duration `toml:"timeout"`
+	ChunkSize  int           `toml:"part"`    // bytes per request
+	Timeout    time.Duration `toml:"timeout"` // per request
 }
 
 // Values of records.answer.
 const (
-	AnswerDurable = "durable" // a final answer goes out when its record is durable
-	AnswerAtOnce  = "at_once" // and its record follows
+	AnswerDurable = "durable" // a final answer is sent once its record is durable
+	AnswerAtOnce  = "at_once" // a final answer is sent at once; its record becomes durable later
 )
 
-// DefaultRecords are the records' settings where a file says nothing.
+// DefaultRecords returns the [records] table of an empty file.
 func DefaultRecords() Records {
 	return Records{Answer: AnswerDurable, AnswerWait: 25 * time.Millisecond, OnSlow: "go_on", OnFull: "refuse", OnFailed: "refuse",
 		SlowAfter: 2 * time.Second, Queue: 65536, Batch: 4096, HeartbeatInterval: time.Second, Retention: 30 * 24 * time.Hour}
 }
 
-func (r *Records) same(o *Records) bool { return reflect.DeepEqual(r, o) }
+func (r *Records) equal(o *Records) bool { return reflect.DeepEqual(r, o) }
 
-var answers = map[string]store.Policy{"go_on": store.AcceptCalls, "refuse": store.RejectCalls}
+// policies maps the values of on_slow, on_full and on_failed.
+var policies = map[string]store.Policy{"go_on": store.AcceptCalls, "refuse": store.RejectCalls}
 
-// GateSettings puts the answers to a disk in trouble in the store's terms.
+// GateSettings converts the admission policies for a faulty disk to those of the store.
 func (r *Records) GateSettings() store.GateSettings {
-	return store.GateSettings{OnSlow: answers[r.OnSlow], OnFull: answers[r.OnFull], OnFailed: answers[r.OnFailed],
+	return store.GateSettings{OnSlow: policies[r.OnSlow], OnFull: policies[r.OnFull], OnFailed: policies[r.OnFailed],
 		SlowAfter: r.SlowAfter, MaxQueue: r.Queue}
 }
 
@@ -73,7 +74,7 @@
 	r := &s.Records
 	if r.Dir == "" {
 		if len(r.Export) > 0 || r.Tariffs != "" {
-			d.Report("records.dir", "exports and tariffs need a directory to keep records in")
+			d.Report("records.dir", "is required, as exports or tariffs are configured")
 		}
 		return
 	}
@@ -81,29 +82,29 @@
 		d.Report("records.answer", "%q is none of %s, %s", r.Answer, AnswerDurable, AnswerAtOnce)
 	}
 	if r.AnswerWait <= 0 || r.AnswerWait > s.Router.AnswerMargin {
-		d.Report("records.answer_wait", "%v is not above 0, up to the router's answer_margin of %v", r.AnswerWait, s.Router.AnswerMargin)
+		d.Report("records.answer_wait", "%v must be above 0 and at most router.answer_margin (%v)", r.AnswerWait, s.Router.AnswerMargin)
 	}
 	for key, v := range map[string]string{"on_slow": r.OnSlow, "on_full": r.OnFull, "on_failed": r.OnFailed} {
-		if _, ok := answers[v]; !ok {
+		if _, ok := policies[v]; !ok {
 			d.Report("records."+key, "%q is none of go_on, refuse", v)
 		}
 	}
-	positive(d, "records.slow_after", r.SlowAfter)
-	positive(d, "records.alive", r.HeartbeatInterval)
+	requirePositive(d, "records.slow_after", r.SlowAfter)
+	requirePositive(d, "records.alive", r.HeartbeatInterval)
 	if r.Queue < 16 {
-		d.Report("records.queue", "%d records are under 16", r.Queue)
+		d.Report("records.queue", "%d records is under the minimum of 16", r.Queue)
 	}
 	if r.Batch < 1 {
-		d.Report("records.batch", "%d records", r.Batch)
+		d.Report("records.batch", "%d records per commit; the minimum is 1", r.Batch)
 	}
 	if r.BatchDelay < 0 || r.BatchDelay > r.AnswerWait {
-		d.Report("records.gather", "%v is not from 0 to answer_wait (%v)", r.BatchDelay, r.AnswerWait)
+		d.Report("records.gather", "%v is not from 0 to records.answer_wait (%v)", r.BatchDelay, r.AnswerWait)
 	}
 	if r.Retention < 0 {
 		d.Report("records.keep", "%v is negative", r.Retention)
 	}
 	if r.DiskLimit < 0 {
-		d.Report("records.disk_limit", "%d bytes", r.DiskLimit)
+		d.Report("records.disk_limit", "%d bytes is negative", r.DiskLimit)
 	}
 	s.checkExports(d)
 	if r.Tariffs == "" {
@@ -122,17 +123,17 @@
 }
 
 func (s *Settings) checkExports(d *tomlbind.Doc) {
-	names, places := map[string]bool{}, map[string]bool{}
+	names, targets := map[string]bool{}, map[string]bool{}
 	for i := range s.Records.Export {
 		e := &s.Records.Export[i]
 		key := fmt.Sprintf("records.export[%d]", i+1)
 		if e.Name == "" || names[e.Name] || strings.ContainsRune(e.Name, 0) {
 			d.Report(key+".name", "name %q is empty or given twice", e.Name)
 		}
-		if e.To == "" || places[e.To] {
-			d.Report(key+".to", "%q is no place of its own: a directory, or an address such as \"http://127.0.0.1:8080/files\"", e.To)
+		if e.To == "" || targets[e.To] {
+			d.Report(key+".to", "%q is empty or given twice; want a directory or a URL such as \"http://127.0.0.1:8080/files\"", e.To)
 		}
-		names[e.Name], places[e.To] = true, true
+		names[e.Name], targets[e.To] = true, true
 		if e.Format == "" {
 			e.Format = string(cdr.CSV)
 		}
@@ -141,7 +142,7 @@
 		}
 		if e.IsURL() {
 			if u, err := url.Parse(e.To); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-				d.Report(key+".to", "%q is no address such as \"http://127.0.0.1:8080/files\"", e.To)
+				d.Report(key+".to", "%q is not a URL such as \"http://127.0.0.1:8080/files\"", e.To)
 			}
 		}
 		for key, v := range map[string]*int{key + ".most": &e.MaxRecords, key + ".least": &e.MinRecords, key + ".part": &e.ChunkSize} {
@@ -149,31 +150,31 @@
 				d.Report(key, "%d is negative", *v)
 			}
 		}
-		def := func(v *int, otherwise int) {
+		setDefault := func(v *int, value int) {
 			if *v == 0 {
-				*v = otherwise
+				*v = value
 			}
 		}
-		def(&e.MaxRecords, 10000)
-		def(&e.MinRecords, 1000)
+		setDefault(&e.MaxRecords, 10000)
+		setDefault(&e.MinRecords, 1000)
 		if e.MaxWait == 0 {
 			e.MaxWait = time.Minute
 		}
 		if e.Timeout == 0 {
 			e.Timeout = 30 * time.Second
 		}
-		positive(d, key+".wait", e.MaxWait)
-		positive(d, key+".timeout", e.Timeout)
+		requirePositive(d, key+".wait", e.MaxWait)
+		requirePositive(d, key+".timeout", e.Timeout)
 		if e.MinRecords > e.MaxRecords {
-			d.Report(key+".least", "%d are more than the most of a batch (%d)", e.MinRecords, e.MaxRecords)
+			d.Report(key+".least", "%d records is over the most of a batch (%d)", e.MinRecords, e.MaxRecords)
 		}
 	}
 }
 
-// IsURL tells whether an export goes to a receiver's address; else it goes to a directory.
+// IsURL reports whether the export goes to a receiver's URL; otherwise it goes to a directory.
 func (e *Export) IsURL() bool { return strings.Contains(e.To, "://") }
 
-// ReadToken reads an export's token; "" where it needs none.
+// ReadToken reads the bearer token from the token file; it returns "" if none is configured.
 func (e *Export) ReadToken() (string, error) {
 	if e.TokenFile == "" {
 		return "", nil
@@ -182,7 +183,7 @@
 	return strings.TrimSpace(string(b)), err
 }
 
-// tariffFile is a file of tariffs as it is written.
+// tariffFile mirrors a tariff file.
 type tariffFile struct {
 	Currency string   `toml:"currency"`
 	Decimals int      `toml:"decimals"`
@@ -210,7 +211,7 @@
 	Emergency bool          `toml:"emergency"`
 }
 
-// LoadTariffs reads a file of tariffs.
+// LoadTariffs reads and validates the tariff file at path.
 func LoadTariffs(path string) (*cdr.Tariffs, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -219,27 +220,27 @@
 	return ParseTariffs(path, data)
 }
 
-// ParseTariffs reads tariffs; path names them in errors.
+// ParseTariffs reads and validates tariffs; path is the file name given in errors.
 func ParseTariffs(path string, data []byte) (*cdr.Tariffs, error) {
 	f := tariffFile{Decimals: 2, Zone: "UTC"}
 	d := tomlbind.Read(path, data, &f)
 	t := &cdr.Tariffs{Currency: f.Currency, Places: f.Decimals}
 	var err error
 	if f.Currency == "" {
-		d.Report("currency", "a currency such as \"AUD\" is needed")
+		d.Report("currency", "a currency such as \"AUD\" is required")
 	}
 	if f.Decimals < 0 || f.Decimals > 12 {
 		d.Report("decimals", "%d is not from 0 to 12", f.Decimals)
 	}
 	if t.Zone, err = time.LoadLocation(f.Zone); err != nil || f.Zone == "Local" {
-		d.Report("zone", "%q is no time zone such as \"Australia/Perth\"", f.Zone)
+		d.Report("zone", "%q is not a time zone such as \"Australia/Perth\"", f.Zone)
 		t.Zone = time.UTC
 	}
 	if len(f.Tariff) == 0 {
-		d.Report("tariff", "at least one [[tariff]] is needed")
+		d.Report("tariff", "at least one [[tariff]] is required")
 	}
 	for i := range f.Tariff {
-		t.List = append(t.List, f.Tariff[i].read(d, fmt.Sprintf("tariff[%d]", i+1), t.Zone))
+		t.List = append(t.List, f.Tariff[i].convert(d, fmt.Sprintf("tariff[%d]", i+1), t.Zone))
 	}
 	slices.SortStableFunc(t.List, func(a, b cdr.Tariff) int { return a.From.Compare(b.From) })
 	if len(d.Problems) == 0 {
@@ -253,30 +254,32 @@
 	return t, nil
 }
 
-func (v *tariff) read(d *tomlbind.Doc, key string, zone *time.Location) (out cdr.Tariff) {
+// convert validates a tariff and converts its times in zone.
+func (v *tariff) convert(d *tomlbind.Doc, key string, zone *time.Location) (out cdr.Tariff) {
 	out = cdr.Tariff{Name: v.Name, Version: v.Version}
 	if v.Name == "" || strings.Contains(v.Name, "/") {
-		d.Report(key+".name", "%q is no name (without a slash)", v.Name)
+		d.Report(key+".name", "%q is not a name: it is empty or contains a slash", v.Name)
 	}
 	if v.Version < 1 {
-		d.Report(key+".version", "%d is under 1", v.Version)
+		d.Report(key+".version", "%d is under the minimum of 1", v.Version)
 	}
 	var err error
 	if out.From, err = time.ParseInLocation("2006-01-02T15:04:05", v.From, zone); err != nil {
 		if out.From, err = time.ParseInLocation(time.DateOnly, v.From, zone); err != nil {
-			d.Report(key+".from", "%q is no local time such as \"2026-07-01T00:00:00\"", v.From)
+			d.Report(key+".from", "%q is not a local time such as \"2026-07-01T00:00:00\"", v.From)
 		}
 	}
 	if len(v.Rate) == 0 {
-		d.Report(key+".rate", "at least one [[tariff.rate]] is needed")
+		d.Report(key+".rate", "at least one [[tariff.rate]] is required")
 	}
 	for i := range v.Rate {
-		out.Rates = append(out.Rates, v.Rate[i].read(d, fmt.Sprintf("%s.rate[%d]", key, i+1)))
+		out.Rates = append(out.Rates, v.Rate[i].convert(d, fmt.Sprintf("%s.rate[%d]", key, i+1)))
 	}
 	return out
 }
 
-func (r *rate) read(d *tomlbind.Doc, key string) (out cdr.Rate) {
+// convert validates a rate.
+func (r *rate) convert(d *tomlbind.Doc, key string) (out cdr.Rate) {
 	out = cdr.Rate{Classes: r.Classes, Tenants: r.Tenants, Minimum: r.Minimum, Step: r.Step, Free: r.Free, Emergency: r.Emergency}
 	var err error
 	for i, name := range r.Days {
@@ -294,9 +297,9 @@
 	if r.Minimum < 0 || r.Step < 0 {
 		d.Report(key, "minimum and step must not be negative")
 	}
-	costs := r.PerMinute != "" || r.SetUp != ""
-	if costs == (r.Free || r.Emergency) {
-		d.Report(key, "either a price (per_minute, set_up) or free or emergency is needed, not both")
+	hasPrice := r.PerMinute != "" || r.SetUp != ""
+	if hasPrice == (r.Free || r.Emergency) {
+		d.Report(key, "either a price (per_minute, set_up) or one of free and emergency is required, not both")
 	}
 	if r.PerMinute != "" {
 		if out.PerMinute, err = cdr.ParseAmount(r.PerMinute); err != nil {
--- a/internal/tomlbind/tomlbind.go
+++ b/internal/tomlbind/tomlbind.go
@@ -1,5 +1,5 @@
-// Package tomlbind reads TOML into a struct and reports everything that does not fit at once, with file, line
-// and key: syntax, unknown keys, wrong types, and what the program's own checks find later.
+// Package tomlbind reads TOML into a struct and reports all problems together, each with file, line and key: syntax
+// errors, unknown keys, wrong types, and problems that the caller's own validation adds.
 package tomlbind
 
 import (
@@ -17,14 +17,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing that is wrong, and where.
+// Problem is one problem and its position in a file.
 type Problem struct {
 	File string
-	Line int // from 1; 0 if it belongs to no line
-	Key  string
+	Line int    // from 1; 0 if it belongs to no line
+	Key  string // path of the key, such as class[2].aim; empty if it belongs to no key
 	Text string
 }
 
+// Error returns file, line, key and text of the problem.
 func (p Problem) Error() string {
 	where := p.File
 	if p.Line > 0 {
@@ -36,22 +37,22 @@
 	return where + ": " + p.Text
 }
 
-// Doc is a file that was read: it knows the lines of its keys and gathers problems.
+// Doc is a parsed file: it maps keys to lines and collects problems.
 type Doc struct {
 	File     string
 	Problems []Problem
-	lines    map[string]int
+	keyLines map[string]int
 }
 
-// Report adds a problem with a key, such as class[2].aim.
+// Report adds a problem with a key, such as class[2].aim. Elements of lists and arrays of tables count from 1.
 func (d *Doc) Report(key, format string, args ...any) {
 	d.Problems = append(d.Problems, Problem{d.File, d.line(key), key, fmt.Sprintf(format, args...)})
 }
 
-// line finds the line of a key, or of the nearest table around it.
+// line returns the line of a key, or of the innermost enclosing key that has one; 0 if there is none.
 func (d *Doc) line(key string) int {
 	for key != "" {
-		if n, ok := d.lines[key]; ok {
+		if n, ok := d.keyLines[key]; ok {
 			return n
 		}
 		i := strings.LastIndexAny(key, ".[")
@@ -63,7 +64,7 @@
 	return 0
 }
 
-// Err is all problems by line, or nil.
+// Err returns all problems in the order of their lines as one error, or nil if there are none.
 func (d *Doc) Err() error {
 	if len(d.Problems) == 0 {
 		return nil
@@ -76,10 +77,10 @@
 	return errors.Join(errs...)
 }
 
-// Read reads TOML into the struct that into points to; fields are named by their toml tags. Keys that are not
-// given keep what into holds. The document is returned in any case; its Err tells what is wrong.
+// Read reads TOML into the struct that into points to; keys are matched with toml tags. Fields whose keys are not given
+// keep their values. Read always returns a document; its Err returns the problems.
 func Read(file string, data []byte, into any) *Doc {
-	d := &Doc{File: file, lines: map[string]int{}}
+	d := &Doc{File: file, keyLines: map[string]int{}}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
 		p := Problem{File: file, Text: err.Error()}
@@ -91,13 +92,13 @@
 		d.Problems = append(d.Problems, p)
 		return d
 	}
-	d.index(data)
+	d.indexLines(data)
 	d.bindStruct("", tree, reflect.ValueOf(into).Elem())
 	return d
 }
 
-// index finds the line of each key. The document is known to be well-formed.
-func (d *Doc) index(data []byte) {
+// indexLines records the line of each key. The document must be well-formed.
+func (d *Doc) indexLines(data []byte) {
 	var p unstable.Parser
 	p.Reset(data)
 	counts := map[string]int{}
@@ -109,17 +110,17 @@
 			path, line := "", 0
 			for it := e.Key(); it.Next(); {
 				if path != "" {
-					path = current(counts, path) + "."
+					path = currentElement(counts, path) + "."
 				}
 				path += string(it.Node().Data)
 				line = p.Shape(it.Node().Raw).Start.Line
 			}
 			if e.Kind == unstable.ArrayTable {
 				counts[path]++
-				path = current(counts, path)
+				path = currentElement(counts, path)
 			}
 			table = path
-			d.lines[path] = line
+			d.keyLines[path] = line
 		case unstable.KeyValue:
 			path := table
 			line := 0
@@ -130,19 +131,21 @@
 				path += string(it.Node().Data)
 				line = p.Shape(it.Node().Raw).Start.Line
 			}
-			d.lines[path] = line
+			d.keyLines[path] = line
 		}
 	}
 }
 
-// current is the path of the newest element of an array of tables, or the path itself. Elements count from 1.
-func current(counts map[string]int, path string) string {
+// currentElement returns the path of the last element so far of an array of tables, or the path itself if it is no array.
+// Elements count from 1.
+func currentElement(counts map[string]int, path string) string {
 	if n := counts[path]; n > 0 {
 		return fmt.Sprintf("%s[%d]", path, n)
 	}
 	return path
 }
 
+// bindStruct stores a table in a struct and reports unknown keys.
 func (d *Doc) bindStruct(path string, tree map[string]any, into reflect.Value) {
 	fields := map[string]reflect.Value{}
 	for i := range into.NumField() {
@@ -157,7 +160,7 @@
 		}
 		f, ok := fields[key]
 		if !ok {
-			d.Report(at, "unknown key; known here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
+			d.Report(at, "unknown key; valid keys here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
 			continue
 		}
 		d.bind(at, tree[key], f)
@@ -166,17 +169,18 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
+// bind stores a value in a field and reports a value of the wrong type or out of range.
 func (d *Doc) bind(path string, v any, into reflect.Value) {
-	wrong := func(want string) { d.Report(path, "%s is wanted here, not %s", want, kindName(v)) }
+	mismatch := func(want string) { d.Report(path, "expected %s, got %s", want, kindName(v)) }
 	if into.Type() == durationType {
 		s, ok := v.(string)
 		if !ok {
-			wrong(`a time such as "300ms"`)
+			mismatch(`a time such as "300ms"`)
 			return
 		}
 		t, err := time.ParseDuration(s)
 		if err != nil {
-			d.Report(path, "%q is no time such as \"300ms\" or \"1m30s\"", s)
+			d.Report(path, "%q is not a time such as \"300ms\" or \"1m30s\"", s)
 			return
 		}
 		into.SetInt(int64(t))
@@ -185,7 +189,7 @@
 	if u, ok := into.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		s, isText := v.(string)
 		if !isText {
-			wrong("a string")
+			mismatch("a string")
 			return
 		}
 		if err := u.UnmarshalText([]byte(s)); err != nil {
@@ -197,14 +201,14 @@
 	case reflect.Struct:
 		tree, ok := v.(map[string]any)
 		if !ok {
-			wrong("a table")
+			mismatch("a table")
 			return
 		}
 		d.bindStruct(path, tree, into)
 	case reflect.Slice:
 		list, ok := v.([]any)
 		if !ok {
-			wrong("a list")
+			mismatch("a list")
 			return
 		}
 		out := reflect.MakeSlice(into.Type(), len(list), len(list))
@@ -215,21 +219,21 @@
 	case reflect.String:
 		s, ok := v.(string)
 		if !ok {
-			wrong("a string")
+			mismatch("a string")
 			return
 		}
 		into.SetString(s)
 	case reflect.Bool:
 		b, ok := v.(bool)
 		if !ok {
-			wrong("true or false")
+			mismatch("true or false")
 			return
 		}
 		into.SetBool(b)
 	case reflect.Int, reflect.Int64, reflect.Int32:
 		n, ok := v.(int64)
 		if !ok {
-			wrong("a whole number")
+			mismatch("an integer")
 			return
 		}
 		if into.OverflowInt(n) {
@@ -240,7 +244,7 @@
 	case reflect.Uint64, reflect.Uint32, reflect.Uint16:
 		n, ok := v.(int64)
 		if !ok {
-			wrong("a whole number")
+			mismatch("an integer")
 			return
 		}
 		if n < 0 || into.OverflowUint(uint64(n)) {
@@ -255,13 +259,14 @@
 		case float64:
 			into.SetFloat(n)
 		default:
-			wrong("a number")
+			mismatch("a number")
 		}
 	default:
 		panic("tomlbind: field of kind " + into.Kind().String())
 	}
 }
 
+// kindName names the TOML type of a value in problem texts.
 func kindName(v any) string {
 	switch v.(type) {
 	case string:
@@ -269,9 +274,9 @@
 	case bool:
 		return "true or false"
 	case int64:
-		return "a whole number"
+		return "an integer"
 	case float64:
-		return "a fraction"
+		return "a floating-point number"
 	case []any:
 		return "a list"
 	case map[string]any:
--- a/internal/tomlbind/tomlbind_test.go
+++ b/internal/tomlbind/tomlbind_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-type shape struct {
+type document struct {
 	Name  string         `toml:"name"`
 	Wait  time.Duration  `toml:"wait"`
 	Share float64        `toml:"share"`
@@ -22,8 +22,8 @@
 	} `toml:"sub"`
 }
 
-func TestReadsEverything(t *testing.T) {
-	var s shape
+func TestReadAllTypes(t *testing.T) {
+	var s document
 	d := Read("x.toml", []byte(`name = "a"
 wait = "300ms"
 share = 1
@@ -45,9 +45,9 @@
 	}
 }
 
-// Everything wrong is told at once, in the order of lines, with the key.
-func TestTellsEverything(t *testing.T) {
-	var s shape
+// All problems are reported together, in the order of lines, each with its key.
+func TestAllProblemsAreReported(t *testing.T) {
+	var s document
 	d := Read("x.toml", []byte(`name = 5
 wait = 300
 colour = "red"
@@ -62,14 +62,14 @@
 `), &s)
 	d.Report("item[2].n", "checked later")
 	want := []string{
-		"x.toml:1: name: a string is wanted here, not a whole number",
-		"x.toml:2: wait: a time such as",
+		"x.toml:1: name: expected a string, got an integer",
+		"x.toml:2: wait: expected a time such as",
 		"x.toml:3: colour: unknown key",
 		"x.toml:4: at: \"nowhere\"",
 		"x.toml:6: sub.port: 70000 is out of range",
-		"x.toml:10: item[2].n: a whole number is wanted here, not a string",
+		"x.toml:10: item[2].n: expected an integer, got a string",
 		"x.toml:10: item[2].n: checked later",
-		"x.toml:11: item[2].list[2]: a string is wanted",
+		"x.toml:11: item[2].list[2]: expected a string, got",
 	}
 	err := d.Err()
 	if err == nil {
@@ -87,7 +87,7 @@
 }
 
 func TestSyntaxError(t *testing.T) {
-	var s shape
+	var s document
 	err := Read("x.toml", []byte("name = \"a\"\nwait = = 3\n"), &s).Err()
 	if err == nil || !strings.HasPrefix(err.Error(), "x.toml:2: ") {
 		t.Errorf("got %v", err)
@@ -98,7 +98,7 @@
 	f.Add([]byte("name = \"a\"\n[[item]]\nn=1\n[sub]\nport=2"))
 	f.Add([]byte("a.b.c = 1\n[x.y]\n[[x.z]]\n[x.z.q]\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var s shape
+		var s document
 		Read("x.toml", b, &s)
 	})
 }
