--- a/internal/registry/file.go
+++ b/internal/registry/file.go
@@ -17,52 +17,53 @@
 	"pipitring/internal/tomlbind"
 )
 
-// Source brings the list until its context ends. It calls told with each list that is new and fault with each
-// trouble; a source in trouble keeps what it told and goes on trying.
+// Source provides the exchange list until its context ends. Run calls onUpdate with each new list and onError with each
+// error; after an error the last list stays valid and the source retries.
 type Source interface {
-	Run(ctx context.Context, told func(List), fault func(error))
+	Run(ctx context.Context, onUpdate func(List), onError func(error))
 }
 
-// fileForm is the list as it is written, in TOML or JSON.
-type fileForm struct {
-	Exchange []fileEntry `toml:"exchange" json:"exchange"`
+// listDocument is the form of a list in TOML and JSON files.
+type listDocument struct {
+	Exchange []listDocumentEntry `toml:"exchange" json:"exchange"`
 }
 
-type fileEntry struct {
+type listDocumentEntry struct {
 	ID      string         `toml:"id" json:"id"`
 	Number  int            `toml:"number" json:"number"`
 	Zone    string         `toml:"zone" json:"zone"`
 	Phase   string         `toml:"phase" json:"phase"`
-	Started stamp          `toml:"started" json:"started"`
+	Started timestamp      `toml:"started" json:"started"`
 	Address netip.AddrPort `toml:"address" json:"address"`
 	Switch  netip.AddrPort `toml:"switch" json:"switch"`
 }
 
-// stamp is a time in RFC 3339; empty is none.
-type stamp struct{ time.Time }
+// timestamp is a time in RFC 3339; the empty text is the zero time.
+type timestamp struct{ time.Time }
 
-func (s *stamp) UnmarshalText(b []byte) (err error) {
+// UnmarshalText parses a time in RFC 3339 or an empty text.
+func (s *timestamp) UnmarshalText(b []byte) (err error) {
 	if len(b) == 0 {
 		s.Time = time.Time{}
 		return nil
 	}
 	if s.Time, err = time.Parse(time.RFC3339Nano, string(b)); err != nil {
-		return errors.New("no time such as \"2026-12-01T14:00:00Z\"")
+		return errors.New("not a time such as \"2026-12-01T14:00:00Z\"")
 	}
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
-func (s stamp) MarshalText() ([]byte, error) {
+// MarshalText writes the time in RFC 3339 with nanoseconds, and the zero time as an empty text.
+func (s timestamp) MarshalText() ([]byte, error) {
 	if s.IsZero() {
 		return nil, nil
 	}
 	return s.AppendFormat(nil, time.RFC3339Nano), nil
 }
 
-// ParseFile reads a list; the name's ending tells JSON from TOML.
+// ParseFile parses a list: as JSON if name ends in .json, else as TOML.
 func ParseFile(name string, data []byte) (List, error) {
-	var form fileForm
+	var form listDocument
 	doc := &tomlbind.Doc{File: name}
 	if strings.HasSuffix(name, ".json") {
 		dec := json.NewDecoder(bytes.NewReader(data))
@@ -72,7 +73,7 @@
 			return List{}, fmt.Errorf("%s:%d: %w", name, line, err)
 		}
 		if dec.More() {
-			return List{}, fmt.Errorf("%s: more than one value", name)
+			return List{}, fmt.Errorf("%s: more than one JSON value", name)
 		}
 	} else {
 		doc = tomlbind.Read(name, data, &form)
@@ -89,38 +90,39 @@
 	if err := doc.Err(); err != nil {
 		return List{}, err
 	}
-	if err := l.check(); err != nil {
+	if err := l.validate(); err != nil {
 		return List{}, fmt.Errorf("%s: %w", name, err)
 	}
 	l.sort()
 	return l, nil
 }
 
-// FormatJSON writes a list in the form that ParseFile reads.
+// FormatJSON encodes a list in the JSON form that ParseFile reads.
 func FormatJSON(l List) []byte {
-	form := fileForm{Exchange: []fileEntry{}}
+	form := listDocument{Exchange: []listDocumentEntry{}}
 	for _, e := range l.Entries {
-		form.Exchange = append(form.Exchange, fileEntry{e.ID, e.Number, e.Zone, PhaseName(e.Phase), stamp{e.Started},
+		form.Exchange = append(form.Exchange, listDocumentEntry{e.ID, e.Number, e.Zone, PhaseName(e.Phase), timestamp{e.Started},
 			e.Address, e.Switch})
 	}
 	b, err := json.MarshalIndent(form, "", "  ")
 	if err != nil {
-		panic(err) // only strings, numbers and addresses
+		panic(err) // cannot happen: only strings, numbers and addresses are encoded
 	}
 	return append(b, '\n')
 }
 
-// FileSource is a list in a file that is watched.
+// FileSource is a Source that watches a list file.
 type FileSource struct{ Path string }
 
-// Run reads the file, and again whenever it changes. A file that does not parse changes nothing.
-func (f FileSource) Run(ctx context.Context, told func(List), fault func(error)) {
+// Run reads the file at once and whenever it changes. A file that cannot be read or parsed is reported to onError, and the
+// last list stays valid.
+func (f FileSource) Run(ctx context.Context, onUpdate func(List), onError func(error)) {
 	var last []byte
 	index := uint64(0)
-	read := func() {
+	reload := func() {
 		data, err := os.ReadFile(f.Path)
 		if err != nil {
-			fault(err)
+			onError(err)
 			return
 		}
 		if last != nil && bytes.Equal(data, last) {
@@ -128,23 +130,23 @@
 		}
 		l, err := ParseFile(f.Path, data)
 		if err != nil {
-			fault(err)
+			onError(err)
 			return
 		}
 		last = data
 		index++
 		l.Index = index
-		told(l)
+		onUpdate(l)
 	}
 	w, err := fsnotify.NewWatcher()
 	if err == nil {
 		defer w.Close()
-		// The folder, not the file: an editor or a rename puts another file in its place.
+		// The directory is watched, not the file, because editors and renames replace the file by another one.
 		err = w.Add(filepath.Dir(f.Path))
 	}
-	read()
+	reload()
 	if err != nil {
-		fault(fmt.Errorf("%s is not watched: %w", f.Path, err))
+		onError(fmt.Errorf("%s cannot be watched for changes: %w", f.Path, err))
 		<-ctx.Done()
 		return
 	}
@@ -154,10 +156,10 @@
 			return
 		case e := <-w.Events:
 			if filepath.Base(e.Name) == filepath.Base(f.Path) && !e.Has(fsnotify.Chmod) && !e.Has(fsnotify.Remove) {
-				read()
+				reload()
 			}
 		case err := <-w.Errors:
-			fault(err)
+			onError(err)
 		}
 	}
 }
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -1,5 +1,5 @@
-// Package registry brings the exchange list: from a watched file, or by blocking queries to a register that
-// speaks the form of Consul's health API.
+// Package registry provides the exchange list: from a watched file, or from a service-discovery API in the form of
+// Consul's health API, by blocking queries.
 package registry
 
 import (
@@ -16,23 +16,23 @@
 
 // Entry is one exchange on the list.
 type Entry struct {
-	ID      string // of the processor: a machine that replaces it has another
+	ID      string // of the processor; a replacement machine has another one
 	Number  int
 	Zone    string
 	Phase   decide.Phase
-	Started time.Time      // of its process; zero is long ago
-	Address netip.AddrPort // of the router in front of it: set-ups from others go there
-	Switch  netip.AddrPort // of the processor itself: set-ups that end there go on to it
+	Started time.Time      // start of its process; zero means long ago
+	Address netip.AddrPort // of its router, which receives set-ups from other exchanges
+	Switch  netip.AddrPort // of the processor itself, to which its router forwards set-ups that terminate there
 }
 
-// Exchange is the entry's id as the module knows it.
+// Exchange returns the entry's ID in the decision module's form: a 64-bit hash.
 func (e Entry) Exchange() decide.ExchangeID {
 	h := fnv.New64a()
 	h.Write([]byte(e.ID))
 	return decide.ExchangeID(h.Sum64())
 }
 
-// List is the whole list at one time, in the order of ids.
+// List is a complete exchange list, sorted by ID. Index is its version at the source, 0 for none.
 type List struct {
 	Index   uint64
 	Entries []Entry
@@ -42,35 +42,35 @@
 	slices.SortFunc(l.Entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// check reports everything that makes a list unusable.
-func (l *List) check() error {
+// validate returns all problems that make a list unusable.
+func (l *List) validate() error {
 	var errs []error
 	seen := map[string]bool{}
 	for i, e := range l.Entries {
-		bad := func(format string, args ...any) {
+		report := func(format string, args ...any) {
 			errs = append(errs, fmt.Errorf("exchange %d (%q): %s", i+1, e.ID, fmt.Sprintf(format, args...)))
 		}
 		if e.ID == "" {
-			bad("id is missing")
+			report("id is missing")
 		}
 		if seen[e.ID] {
-			bad("id is given twice")
+			report("id is given twice")
 		}
 		seen[e.ID] = true
 		if e.Number < 0 {
-			bad("number %d is negative", e.Number)
+			report("number %d is negative", e.Number)
 		}
 		if !e.Address.Addr().Is4() || e.Address.Port() == 0 {
-			bad("address %v is not an IPv4 address with a port", e.Address)
+			report("address %v is not an IPv4 address with a port", e.Address)
 		}
 		if e.Switch.IsValid() && !e.Switch.Addr().Is4() {
-			bad("switch %v is not an IPv4 address with a port", e.Switch)
+			report("switch %v is not an IPv4 address with a port", e.Switch)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// parsePhase reads a phase's name.
+// parsePhase parses the name of a phase; an empty name means ready.
 func parsePhase(s string) (decide.Phase, error) {
 	switch s {
 	case "", "ready":
@@ -83,26 +83,27 @@
 	return 0, fmt.Errorf("phase %q is none of ready, draining, gone", s)
 }
 
-// PhaseName is the name of a phase.
+// PhaseName returns the name of a phase in lists.
 func PhaseName(p decide.Phase) string {
 	return map[decide.Phase]string{decide.Ready: "ready", decide.Draining: "draining", decide.Removed: "gone"}[p]
 }
 
-// Changes are the entries of next that differ from l, and those of l that next lacks, as gone.
+// Changes returns the entries of next that are new or differ from l, and the entries of l that next lacks, with phase
+// decide.Removed.
 func (l *List) Changes(next *List) []Entry {
-	before := map[string]Entry{}
+	previous := map[string]Entry{}
 	for _, e := range l.Entries {
-		before[e.ID] = e
+		previous[e.ID] = e
 	}
 	var out []Entry
 	for _, e := range next.Entries {
-		if b, ok := before[e.ID]; !ok || b != e {
+		if p, ok := previous[e.ID]; !ok || p != e {
 			out = append(out, e)
 		}
-		delete(before, e.ID)
+		delete(previous, e.ID)
 	}
 	for _, e := range l.Entries {
-		if b, ok := before[e.ID]; ok && b.Phase != decide.Removed {
+		if p, ok := previous[e.ID]; ok && p.Phase != decide.Removed {
 			e.Phase = decide.Removed
 			out = append(out, e)
 		}
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -17,26 +17,27 @@
 	"pipitring/decide"
 )
 
-// DiscoveryClient asks a register for the list by blocking queries, in the form of Consul's health API: GET
-// /v1/health/service/NAME?index=N&wait=W answers when its index has passed N, with X-Consul-Index.
+// DiscoveryClient is a Source that polls a service-discovery API by blocking queries in the form of Consul's health API:
+// GET /v1/health/service/NAME?index=N&wait=W responds when the index has passed N, or after W, with X-Consul-Index.
 //
-// An instance's metadata hold what Consul has no field for: number, zone, started (RFC 3339) and switch. Its
-// phase is gone while a check is critical, draining while one warns or it is under maintenance, else ready.
+// The metadata of an instance hold what Consul has no field for: number, zone, started (RFC 3339) and switch. The phase is
+// removed while a check is critical, draining while a check is at warning or the instance is under maintenance, else
+// ready.
 type DiscoveryClient struct {
 	URL     string // such as http://127.0.0.1:8500
 	Service string
-	Wait    time.Duration // of one query
-	Client  *http.Client  // nil is one of its own
+	Wait    time.Duration // longest time that one query blocks at the server
+	Client  *http.Client  // nil: Run creates its own
 }
 
 const (
-	firstPause  = 200 * time.Millisecond // after a failed query, doubling,
-	longestWait = 10 * time.Second       // up to this
-	answerLimit = 8 << 20                // bytes of one answer
+	minRetryDelay    = 200 * time.Millisecond // delay after the first failed query; it doubles with each further failure
+	maxRetryDelay    = 10 * time.Second       // upper limit of the retry delay, before jitter
+	maxResponseBytes = 8 << 20                // size limit of a response body
 )
 
-// Run asks until ctx ends.
-func (r DiscoveryClient) Run(ctx context.Context, told func(List), fault func(error)) {
+// Run queries the API until ctx ends. Failed queries are reported to onError and retried with exponential back-off.
+func (r DiscoveryClient) Run(ctx context.Context, onUpdate func(List), onError func(error)) {
 	client := r.Client
 	if client == nil {
 		t := &http.Transport{MaxIdleConns: 1, IdleConnTimeout: time.Minute}
@@ -45,16 +46,16 @@
 	}
 	var p Poller
 	for ctx.Err() == nil {
-		l, err := r.ask(ctx, client, p.Index())
+		l, err := r.query(ctx, client, p.Index())
 		if err != nil && ctx.Err() != nil {
 			return
 		}
-		tell, wait := p.HandleAnswer(l, err, rand.N[time.Duration])
+		changed, wait := p.HandleAnswer(l, err, rand.N[time.Duration])
 		if err != nil {
-			fault(err)
+			onError(err)
 		}
-		if tell {
-			told(l)
+		if changed {
+			onUpdate(l)
 		}
 		if wait > 0 {
 			sleep(ctx, wait)
@@ -62,34 +63,36 @@
 	}
 }
 
-// Poller decides what a register is asked next and what of its answers is news. The zero value has heard nothing.
+// Poller tracks the index of blocking queries and decides which responses are updates and when to query again. The zero
+// value has received no response.
 type Poller struct {
-	index uint64
-	pause time.Duration
+	index      uint64
+	retryDelay time.Duration
 }
 
-// Index is what the next query blocks on; 0 is none.
+// Index returns the index that the next query blocks on; 0 means that it does not block.
 func (p *Poller) Index() uint64 { return p.index }
 
-// HandleAnswer takes the answer to a query, or its failure. It tells whether the list is news, and how long to wait before the
-// next query; random draws a time below another.
-func (p *Poller) HandleAnswer(l List, err error, random func(time.Duration) time.Duration) (tell bool, wait time.Duration) {
+// HandleAnswer processes the response to a query, or its error. It returns whether the list is an update, and how long to
+// wait before the next query; random returns a random duration below its argument.
+func (p *Poller) HandleAnswer(l List, err error, random func(time.Duration) time.Duration) (changed bool, wait time.Duration) {
 	if err != nil {
-		p.pause = min(max(2*p.pause, firstPause), longestWait)
-		return false, p.pause/2 + random(p.pause)
+		p.retryDelay = min(max(2*p.retryDelay, minRetryDelay), maxRetryDelay)
+		return false, p.retryDelay/2 + random(p.retryDelay)
 	}
-	p.pause = 0
+	p.retryDelay = 0
 	switch {
 	case l.Index == p.index:
-		return false, 0 // the query's wait ran out
+		return false, 0 // the query timed out at the server without a change
 	case l.Index < p.index:
-		p.index = 0 // the register started anew: its list counts, and the next query must not block on the old
+		p.index = 0 // the server restarted: its list is valid, but the next query must not block on the old index
 	default:
 		p.index = l.Index
 	}
 	return true, 0
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -99,7 +102,7 @@
 	}
 }
 
-// healthEntry is one element of the answer, as far as it is used.
+// healthEntry is one element of a health response; fields that are not used are omitted.
 type healthEntry struct {
 	Service struct {
 		ID      string            `json:"ID"`
@@ -113,7 +116,8 @@
 	} `json:"Checks"`
 }
 
-func (r DiscoveryClient) ask(ctx context.Context, client *http.Client, index uint64) (List, error) {
+// query makes one blocking query.
+func (r DiscoveryClient) query(ctx context.Context, client *http.Client, index uint64) (List, error) {
 	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {r.Wait.String()}}
 	u := strings.TrimSuffix(r.URL, "/") + "/v1/health/service/" + url.PathEscape(r.Service) + "?" + q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
@@ -125,24 +129,25 @@
 		return List{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return List{}, fmt.Errorf("%s: %w", r.URL, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return List{}, fmt.Errorf("%s: %s", r.URL, resp.Status)
 	}
-	at, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
+	newIndex, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return List{}, fmt.Errorf("%s: X-Consul-Index %q is no number", r.URL, resp.Header.Get("X-Consul-Index"))
+		return List{}, fmt.Errorf("%s: X-Consul-Index %q is not a number", r.URL, resp.Header.Get("X-Consul-Index"))
 	}
 	var entries []healthEntry
 	if err := json.Unmarshal(body, &entries); err != nil {
 		return List{}, fmt.Errorf("%s: %w", r.URL, err)
 	}
-	return parseHealth(max(at, 1), entries)
+	return parseHealth(max(newIndex, 1), entries)
 }
 
+// parseHealth converts a health response to a list. All invalid entries are reported.
 func parseHealth(index uint64, entries []healthEntry) (List, error) {
 	l := List{Index: index}
 	var errs []error
@@ -153,16 +158,17 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	errs = append(errs, l.check())
+	errs = append(errs, l.validate())
 	l.sort()
 	return l, errors.Join(errs...)
 }
 
+// entry converts an instance to a list entry.
 func (h *healthEntry) entry() (e Entry, err error) {
 	s := &h.Service
 	e = Entry{ID: s.ID, Zone: s.Meta["zone"], Phase: decide.Ready}
 	if e.Number, err = strconv.Atoi(s.Meta["number"]); err != nil {
-		return e, fmt.Errorf("number %q: not a number", s.Meta["number"])
+		return e, fmt.Errorf("number %q is not a number", s.Meta["number"])
 	}
 	ip, err := netip.ParseAddr(s.Address)
 	if err != nil {
@@ -174,7 +180,7 @@
 			return e, err
 		}
 	}
-	var started stamp
+	var started timestamp
 	if err := started.UnmarshalText([]byte(s.Meta["started"])); err != nil {
 		return e, fmt.Errorf("started %q: %w", s.Meta["started"], err)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -29,13 +29,13 @@
 		Address: netip.MustParseAddrPort(fmt.Sprintf("127.0.0.%d:4569", number+1))}
 }
 
-var same = cmp.Options{cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }), cmpopts.EquateEmpty()}
+var equateLists = cmp.Options{cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }), cmpopts.EquateEmpty()}
 
 func TestListInJSONAndTOML(t *testing.T) {
 	want := List{Entries: []Entry{entry("a", 0, decide.Ready), entry("b", 1, decide.Draining)}}
 	got, err := ParseFile("l.json", FormatJSON(want))
-	if err != nil || cmp.Diff(want, got, same) != "" {
-		t.Errorf("%v %s", err, cmp.Diff(want, got, same))
+	if err != nil || cmp.Diff(want, got, equateLists) != "" {
+		t.Errorf("%v %s", err, cmp.Diff(want, got, equateLists))
 	}
 	got, err = ParseFile("l.toml", []byte(`
 [[exchange]]
@@ -51,12 +51,12 @@
 started = "2026-12-01T14:00:00Z"
 address = "127.0.0.1:4569"
 `))
-	if err != nil || cmp.Diff(want, got, same) != "" {
-		t.Errorf("%v %s", err, cmp.Diff(want, got, same))
+	if err != nil || cmp.Diff(want, got, equateLists) != "" {
+		t.Errorf("%v %s", err, cmp.Diff(want, got, equateLists))
 	}
 }
 
-func TestBrokenLists(t *testing.T) {
+func TestInvalidLists(t *testing.T) {
 	for name, c := range map[string]struct{ file, text, want string }{
 		"cut short":   {"l.json", `{"exchange": [`, "l.json:1"},
 		"unknown key": {"l.toml", "[[exchange]]\nid=\"a\"\naddress=\"127.0.0.1:1\"\ncolour=1", "l.toml:4: exchange[1].colour"},
@@ -83,35 +83,35 @@
 	}
 }
 
-// told collects what a source says.
-type told struct {
+// sourceEvents collects the lists and errors of a source.
+type sourceEvents struct {
 	lists  chan List
-	faults chan error
+	errors chan error
 }
 
-func run(t *testing.T, s Source) told {
+func runSource(t *testing.T, s Source) sourceEvents {
 	t.Helper()
-	c := told{make(chan List, 100), make(chan error, 1000)}
+	c := sourceEvents{make(chan List, 100), make(chan error, 1000)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { s.Run(ctx, func(l List) { c.lists <- l }, func(err error) { c.faults <- err }) })
+	wg.Go(func() { s.Run(ctx, func(l List) { c.lists <- l }, func(err error) { c.errors <- err }) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return c
 }
 
-func (c told) next(t *testing.T) List {
+func (c sourceEvents) next(t *testing.T) List {
 	t.Helper()
 	select {
 	case l := <-c.lists:
 		return l
 	case <-time.After(20 * time.Second):
-		t.Fatal("no list came")
+		t.Fatal("no list within 20 s")
 		return List{}
 	}
 }
 
-// A file that is replaced is read anew; one that is broken changes nothing and is reported.
-func TestWatchedFile(t *testing.T) {
+// A replaced file is read again. An invalid one is reported and leaves the last list in place.
+func TestFileSource(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "l.json")
 	write := func(b []byte) {
 		t.Helper()
@@ -123,15 +123,15 @@
 		}
 	}
 	write(FormatJSON(List{Entries: []Entry{entry("a", 0, decide.Ready)}}))
-	c := run(t, FileSource{path})
+	c := runSource(t, FileSource{path})
 	if l := c.next(t); len(l.Entries) != 1 {
 		t.Errorf("first: %+v", l)
 	}
 	write([]byte(`{"exchange": [`))
 	select {
-	case <-c.faults:
+	case <-c.errors:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a broken file was not reported")
+		t.Fatal("an invalid file was not reported")
 	}
 	write(FormatJSON(List{Entries: []Entry{entry("a", 0, decide.Draining)}}))
 	if l := c.next(t); l.Entries[0].Phase != decide.Draining || l.Index != 2 {
@@ -139,11 +139,11 @@
 	}
 }
 
-const health = `[{"Node":{"Node":"n1"},"Service":{"ID":"sw-1","Service":"exchange","Address":"127.0.0.2","Port":4569,
+const healthBody = `[{"Node":{"Node":"n1"},"Service":{"ID":"sw-1","Service":"exchange","Address":"127.0.0.2","Port":4569,
 "Meta":{"number":"1","zone":"z","switch":"127.0.0.2:5000","started":"2026-12-01T14:00:00Z"}},
 "Checks":[{"CheckID":"serfHealth","Status":"passing"},{"CheckID":"%s","Status":"%s"}]}]`
 
-func TestRegisterPhases(t *testing.T) {
+func TestDiscoveryPhases(t *testing.T) {
 	for _, c := range []struct {
 		check, status string
 		want          decide.Phase
@@ -153,9 +153,9 @@
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Consul-Index", "7")
-			fmt.Fprintf(w, health, c.check, c.status)
+			fmt.Fprintf(w, healthBody, c.check, c.status)
 		}))
-		l, err := DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second}.ask(context.Background(), srv.Client(), 0)
+		l, err := DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second}.query(context.Background(), srv.Client(), 0)
 		srv.Close()
 		if err != nil || l.Index != 7 || l.Entries[0].Phase != c.want || l.Entries[0].Switch.Port() != 5000 {
 			t.Errorf("%s %s: %+v %v", c.check, c.status, l, err)
@@ -163,52 +163,53 @@
 	}
 }
 
-// The register fails, answers nonsense, restarts with a lower index: the client reports, goes on, and misses no list.
-func TestRegisterInTrouble(t *testing.T) {
-	answers := []struct {
+// The server fails, sends invalid responses and restarts with a lower index. The client reports the three errors, retries
+// and misses no list.
+func TestDiscoveryServerFaults(t *testing.T) {
+	responses := []struct {
 		status int
 		index  string
 		body   string
 	}{
-		{500, "", ""}, {200, "x", "[]"}, {200, "9", "{"}, {200, "9", fmt.Sprintf(health, "own", "passing")},
-		{200, "9", fmt.Sprintf(health, "own", "warning")}, // same index: not a change
-		{200, "12", fmt.Sprintf(health, "own", "warning")},
-		{200, "3", fmt.Sprintf(health, "own", "passing")}, // restarted
-		{200, "3", fmt.Sprintf(health, "own", "passing")},
+		{500, "", ""}, {200, "x", "[]"}, {200, "9", "{"}, {200, "9", fmt.Sprintf(healthBody, "own", "passing")},
+		{200, "9", fmt.Sprintf(healthBody, "own", "warning")}, // same index: no update
+		{200, "12", fmt.Sprintf(healthBody, "own", "warning")},
+		{200, "3", fmt.Sprintf(healthBody, "own", "passing")}, // restarted
+		{200, "3", fmt.Sprintf(healthBody, "own", "passing")},
 	}
 	var mu sync.Mutex
 	n := 0
-	var asked []string
+	var queried []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		i := n
 		n++
-		asked = append(asked, r.URL.Query().Get("index"))
+		queried = append(queried, r.URL.Query().Get("index"))
 		mu.Unlock()
-		if i >= len(answers) {
+		if i >= len(responses) {
 			<-r.Context().Done()
 			return
 		}
-		w.Header().Set("X-Consul-Index", answers[i].index)
-		w.WriteHeader(answers[i].status)
-		fmt.Fprint(w, answers[i].body)
+		w.Header().Set("X-Consul-Index", responses[i].index)
+		w.WriteHeader(responses[i].status)
+		fmt.Fprint(w, responses[i].body)
 	}))
 	defer srv.Close()
-	c := run(t, DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second})
+	c := runSource(t, DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second})
 	var got []string
 	for range 4 {
 		l := c.next(t)
 		got = append(got, fmt.Sprint(l.Index, PhaseName(l.Entries[0].Phase)))
 	}
 	if want := "9ready,12draining,3ready,3ready"; strings.Join(got, ",") != want {
-		t.Errorf("told %v, want %s", got, want)
+		t.Errorf("updates %v, want %s", got, want)
 	}
-	if len(c.faults) != 3 {
-		t.Errorf("%d faults", len(c.faults))
+	if len(c.errors) != 3 {
+		t.Errorf("%d errors, want 3", len(c.errors))
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if want := "0,0,0,0,9,9,12,0"; strings.Join(asked[:8], ",") != want {
-		t.Errorf("asked with %v, want %s", asked, want)
+	if want := "0,0,0,0,9,9,12,0"; strings.Join(queried[:8], ",") != want {
+		t.Errorf("queried with indexes %v, want %s", queried, want)
 	}
 }
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -6,102 +6,103 @@
 	"pipitring/decide"
 )
 
-// LongAgo stands for a start so long before now that its processor is warm whatever its figures.
+// LongAgo is the age of a processor that started so long ago that its slow start is over, whatever its duration.
 const LongAgo = time.Duration(1<<63 - 1)
 
-// forgetAfter is how long a processor that has left the list is still known when it comes back.
-const forgetAfter = time.Hour
+// forgetDelay is how long a processor that was removed from the list is remembered, in case it comes back.
+const forgetDelay = time.Hour
 
-// StartTimes tells how long ago each processor on the list started, from the stamps on it and from what this router saw
-// itself. Stamps are by other machines' clocks: they may be ahead or behind by hours, so a stamp is believed only
-// where it does not contradict what was seen:
+// StartTimes estimates how long ago each processor on the list started, from the list's timestamps and from the changes
+// that this router observed itself. Timestamps come from other machines' clocks, which may be hours ahead or behind, so a
+// timestamp is used only as far as it does not contradict an observation:
 //
-//   - On the first list a stamp in the past counts as it stands. One that is in the future by up to the cold time is
-//     a start just now by a clock a little ahead; one further ahead, or none, tells nothing, and a processor of which
-//     nothing is known has long been warm, as most have.
-//   - A processor that appears later, or one whose stamp moves forward, has started before this router's eyes. It is
-//     at most as old as its stamp says and no older than that, whatever the stamp: a clock that is behind must not
-//     make a cold processor warm. It costs one that really was warm part of its calls for the cold time, once.
-//   - A stamp that moves back is old news and changes nothing, unless the processor was gone in between.
+//   - On the first list, a timestamp in the past is used as it is. One that is in the future by at most the slow-start
+//     duration means a start just now, by a clock slightly ahead. One further ahead, or none, gives no information; the
+//     processor is then taken to have started long ago, as most have.
+//   - A processor that appears later, or whose timestamp moves forward, was seen to start. It is taken to have started
+//     now, or at its timestamp if that lies within the slow-start duration before now; an earlier timestamp is distrusted,
+//     because a clock that is behind must not end a slow start. If that processor had in fact started long ago, it gets
+//     fewer calls for one slow-start duration.
+//   - A timestamp that moves back is outdated and ignored, unless the processor was removed in between.
 //
-// The zero value knows no processor.
+// The zero value knows no processors.
 type StartTimes struct {
-	known map[string]*start
-	told  bool // a list with entries has come
-	// Distrusted counts stamps that could not be believed.
+	processors   map[string]*processorStart
+	listReceived bool // a list with entries has been received
+	// Distrusted counts timestamps that were not used because they contradict an observation or this router's clock.
 	Distrusted uint64
 }
 
-// start is what is known of one processor's start, on the router's clock.
-type start struct {
-	at    time.Duration
-	long  bool // long ago
-	stamp time.Time
-	phase decide.Phase
-	left  time.Duration // when it left the list; 0 is not
+// processorStart is the estimated start of one processor, on the router's monotonic clock.
+type processorStart struct {
+	startedAt time.Duration
+	longAgo   bool // startedAt is not used: it started longer ago than any slow start lasts
+	stamp     time.Time
+	phase     decide.Phase
+	removedAt time.Duration // when it was removed from the list; 0 means it is listed
 }
 
-// Update takes a list that was told at now, wall by the clock on the wall. coldFor is how long a processor takes to be
-// warm.
+// Update processes a list that was received at now on the monotonic clock and at wall on the wall clock. coldFor is the
+// duration of a slow start.
 func (s *StartTimes) Update(now time.Duration, wall time.Time, coldFor time.Duration, l *List) {
-	if s.known == nil {
-		s.known = map[string]*start{}
+	if s.processors == nil {
+		s.processors = map[string]*processorStart{}
 	}
-	named := make(map[string]bool, len(l.Entries))
+	listed := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		e := &l.Entries[i]
-		named[e.ID] = true
-		x := s.known[e.ID]
+		listed[e.ID] = true
+		x := s.processors[e.ID]
 		switch {
 		case x == nil:
-			x = &start{}
-			s.known[e.ID] = x
-			s.judge(x, now, wall, coldFor, e.Started, s.told)
+			x = &processorStart{}
+			s.processors[e.ID] = x
+			s.setStart(x, now, wall, coldFor, e.Started, s.listReceived)
 		case e.Started.After(x.stamp), e.Started.Before(x.stamp) && x.phase == decide.Removed && !e.Started.IsZero():
-			s.judge(x, now, wall, coldFor, e.Started, !x.stamp.IsZero())
+			s.setStart(x, now, wall, coldFor, e.Started, !x.stamp.IsZero())
 		}
 		if x.stamp.IsZero() || e.Started.After(x.stamp) || x.phase == decide.Removed {
 			x.stamp = e.Started
 		}
-		x.phase, x.left = e.Phase, 0
+		x.phase, x.removedAt = e.Phase, 0
 	}
-	for id, x := range s.known {
+	for id, x := range s.processors {
 		switch {
-		case named[id]:
-		case x.left == 0:
-			x.left, x.phase = max(1, now), decide.Removed
-		case now-x.left > forgetAfter:
-			delete(s.known, id)
+		case listed[id]:
+		case x.removedAt == 0:
+			x.removedAt, x.phase = max(1, now), decide.Removed
+		case now-x.removedAt > forgetDelay:
+			delete(s.processors, id)
 		}
 	}
-	s.told = s.told || len(l.Entries) > 0
+	s.listReceived = s.listReceived || len(l.Entries) > 0
 }
 
-// judge sets a start from its stamp; seen tells that this router saw it happen.
-func (s *StartTimes) judge(x *start, now time.Duration, wall time.Time, coldFor time.Duration, stamp time.Time, seen bool) {
+// setStart estimates a start from its timestamp; seen means that this router observed the start.
+func (s *StartTimes) setStart(x *processorStart, now time.Duration, wall time.Time, coldFor time.Duration, stamp time.Time, seen bool) {
 	age := wall.Sub(stamp)
-	x.at, x.long = now, false
+	x.startedAt, x.longAgo = now, false
 	switch {
 	case stamp.IsZero():
-		x.long = !seen
+		x.longAgo = !seen
 	case age < -coldFor:
 		s.Distrusted++
-		x.long = !seen
+		x.longAgo = !seen
 	case age < 0:
 	case age < coldFor:
-		x.at = now - age
+		x.startedAt = now - age
 	case seen:
 		s.Distrusted++
 	default:
-		x.long = true
+		x.longAgo = true
 	}
 }
 
-// Age is how long before now a processor started; LongAgo for one that has long been warm or that no list has named.
+// Age returns how long before now a processor started, or LongAgo if it started long ago or was on no list.
 func (s *StartTimes) Age(now time.Duration, id string) time.Duration {
-	x := s.known[id]
-	if x == nil || x.long {
+	x := s.processors[id]
+	if x == nil || x.longAgo {
 		return LongAgo
 	}
-	return now - x.at
+	return now - x.startedAt
 }
--- a/internal/registry/starts_test.go
+++ b/internal/registry/starts_test.go
@@ -13,7 +13,7 @@
 
 func listOf(entries ...Entry) *List { return &List{Entries: entries} }
 
-func TestStartsOnFirstList(t *testing.T) {
+func TestStartTimesOnFirstList(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		stamp time.Time
@@ -37,8 +37,8 @@
 	}
 }
 
-// What starts before the router's eyes is cold, whatever its clock says, and is as old as its stamp at the most.
-func TestStartsSeenByTheRouter(t *testing.T) {
+// A processor that was seen to start is in slow start, whatever its timestamp, and at most as old as its timestamp.
+func TestStartTimesOfNewProcessor(t *testing.T) {
 	old := Entry{ID: "old", Started: wall0.Add(-time.Hour)}
 	for _, c := range []struct {
 		name  string
@@ -48,7 +48,7 @@
 		{"none", time.Time{}, 0},
 		{"clock behind by hours", wall0.Add(-3 * time.Hour), 0},
 		{"clock ahead by hours", wall0.Add(3 * time.Hour), 0},
-		{"told late", wall0.Add(9*time.Minute + 56*time.Second), 4 * time.Second},
+		{"listed late", wall0.Add(9*time.Minute + 56*time.Second), 4 * time.Second},
 	} {
 		var s StartTimes
 		s.Update(time.Second, wall0, coldFor, listOf(old))
@@ -58,13 +58,13 @@
 			t.Errorf("%s: age %v, want %v", c.name, got, c.want)
 		}
 		if got := s.Age(now, "old"); got != LongAgo {
-			t.Errorf("%s: the other is %v old", c.name, got)
+			t.Errorf("%s: the listed processor is %v old", c.name, got)
 		}
 	}
 }
 
-// A processor keeps its id over a restart: a stamp that moves forward is one, one that moves back is old news.
-func TestStartsOfOneProcessor(t *testing.T) {
+// A processor keeps its ID over a restart. A timestamp that moves forward means a restart; one that moves back is outdated.
+func TestStartTimesOfRestartedProcessor(t *testing.T) {
 	var s StartTimes
 	at := func(after time.Duration, phase decide.Phase, stamp time.Time) time.Duration {
 		s.Update(time.Second+after, wall0.Add(after), coldFor, listOf(Entry{ID: "a", Phase: phase, Started: stamp}))
@@ -84,17 +84,17 @@
 		t.Errorf("gone: %v", got)
 	}
 	if got := at(11*time.Minute, decide.Ready, wall0.Add(-2*time.Hour)); got != 0 {
-		t.Errorf("back from being gone with a clock set back: %v", got)
+		t.Errorf("listed again after its removal with a clock set back: %v", got)
 	}
 	s.Update(time.Hour, wall0.Add(time.Hour), coldFor, listOf())
 	s.Update(3*time.Hour, wall0.Add(3*time.Hour), coldFor, listOf())
-	if len(s.known) != 0 {
-		t.Errorf("%d processors are remembered for ever", len(s.known))
+	if len(s.processors) != 0 {
+		t.Errorf("%d processors are remembered after the forget delay", len(s.processors))
 	}
 }
 
-// An empty first list is no list: what comes with the next was there before.
-func TestStartsAfterEmptyList(t *testing.T) {
+// An empty first list does not count: processors on the next list were not seen to start.
+func TestStartTimesAfterEmptyList(t *testing.T) {
 	var s StartTimes
 	s.Update(time.Second, wall0, coldFor, listOf())
 	s.Update(2*time.Second, wall0.Add(time.Second), coldFor, listOf(Entry{ID: "a", Started: wall0.Add(-time.Hour)}))
