--- a/internal/runtime/assoc.go
+++ b/internal/runtime/assoc.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	dialWait    = 3 * time.Second
-	firstPause  = 200 * time.Millisecond // before an association is made anew, doubling
-	longestWait = 10 * time.Second       // up to this, each with jitter
-	steadyFor   = 5 * time.Second        // one that lasted so long was good: the pause begins anew
-	heldBack    = 1 << 20                // bytes that wait in a connection for an end that does not read
+	dialTimeout       = 3 * time.Second        // for the TCP connection of an association
+	minReconnectDelay = 200 * time.Millisecond // delay before the first reconnect; it doubles with each further one
+	maxReconnectDelay = 10 * time.Second       // upper limit of the reconnect delay, before jitter
+	stableAfter       = 5 * time.Second        // lifetime of an association that resets the reconnect delay
+	maxOutboundBytes  = 1 << 20                // unsent bytes at which the connection of a peer that does not read is closed
 )
 
-// stream is what a TCP connection carries along: one association.
-type stream struct {
-	exchange int // that we connected to; -1 if the other end connected
+// assocContext is the state of a TCP connection, which carries one M3UA association.
+type assocContext struct {
+	exchange int // exchange that we connected to; -1 if the peer connected to us
 	id       isupfront.ConnID
-	closed   chan struct{} // closed when the connection is gone; nil where nobody waits
+	closed   chan struct{} // closed when the connection has closed; nil if nobody waits for that
 }
 
-// OnOpen begins an association.
+// OnOpen registers a new connection as an association. It runs on the event loop, as all gnet callbacks do.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	st, ok := c.Context().(*stream)
+	st, ok := c.Context().(*assocContext)
 	if !ok {
-		st = &stream{exchange: -1}
+		st = &assocContext{exchange: -1}
 		c.SetContext(st)
 	}
 	s.lastConn++
@@ -40,13 +40,13 @@
 	s.conns[st.id] = c
 	now := s.now()
 	s.node.ISUP().Connected(now, st.id, st.exchange)
-	s.settle(now)
+	s.finishTurn(now)
 	return nil, gnet.None
 }
 
-// OnClose ends one.
+// OnClose removes the association of a closed connection.
 func (s *Server) OnClose(c gnet.Conn, err error) gnet.Action {
-	st, ok := c.Context().(*stream)
+	st, ok := c.Context().(*assocContext)
 	if !ok {
 		return gnet.None
 	}
@@ -54,7 +54,7 @@
 	now := s.now()
 	s.node.ISUP().Disconnected(now, st.id)
 	s.node.Pump(now)
-	s.settle(now)
+	s.finishTurn(now)
 	if st.closed != nil {
 		close(st.closed)
 	}
@@ -62,26 +62,27 @@
 	return gnet.None
 }
 
-// onStream takes what a connection brings.
-func (s *Server) onStream(c gnet.Conn, st *stream) gnet.Action {
+// onAssociationData processes bytes received on an association.
+func (s *Server) onAssociationData(c gnet.Conn, st *assocContext) gnet.Action {
 	now := s.now()
 	b, err := c.Next(-1)
 	if err == nil && len(b) > 0 {
 		s.node.ISUP().Receive(now, st.id, b)
 		s.node.Pump(now)
 	}
-	s.settle(now)
+	s.finishTurn(now)
 	return gnet.None
 }
 
-// flushStreams writes what the associations have to send. An end that does not read loses its association.
-func (s *Server) flushStreams() {
+// flushAssociations writes the pending output of all associations. The connection of a peer that does not read is closed
+// once maxOutboundBytes are unsent.
+func (s *Server) flushAssociations() {
 	s.node.ISUP().Outgoing(func(id isupfront.ConnID, b []byte) {
 		c := s.conns[id]
 		if c == nil {
 			return
 		}
-		if _, err := c.Write(b); err != nil || c.OutboundBuffered() > heldBack {
+		if _, err := c.Write(b); err != nil || c.OutboundBuffered() > maxOutboundBytes {
 			_ = c.Close() // OnClose follows
 		}
 	}, func(id isupfront.ConnID) {
@@ -91,35 +92,35 @@
 	})
 }
 
-// keepAssociated makes one association and makes it anew whenever it is lost, until ctx ends.
-func (s *Server) keepAssociated(ctx context.Context, exchange int, to string) {
-	pause := firstPause
+// maintainAssociation keeps an association to an exchange: it connects, and reconnects after each loss, until ctx ends.
+func (s *Server) maintainAssociation(ctx context.Context, exchange int, to string) {
+	delay := minReconnectDelay
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		if err := s.associate(ctx, exchange, to); err != nil && ctx.Err() == nil {
 			s.log.Warn("association", zap.Int("exchange", exchange), zap.String("to", to), zap.Error(err))
 		}
-		if time.Since(began) > steadyFor {
-			pause = firstPause
+		if time.Since(startedAt) > stableAfter {
+			delay = minReconnectDelay
 		}
-		wait := time.NewTimer(pause/2 + rand.N(pause))
+		timer := time.NewTimer(delay/2 + rand.N(delay))
 		select {
 		case <-ctx.Done():
-		case <-wait.C:
+		case <-timer.C:
 		}
-		wait.Stop()
-		pause = min(2*pause, longestWait)
+		timer.Stop()
+		delay = min(2*delay, maxReconnectDelay)
 	}
 }
 
-// associate connects, hands the connection to the loop and waits for its end.
+// associate connects to an exchange, passes the connection to the event loop and returns when it has closed.
 func (s *Server) associate(ctx context.Context, exchange int, to string) error {
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp4", to)
 	if err != nil {
 		return err
 	}
-	st := &stream{exchange: exchange, closed: make(chan struct{})}
+	st := &assocContext{exchange: exchange, closed: make(chan struct{})}
 	res, err := s.loop.Enroll(gnet.NewContext(context.Background(), st), conn)
 	if err != nil {
 		conn.Close()
@@ -136,14 +137,14 @@
 	return nil
 }
 
-// associations starts what keeps the settings' associations.
-func (s *Server) associations(ctx context.Context) {
+// startAssociations starts a goroutine for each association that the settings have this end establish.
+func (s *Server) startAssociations(ctx context.Context) {
 	for _, g := range s.set.ISUPGroups() {
 		if g.Front != config.FrontISUP {
 			continue
 		}
 		for _, a := range g.Connect {
-			s.side.Go(func() { s.keepAssociated(ctx, g.To, a.String()) })
+			s.background.Go(func() { s.maintainAssociation(ctx, g.To, a.String()) })
 		}
 	}
 }
--- a/internal/runtime/assoc_test.go
+++ b/internal/runtime/assoc_test.go
@@ -14,7 +14,7 @@
 	"pipitring/internal/node"
 )
 
-// freePort finds a TCP port of loopback that nobody listens on.
+// freePort returns a TCP port of the loopback interface that nobody listens on.
 func freePort(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// isupSettings are those of router 0 or 1 of a network of two whose group is signalled by ISUP; 0 connects.
+// isupSettings returns the settings of router 0 or 1 of a network of two with an ISUP group; router 0 connects.
 func isupSettings(t *testing.T, x int, listen netip.AddrPort) *config.Settings {
 	t.Helper()
 	group := "to = 1\nconnect = [\"" + listen.String() + "\"]"
@@ -68,7 +68,7 @@
 	return set
 }
 
-// ask reads something on a router's loop.
+// ask returns the result of f on a router's event loop.
 func ask[T any](t *testing.T, s *Server, f func(n *node.Node) T) (v T) {
 	t.Helper()
 	if err := s.Do(func(n *node.Node, _ time.Duration) { v = f(n) }); err != nil {
@@ -81,13 +81,13 @@
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("%s: not in 20 s", what)
+			t.Fatalf("%s: not within 20 s", what)
 		}
 	}
 }
 
-// Two routers signal over TCP on their event loops: a call stands, the connection is cut under it and made anew by
-// itself, the call stands on and its release crosses the new one.
+// Two routers signal ISUP over TCP. The connection is closed during a standing call and re-established automatically; the
+// call must survive, and its release must pass over the new connection.
 func TestISUPOverTCP(t *testing.T) {
 	far, caller := newPeer(t), newPeer(t)
 	at := freePort(t)
@@ -129,10 +129,10 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the cut is seen", func() bool { return !up() })
+	await(t, "loss detected", func() bool { return !up() })
 	await(t, "signalling up again", up)
 	if n := ask(t, zero, func(n *node.Node) int { return n.Core.OpenCalls() }); n != 1 {
-		t.Errorf("%d calls after the cut", n)
+		t.Errorf("%d calls after the loss, want 1", n)
 	}
 	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
 	caller.flush()
@@ -143,8 +143,8 @@
 	})
 }
 
-// A stranger that connects and sends what is no M3UA, or nothing, costs its connection and nothing else.
-func TestStrangersOnTCP(t *testing.T) {
+// An unknown peer that sends data other than valid M3UA loses its connection; nothing else happens.
+func TestUnknownPeersOnTCP(t *testing.T) {
 	at := freePort(t)
 	one := start(t, isupSettings(t, 1, at))
 	for _, b := range []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x00\x03\x01\x00\x00\x00\x03", strings.Repeat("\x00", 5000)} {
--- a/internal/runtime/log.go
+++ b/internal/runtime/log.go
@@ -9,8 +9,8 @@
 	"pipitring/internal/config"
 )
 
-// NewLogger returns a structured log on standard error. Of one message no more than per_second lines are written
-// in a second, so that an attack does not fill the disk; zap counts the rest away.
+// NewLogger returns a structured logger on standard error. At most per_second lines of the same message are written per
+// second, so that an attack does not fill the disk; further ones are dropped.
 func NewLogger(c config.Log) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(c.Level)
 	if err != nil {
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -19,57 +19,59 @@
 	"pipitring/internal/store"
 )
 
-// metrics are read on the loop when they are asked for; only set-up delays are counted as they come.
+// metrics is the collector of the router's metrics. Values are read on the event loop at each scrape; only set-up times and
+// list errors are recorded as they occur.
 type metrics struct {
 	s          *Server
-	dropped    uint64 // datagrams that the socket did not take; on the loop
+	dropped    uint64 // datagrams that the socket did not accept; used on the event loop only
 	setUp      *prometheus.HistogramVec
-	listFaults prometheus.Counter
+	listErrors prometheus.Counter
 	registry   *prometheus.Registry
 }
 
 var (
-	descCalls    = desc("calls", "Calls taken and not finished.")
-	descLegs     = desc("legs", "Legs that some end still holds.")
-	descDialogs  = desc("iax_dialogs", "IAX2 dialogs that hold a call number.")
-	descEnds     = desc("calls_ended_total", "Calls by how they ended for their caller.", "end")
-	descOffered  = desc("calls_offered_total", "Calls taken.")
-	descTurned   = desc("calls_turned_total", "Calls rejected before they were taken.")
-	descAttempts = desc("attempts_total", "Set-ups sent.")
-	descOverdue  = desc("calls_overdue_total", "Calls answered by the watchdog: a defect.")
-	descWithdraw = desc("attempts_withdrawn_total", "Set-ups called off at the end of a drain's grace.")
-	descFaults   = desc("action_faults_total", "Actions of the module that could not be carried out: a defect.")
-	descFree     = desc("group_circuits_free", "Free circuits of a trunk group.", "to")
-	descSize     = desc("group_circuits", "Circuits of a trunk group.", "to")
-	descIn       = desc("iax_datagrams_in_total", "Datagrams received.")
-	descOut      = desc("iax_datagrams_out_total", "Datagrams sent.")
-	descRepeats  = desc("iax_repeats_total", "Frames sent again.")
-	descBad      = desc("iax_malformed_total", "Datagrams that could not be read.")
-	descRejected = desc("iax_rejected_total", "Openings rejected without a dialog.")
-	descStray    = desc("iax_stray_total", "Frames of unknown dialogs.")
-	descDropped  = desc("socket_dropped_total", "Datagrams that the socket did not take.")
-	descAssoc    = desc("m3ua_associations", "Active associations to an exchange.", "to")
-	descBusy     = desc("isup_circuits_busy", "Circuits that are not idle.", "to")
-	descIdle     = desc("isup_circuits_idle", "Circuits that a call may seize.", "to")
-	descGlares   = desc("isup_glares_total", "Circuits seized by both ends.", "to")
-	descAlarms   = desc("isup_alarms_total", "Alarms to maintenance; each is a line in the log.")
-	descUnsent   = desc("isup_unsent_total", "Messages that no association could take.")
-	descCut      = desc("isup_setups_cut_total", "Set-ups ended because the last association was lost.")
-	descStranger = desc("m3ua_strangers_total", "Messages or connections of ends that no group leads to.")
-	descListAge  = desc("list_age_seconds", "Since the exchange list last came; -1 is never.")
-	descMistrust = desc("list_starts_mistrusted_total", "Starts on the exchange list that contradict this router's clock.")
-	descUnproven = desc("answers_unproven_total", "Final answers that went out before their record was durable.")
-	descRecState = desc("records_state", "State of the records' disk: 0 healthy, 1 slow, 2 full, 3 failed.")
-	descRecRisk  = desc("records_at_risk", "Records that a crash now would lose.")
-	descRecLost  = desc("records_lost_total", "Records given up because too many waited, or the disk had failed.")
-	descRecLast  = desc("records_last_number", "Number of the newest durable record.")
-	descRecSyncs = desc("records_commits_total", "Batches of records made durable.")
-	descRecBytes = desc("records_bytes", "Size of the records on disk.")
-	descRecDone  = desc("records_exported_number", "Number of the last record that an export has confirmed.", "export")
-	descRecFails = desc("records_export_failures_total", "Tries of an export that came to nothing.", "export")
-	descUp       = desc("loop_up", "1 while the event loop answers.")
+	descCalls             = desc("calls", "Calls taken and not finished.")
+	descLegs              = desc("legs", "Legs that some end still holds.")
+	descDialogs           = desc("iax_dialogs", "IAX2 dialogs that hold a call number.")
+	descEnds              = desc("calls_ended_total", "Calls by how they ended for their caller.", "end")
+	descOffered           = desc("calls_offered_total", "Calls taken.")
+	descCallsRejected     = desc("calls_turned_total", "Calls rejected before they were taken.")
+	descAttempts          = desc("attempts_total", "Set-ups sent.")
+	descOverdue           = desc("calls_overdue_total", "Calls answered by the watchdog: a defect.")
+	descWithdrawn         = desc("attempts_withdrawn_total", "Set-ups called off at the end of a drain's grace.")
+	descFaults            = desc("action_faults_total", "Actions of the module that could not be carried out: a defect.")
+	descFree              = desc("group_circuits_free", "Free circuits of a trunk group.", "to")
+	descSize              = desc("group_circuits", "Circuits of a trunk group.", "to")
+	descIn                = desc("iax_datagrams_in_total", "Datagrams received.")
+	descOut               = desc("iax_datagrams_out_total", "Datagrams sent.")
+	descRepeats           = desc("iax_repeats_total", "Frames sent again.")
+	descBad               = desc("iax_malformed_total", "Datagrams that could not be read.")
+	descDialogsRejected   = desc("iax_rejected_total", "Openings rejected without a dialog.")
+	descStray             = desc("iax_stray_total", "Frames of unknown dialogs.")
+	descDropped           = desc("socket_dropped_total", "Datagrams that the socket did not take.")
+	descAssoc             = desc("m3ua_associations", "Active associations to an exchange.", "to")
+	descBusy              = desc("isup_circuits_busy", "Circuits that are not idle.", "to")
+	descIdle              = desc("isup_circuits_idle", "Circuits that a call may seize.", "to")
+	descGlares            = desc("isup_glares_total", "Circuits seized by both ends.", "to")
+	descAlarms            = desc("isup_alarms_total", "Alarms to maintenance; each is a line in the log.")
+	descUnsent            = desc("isup_unsent_total", "Messages that no association could take.")
+	descCut               = desc("isup_setups_cut_total", "Set-ups ended because the last association was lost.")
+	descUnknownPeers      = desc("m3ua_strangers_total", "Messages or connections of ends that no group leads to.")
+	descListAge           = desc("list_age_seconds", "Since the exchange list last came; -1 is never.")
+	descDistrustedStarts  = desc("list_starts_mistrusted_total", "Starts on the exchange list that contradict this router's clock.")
+	descAnswersNotDurable = desc("answers_unproven_total", "Final answers that went out before their record was durable.")
+	descRecordsState      = desc("records_state", "State of the records' disk: 0 healthy, 1 slow, 2 full, 3 failed.")
+	descRecordsAtRisk     = desc("records_at_risk", "Records that a crash now would lose.")
+	descRecordsLost       = desc("records_lost_total", "Records given up because too many waited, or the disk had failed.")
+	descRecordsLast       = desc("records_last_number", "Number of the newest durable record.")
+	descRecordsCommits    = desc("records_commits_total", "Batches of records made durable.")
+	descRecordsBytes      = desc("records_bytes", "Size of the records on disk.")
+	descRecordsExported   = desc("records_exported_number", "Number of the last record that an export has confirmed.", "export")
+	descExportFailures    = desc("records_export_failures_total", "Tries of an export that came to nothing.", "export")
+	descUp                = desc("loop_up", "1 while the event loop answers.")
 )
 
+// desc describes a metric with the router's name prefix.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("pipitring_"+name, help, labels, nil)
 }
@@ -78,19 +80,19 @@
 	m := &metrics{s: s, registry: prometheus.NewRegistry(),
 		setUp: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "pipitring_setup_seconds",
 			Help: "From offer to answer, by class.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 14)}, []string{"class"}),
-		listFaults: prometheus.NewCounter(prometheus.CounterOpts{Name: "pipitring_list_faults_total",
+		listErrors: prometheus.NewCounter(prometheus.CounterOpts{Name: "pipitring_list_faults_total",
 			Help: "Troubles with the source of the exchange list."})}
-	m.registry.MustRegister(m, m.setUp, m.listFaults)
+	m.registry.MustRegister(m, m.setUp, m.listErrors)
 	return m
 }
 
-// Describe tells nothing beforehand: which groups there are changes with the settings.
+// Describe sends nothing, which makes the collector unchecked: the set of groups changes with the settings.
 func (m *metrics) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads the figures on the loop.
+// Collect reads all values on the event loop; loop_up is 0 if the loop does not respond.
 func (m *metrics) Collect(ch chan<- prometheus.Metric) {
 	var got []prometheus.Metric
-	err := m.s.Do(func(n *node.Node, now time.Duration) { got = m.read(n, now) })
+	err := m.s.Do(func(n *node.Node, now time.Duration) { got = m.collectNode(n, now) })
 	up := 1.0
 	if err != nil {
 		up = 0
@@ -101,7 +103,8 @@
 	}
 }
 
-func (m *metrics) read(n *node.Node, now time.Duration) (out []prometheus.Metric) {
+// collectNode returns the node's metrics; it runs on the event loop.
+func (m *metrics) collectNode(n *node.Node, now time.Duration) (out []prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		out = append(out, prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...))
 	}
@@ -116,10 +119,10 @@
 		count(descEnds, core.Ends[e], e.String())
 	}
 	count(descOffered, core.Offered)
-	count(descTurned, core.Rejected)
+	count(descCallsRejected, core.Rejected)
 	count(descAttempts, core.Attempts)
 	count(descOverdue, core.Overdue)
-	count(descWithdraw, core.Withdrawn)
+	count(descWithdrawn, core.Withdrawn)
 	count(descFaults, core.ActionFaults)
 	for _, g := range n.Core.Groups() {
 		gauge(descFree, float64(g.Free()), strconv.Itoa(g.Neighbour()))
@@ -136,53 +139,53 @@
 	count(descAlarms, front.Alarms)
 	count(descUnsent, front.Unsent)
 	count(descCut, front.Cut)
-	count(descStranger, front.UnknownPeer)
+	count(descUnknownPeers, front.UnknownPeer)
 	count(descIn, iax.In)
 	count(descOut, iax.Out)
 	count(descRepeats, iax.Repeats)
 	count(descBad, iax.Malformed)
-	count(descRejected, iax.Rejected)
+	count(descDialogsRejected, iax.Rejected)
 	count(descStray, iax.Stray)
 	count(descDropped, m.dropped)
-	if m.s.keep != nil {
-		m.readRecords(gauge, count, core.AnsweredNotDurable)
+	if m.s.recorder != nil {
+		m.collectRecords(gauge, count, core.AnsweredNotDurable)
 	}
-	count(descMistrust, n.DistrustedStarts())
+	count(descDistrustedStarts, n.DistrustedStarts())
 	gauge(descListAge, m.s.listAge(now))
 	return out
 }
 
-// readRecords reads what the records' disk and exports do.
-func (m *metrics) readRecords(gauge func(*prometheus.Desc, float64, ...string), count func(*prometheus.Desc, uint64, ...string),
+// collectRecords reads the metrics of the record store and its exports.
+func (m *metrics) collectRecords(gauge func(*prometheus.Desc, float64, ...string), count func(*prometheus.Desc, uint64, ...string),
 	unproven uint64) {
-	st := m.s.keep.rec.Status()
-	count(descUnproven, unproven)
-	gauge(descRecState, float64(st.State))
-	gauge(descRecRisk, float64(st.Waiting))
-	count(descRecLost, st.Lost)
-	gauge(descRecLast, float64(st.Last))
-	count(descRecSyncs, st.Commits)
-	gauge(descRecBytes, float64(st.Bytes))
+	st := m.s.recorder.rec.Status()
+	count(descAnswersNotDurable, unproven)
+	gauge(descRecordsState, float64(st.State))
+	gauge(descRecordsAtRisk, float64(st.Waiting))
+	count(descRecordsLost, st.Lost)
+	gauge(descRecordsLast, float64(st.Last))
+	count(descRecordsCommits, st.Commits)
+	gauge(descRecordsBytes, float64(st.Bytes))
 	for _, e := range st.Exports {
-		gauge(descRecDone, float64(e.LastConfirmed), e.Target)
-		count(descRecFails, e.Failures, e.Target)
+		gauge(descRecordsExported, float64(e.LastConfirmed), e.Target)
+		count(descExportFailures, e.Failures, e.Target)
 	}
 }
 
-// listAge is in seconds; -1 before the first list.
+// listAge returns the seconds since the exchange list was last received; -1 before the first one.
 func (s *Server) listAge(now time.Duration) float64 {
-	at := s.listed.Load()
+	at := s.listReceivedAt.Load()
 	if at == 0 {
 		return -1
 	}
 	return (now - time.Duration(at)).Seconds()
 }
 
-// takeRecords counts and logs finished calls and alarms; the logger's sampling bounds the lines.
-func (s *Server) takeRecords(now time.Duration) {
+// processRecords stores, counts and logs finished calls, and logs alarms. The logger's sampling limits the lines.
+func (s *Server) processRecords(now time.Duration) {
 	core := s.node.Core
-	if s.keep != nil {
-		s.keep.take(now, core.Records)
+	if s.recorder != nil {
+		s.recorder.submit(now, core.Records)
 	}
 	for i := range core.Records {
 		r := &core.Records[i]
@@ -207,29 +210,31 @@
 	front.Alarms = front.Alarms[:0]
 }
 
-// health is what /health answers.
+// health is the response body of /health.
 type health struct {
 	OK       bool    `json:"ok"`
 	Draining bool    `json:"draining"`
 	ListAge  float64 `json:"list_age_s"`
 	Calls    int     `json:"calls"`
-	Records  string  `json:"records,omitempty"` // the state of their disk
+	Records  string  `json:"records,omitempty"` // state of the record store's disk
 	AtRisk   int     `json:"records_at_risk,omitempty"`
 	Problem  string  `json:"problem,omitempty"`
 }
 
+// health determines the router's health. A router is not OK while it drains, has no exchange list, or has a
+// record store whose disk is not healthy.
 func (s *Server) health() health {
 	h := health{Draining: s.draining.Load()}
 	err := s.Do(func(n *node.Node, now time.Duration) { h.Calls, h.ListAge = n.Core.OpenCalls(), s.listAge(now) })
-	if s.keep != nil {
-		st := s.keep.rec.DiskStatus()
+	if s.recorder != nil {
+		st := s.recorder.rec.DiskStatus()
 		h.Records, h.AtRisk = st.State.String(), st.Waiting
 	}
 	switch {
 	case err != nil:
 		h.Problem = err.Error()
 	case h.ListAge < 0:
-		h.Problem = "no exchange list has come yet"
+		h.Problem = "no exchange list received yet"
 	case h.Draining:
 		h.Problem = "draining"
 	case h.Records != "" && h.Records != store.Healthy.String():
@@ -240,7 +245,7 @@
 	return h
 }
 
-// serveHTTP serves metrics and health until ctx ends, if the settings name an address.
+// serveHTTP serves metrics, health and records until ctx ends, if http.listen is set.
 func (s *Server) serveHTTP(ctx context.Context) error {
 	if !s.set.HTTP.Listen.IsValid() {
 		return nil
@@ -251,8 +256,8 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
-	if s.keep != nil {
-		mux.HandleFunc("GET /records", s.keep.serveRecords)
+	if s.recorder != nil {
+		mux.HandleFunc("GET /records", s.recorder.serveRecords)
 	}
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
 		h := s.health()
@@ -260,15 +265,15 @@
 		if !h.OK {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		_ = json.NewEncoder(w).Encode(h) // a reader that left is no trouble of ours
+		_ = json.NewEncoder(w).Encode(h) // fails only if the client has disconnected
 	})
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	s.side.Go(func() {
+	s.background.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			s.log.Error("http", zap.Error(err))
 		}
 	})
-	s.side.Go(func() {
+	s.background.Go(func() {
 		<-ctx.Done()
 		_ = srv.Close()
 	})
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -19,35 +19,35 @@
 	"pipitring/internal/records"
 )
 
-// keeping joins the loop and the records beside it.
-type keeping struct {
-	s      *Server
-	rec    *records.Recorder
-	clock  cdr.Clock  // on the loop
-	items  []cdr.Item // on the loop, reused
-	proven uint64     // Core.Stats.Unproven as it was told last
+// recorder connects the event loop to the record store, which runs on its own goroutines.
+type recorder struct {
+	s               *Server
+	rec             *records.Recorder
+	clock           cdr.Clock  // used on the event loop only
+	items           []cdr.Item // buffer, used on the event loop only
+	reportedOverdue uint64     // value of Core.Stats.AnsweredNotDurable that was last reported to the store
 
-	mu      sync.Mutex
-	tickets []submitted // not durable yet, oldest first
-	durable uint64      // the core's last ticket that is
-	waking  bool        // the loop has been asked to look
+	mu          sync.Mutex
+	tickets     []pendingTicket // not durable yet, oldest first
+	durable     uint64          // last sequence number of the core whose record is durable
+	wakePending bool            // the event loop has been asked to process durable
 }
 
-// submitted joins the records' ticket with the core's.
-type submitted struct{ theirs, core uint64 }
+// pendingTicket maps a ticket of the record store to the sequence number of the core's record.
+type pendingTicket struct{ recorder, core uint64 }
 
-// look is how often the disk's state is looked at beside the loop.
-const look = 50 * time.Millisecond
+// diskPollInterval is the interval of checks of the disk's state.
+const diskPollInterval = 50 * time.Millisecond
 
-// openRecords opens the records that the settings name; nil where they name none.
+// openRecords opens the record store, if the settings name a directory for it.
 func (s *Server) openRecords() error {
 	set := &s.set.Records
 	if set.Dir == "" {
 		return nil
 	}
-	k := &keeping{s: s}
+	k := &recorder{s: s}
 	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.GateSettings(), MaxBatch: set.Batch, BatchDelay: set.BatchDelay,
-		HeartbeatInterval: set.HeartbeatInterval, Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute, OnDurable: k.done, Now: s.now,
+		HeartbeatInterval: set.HeartbeatInterval, Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute, OnDurable: k.onDurable, Now: s.now,
 		Log: func(level records.Level, text string, err error) {
 			[...]func(string, ...zap.Field){s.log.Info, s.log.Warn, s.log.Error}[level](text, zap.Error(err))
 		}}
@@ -61,14 +61,14 @@
 	if k.rec, err = records.Open(o); err != nil {
 		return fmt.Errorf("records: %w", err)
 	}
-	s.keep = k
+	s.recorder = k
 	st := k.rec.Status()
 	s.log.Info("records opened", zap.String("dir", set.Dir), zap.Uint32("life", st.Incarnation), zap.Uint64("last", st.Last),
 		zap.Int("closed", st.RecoveredCalls), zap.Duration("took", st.RecoveryTime))
 	return nil
 }
 
-// ExportOptions puts the exports of settings in the records' terms.
+// ExportOptions converts the exports of settings to options of the record store. It reads their token files.
 func ExportOptions(set *config.Settings) (out []records.ExportOptions, err error) {
 	for i := range set.Records.Export {
 		e := &set.Records.Export[i]
@@ -87,9 +87,9 @@
 	return out, nil
 }
 
-// watch looks at the disk's state until ctx ends, and tells the loop when new calls are to be refused or taken again.
-func (k *keeping) watch(ctx context.Context) {
-	t := time.NewTicker(look)
+// watchDisk polls the disk's state until ctx ends, logs changes, and suspends or resumes new calls on the event loop.
+func (k *recorder) watchDisk(ctx context.Context) {
+	t := time.NewTicker(diskPollInterval)
 	defer t.Stop()
 	state, open := k.rec.DiskStatus().State, true
 	for {
@@ -99,24 +99,24 @@
 		case <-t.C:
 		}
 		st := k.rec.DiskStatus()
-		// An error says that the loop has ended, or is behind: then the next look tells it.
+		// Do fails if the event loop has ended or is slow; in the latter case the next poll tries again.
 		if st.Accepting != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Accepting) }) == nil {
 			open = st.Accepting
 		}
 		if st.State != state {
-			k.s.log.Warn("records: the disk's state has changed", zap.Stringer("from", state), zap.Stringer("to", st.State),
+			k.s.log.Warn("records: disk state changed", zap.Stringer("from", state), zap.Stringer("to", st.State),
 				zap.Bool("new_calls", st.Accepting), zap.Int("at_risk", st.Waiting), zap.Uint64("lost", st.Lost))
 			state = st.State
 		}
 	}
 }
 
-// take hands the core's records over; on the loop.
-func (k *keeping) take(now time.Duration, made []call.Record) {
+// submit passes the core's records to the record store; it runs on the event loop.
+func (k *recorder) submit(now time.Duration, made []call.Record) {
 	k.clock.Observe(now, time.Now())
-	if unproven := k.s.node.Core.Stats.AnsweredNotDurable; unproven != k.proven {
-		k.rec.AddOverdue(int(unproven - k.proven))
-		k.proven = unproven
+	if unproven := k.s.node.Core.Stats.AnsweredNotDurable; unproven != k.reportedOverdue {
+		k.rec.AddOverdue(int(unproven - k.reportedOverdue))
+		k.reportedOverdue = unproven
 	}
 	if len(made) == 0 {
 		return
@@ -129,40 +129,41 @@
 	k.mu.Lock()
 	ticket, ok := k.rec.Submit(k.items...)
 	if ok {
-		k.tickets = append(k.tickets, submitted{ticket, last})
+		k.tickets = append(k.tickets, pendingTicket{ticket, last})
 	}
 	k.mu.Unlock()
-	clear(k.items) // the strings are the records' now
+	clear(k.items) // do not retain the strings, which the record store now owns
 }
 
-// done is told on the records' goroutine what is durable; the loop is woken once for what comes together.
-func (k *keeping) done(upTo uint64) {
+// onDurable is called on the record store's goroutine when records up to a ticket are durable. One task on the event loop
+// is pending at most, for all tickets that become durable until it runs.
+func (k *recorder) onDurable(upTo uint64) {
 	k.mu.Lock()
-	for len(k.tickets) > 0 && k.tickets[0].theirs <= upTo {
+	for len(k.tickets) > 0 && k.tickets[0].recorder <= upTo {
 		k.durable = k.tickets[0].core
 		k.tickets = k.tickets[1:]
 	}
-	wake := !k.waking
-	k.waking = true
+	wake := !k.wakePending
+	k.wakePending = true
 	k.mu.Unlock()
 	if !wake {
 		return
 	}
-	// The error says that the loop has ended: then nobody waits for an answer.
+	// Execute fails only after the event loop has ended; then no answer is pending.
 	_ = k.s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		k.mu.Lock()
-		k.waking = false
+		k.wakePending = false
 		ticket := k.durable
 		k.mu.Unlock()
 		now := k.s.now()
 		k.s.node.MarkDurable(now, ticket)
-		k.s.settle(now)
+		k.s.finishTurn(now)
 		return nil
 	}))
 }
 
-// serveRecords answers with the kept records as lines of JSON, from a number on.
-func (k *keeping) serveRecords(w http.ResponseWriter, q *http.Request) {
+// serveRecords responds with the stored records as lines of JSON, filtered by the id parameter if it is given.
+func (k *recorder) serveRecords(w http.ResponseWriter, q *http.Request) {
 	filter := cdr.Filter{}
 	if text := q.URL.Query().Get("id"); text != "" {
 		id, err := cdr.ParseID(text)
@@ -175,9 +176,9 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
 	err := filter.Each(k.rec.Store(), func(n uint64, err error) {
-		k.s.log.Error("records: one cannot be read", zap.Uint64("number", n), zap.Error(err))
+		k.s.log.Error("records: stored record cannot be read; skipping it", zap.Uint64("number", n), zap.Error(err))
 	}, func(_ uint64, r *cdr.Record) error { return enc.Encode(r) })
 	if err != nil && !errors.Is(err, context.Canceled) {
-		k.s.log.Warn("records: listing them", zap.Error(err)) // the reader may have left
+		k.s.log.Warn("records: listing for an HTTP client failed", zap.Error(err)) // for example because the client disconnected
 	}
 }
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -1,8 +1,8 @@
 // Package runtime runs a router on sockets, the monotonic clock and files. It is the only part of the router
 // with I/O on the call path.
 //
-// One gnet event loop owns one node: datagrams, timers, news of the list and reloads are all handled on it, so
-// nothing is locked. Disk and HTTP are served beside it.
+// One gnet event loop owns one node: datagrams, timers, list updates and reloads are all handled on it, so that
+// the node needs no locks. Disk I/O and HTTP run on other goroutines.
 package runtime
 
 import (
@@ -28,52 +28,52 @@
 )
 
 const (
-	rounds     = 16               // batches read before timers are looked at again
-	timerGrain = time.Millisecond // timers fire no finer than this
-	doWait     = 5 * time.Second  // for something to be done on the loop
-	socketRoom = 4 << 20          // bytes of the socket's buffers
+	maxBatchRounds    = 16               // batches read per turn before timers are processed
+	minTimerDelay     = time.Millisecond // shortest delay of the event loop's timer
+	doWait            = 5 * time.Second  // time-out of a function executed on the event loop, and of its stop
+	socketBufferBytes = 4 << 20          // size of each of the socket's buffers
 )
 
-// ErrStopped is returned by Do when the router has stopped.
+// ErrStopped is returned by Do after the router has stopped.
 var ErrStopped = errors.New("runtime: the router has stopped")
 
-// Server is one router on a socket.
+// Server is one router on its sockets.
 type Server struct {
 	gnet.BuiltinEventEngine
 
-	set      *config.Settings
-	log      *zap.Logger
-	metrics  *metrics
-	node     *node.Node
-	start    time.Time
-	engine   gnet.Engine
-	addr     netip.AddrPort
-	fd       int
-	batch    *batcher
-	loop     gnet.EventLoop // known from the first datagram on, which we send ourselves
-	wake     waker
-	ready    chan struct{} // closed when the loop is known
-	done     chan struct{} // closed when the loop has ended
-	failed   error
-	stopped  atomic.Bool
-	listed   atomic.Int64 // when the list last came, on our clock; 0 is never
-	draining atomic.Bool
-	keep     *keeping                       // nil: no records are kept
-	conns    map[isupfront.ConnID]gnet.Conn // TCP, on the loop
-	lastConn isupfront.ConnID
-	ended    sync.Once      // the records are closed
-	side     sync.WaitGroup // what runs beside the loop
-	cancel   context.CancelFunc
+	set              *config.Settings
+	log              *zap.Logger
+	metrics          *metrics
+	node             *node.Node
+	start            time.Time
+	engine           gnet.Engine
+	addr             netip.AddrPort
+	fd               int
+	batch            *batcher
+	loop             gnet.EventLoop // set by the first datagram, which OnBoot sends
+	wake             waker
+	ready            chan struct{} // closed when loop is set
+	done             chan struct{} // closed when the event loop has ended
+	runErr           error
+	stopped          atomic.Bool
+	listReceivedAt   atomic.Int64 // when the exchange list was last received, on the router's clock; 0 is never
+	draining         atomic.Bool
+	recorder         *recorder                      // nil: no records are stored
+	conns            map[isupfront.ConnID]gnet.Conn // TCP connections; used on the event loop only
+	lastConn         isupfront.ConnID
+	closeRecordsOnce sync.Once      // closes the record store
+	background       sync.WaitGroup // goroutines beside the event loop
+	cancel           context.CancelFunc
 }
 
-// Start opens the socket and runs a router on it until Stop.
+// Start opens the sockets and runs a router on them until Stop, Kill or the end of Drain. A nil log discards all lines.
 func Start(set *config.Settings, log *zap.Logger) (*Server, error) {
 	if log == nil {
 		log = zap.NewNop()
 	}
 	s := &Server{set: set, log: log, start: time.Now(), ready: make(chan struct{}), done: make(chan struct{}),
 		conns: map[isupfront.ConnID]gnet.Conn{}}
-	if err := free(set.Router.Listen); err != nil {
+	if err := checkAddrFree(set.Router.Listen); err != nil {
 		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, err)
 	}
 	s.node = node.New(set.NodeSettings(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.HasRoute(number) }))
@@ -81,37 +81,37 @@
 		return nil, err
 	}
 	s.metrics = newMetrics(s)
-	s.wake = newWaker(s.fire)
+	s.wake = newWaker(s.onTimer)
 	go func() {
 		defer close(s.done)
 		err := gnet.Rotate(s, s.sockets(), gnet.WithNumEventLoop(1), gnet.WithLogger(quiet{log.Sugar()}),
-			gnet.WithReuseAddr(false), gnet.WithSocketRecvBuffer(socketRoom), gnet.WithSocketSendBuffer(socketRoom))
+			gnet.WithReuseAddr(false), gnet.WithSocketRecvBuffer(socketBufferBytes), gnet.WithSocketSendBuffer(socketBufferBytes))
 		s.stopped.Store(true)
 		if err != nil {
-			s.failed = err
+			s.runErr = err
 		}
 	}()
 	select {
 	case <-s.ready:
 	case <-s.done:
-		if s.failed == nil {
-			s.failed = ErrStopped
+		if s.runErr == nil {
+			s.runErr = ErrStopped
 		}
 		_ = s.closeRecords(false)
-		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, s.failed)
+		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, s.runErr)
 	}
 	if set.Router.Listen.Port() == 0 {
-		known := *set
-		known.Router.Listen = s.addr
-		s.set = &known
+		resolved := *set
+		resolved.Router.Listen = s.addr
+		s.set = &resolved
 	}
 	var ctx context.Context
 	ctx, s.cancel = context.WithCancel(context.Background())
-	s.associations(ctx)
-	if s.keep != nil {
-		s.side.Go(func() { s.keep.watch(ctx) })
+	s.startAssociations(ctx)
+	if s.recorder != nil {
+		s.background.Go(func() { s.recorder.watchDisk(ctx) })
 	}
-	s.side.Go(func() { s.source().Run(ctx, s.SetList, s.listFault) })
+	s.background.Go(func() { s.listSource().Run(ctx, s.SetList, s.onListError) })
 	if err := s.serveHTTP(ctx); err != nil {
 		s.Stop()
 		return nil, err
@@ -121,7 +121,7 @@
 	return s, nil
 }
 
-// sockets are what the router listens on: UDP for IAX2, TCP for M3UA where it is set.
+// sockets returns the addresses to listen on: UDP for IAX2, and TCP for M3UA if m3ua.listen is set.
 func (s *Server) sockets() []string {
 	out := []string{"udp://" + s.set.Router.Listen.String()}
 	if l := s.set.M3UA.Listen; l.IsValid() {
@@ -130,9 +130,9 @@
 	return out
 }
 
-// free tells whether an address can be listened on. gnet shares the port of a UDP socket with any other that
-// does so too: of two routers on one address each would get a part of the datagrams.
-func free(addr netip.AddrPort) error {
+// checkAddrFree returns an error if a UDP address cannot be listened on. gnet's sockets share their port with other sockets
+// that allow this, so that two routers on one address would each receive a part of the datagrams without an error.
+func checkAddrFree(addr netip.AddrPort) error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return err
@@ -140,35 +140,37 @@
 	return conn.Close()
 }
 
-// quiet passes gnet's errors on and nothing else.
+// quiet is a logger for gnet that drops debug and info lines.
 type quiet struct{ *zap.SugaredLogger }
 
 func (q quiet) Debugf(string, ...any) {}
 func (q quiet) Infof(string, ...any)  {}
 
-func (s *Server) source() registry.Source {
+// listSource returns the configured source of the exchange list.
+func (s *Server) listSource() registry.Source {
 	if s.set.List.File != "" {
 		return registry.FileSource{Path: s.set.List.File}
 	}
 	return registry.DiscoveryClient{URL: s.set.List.DiscoveryURL, Service: s.set.List.Service, Wait: s.set.List.Wait}
 }
 
-// Addr is the socket's address.
+// Addr returns the address of the UDP socket.
 func (s *Server) Addr() netip.AddrPort { return s.addr }
 
-// Settings are those in force.
+// Settings returns the settings that the router was started with; a port of 0 is replaced by the actual one.
 func (s *Server) Settings() *config.Settings { return s.set }
 
+// now returns the time since the router's start, on the monotonic clock.
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// OnBoot takes a second descriptor of the socket, for sends that answer nothing and for batches, and sends the
-// first datagram, by which the loop gets to be known.
+// OnBoot duplicates the descriptor of the UDP socket, for batches and for datagrams that are not sent in response to one.
+// It sends the first datagram to the own socket, because gnet provides the event loop only in the callback for a datagram.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
 	s.engine = eng
 	fd, err := eng.DupListener("udp", s.set.Router.Listen.String())
 	if err != nil {
 		if err != nil {
-			s.failed = err
+			s.runErr = err
 		}
 		return gnet.Shutdown
 	}
@@ -176,7 +178,7 @@
 	sa, err := unix.Getsockname(fd)
 	own, ok := sa.(*unix.SockaddrInet4)
 	if err != nil || !ok {
-		s.failed = fmt.Errorf("the socket's address: %v", err)
+		s.runErr = fmt.Errorf("address of the UDP socket: %v", err)
 		return gnet.Shutdown
 	}
 	s.addr = netip.AddrPortFrom(netip.AddrFrom4(own.Addr), uint16(own.Port))
@@ -186,14 +188,14 @@
 	}
 	if err := unix.Sendto(fd, []byte{0}, 0, &to); err != nil {
 		if err != nil {
-			s.failed = err
+			s.runErr = err
 		}
 		return gnet.Shutdown
 	}
 	return gnet.None
 }
 
-// OnShutdown closes what OnBoot opened.
+// OnShutdown stops the timer and closes the descriptor that OnBoot opened.
 func (s *Server) OnShutdown(gnet.Engine) {
 	s.wake.stop()
 	if s.batch != nil {
@@ -201,14 +203,15 @@
 	}
 }
 
-// OnTraffic takes one datagram from gnet and all that wait behind it in batches, or what a connection brings.
+// OnTraffic processes received data: one datagram from gnet and those waiting behind it in batches, or the bytes received
+// on a TCP connection.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	if s.loop == nil {
 		s.loop = c.EventLoop()
 		close(s.ready)
 	}
-	if st, ok := c.Context().(*stream); ok {
-		return s.onStream(c, st)
+	if st, ok := c.Context().(*assocContext); ok {
+		return s.onAssociationData(c, st)
 	}
 	now := s.now()
 	if from, ok := c.RemoteAddr().(*net.UDPAddr); ok {
@@ -217,39 +220,41 @@
 			s.node.Receive(now, a, b)
 		}
 	}
-	for range rounds {
+	for range maxBatchRounds {
 		n := s.batch.receive(func(from iax2.Addr, b []byte) { s.node.Receive(now, from, b) })
 		s.flush(now)
-		if n < batch {
+		if n < batchSize {
 			break
 		}
 		now = s.now()
 	}
-	s.settle(now)
+	s.finishTurn(now)
 	return gnet.None
 }
 
-// fire is the timer's end; it runs beside the loop.
-func (s *Server) fire() {
-	// The error says that the loop has ended: then there is nothing to do.
+// onTimer is called on the timer's goroutine and makes the event loop process what is due.
+func (s *Server) onTimer() {
+	// Execute fails only after the event loop has ended.
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		s.wake.rang()
-		s.settle(s.now())
+		s.finishTurn(s.now())
 		return nil
 	}))
 }
 
-// settle does what is due, sends what is to go and sets the timer.
-func (s *Server) settle(now time.Duration) {
+// finishTurn ends a turn of the event loop: it processes what is due, sends pending output, stores records and sets the
+// timer.
+func (s *Server) finishTurn(now time.Duration) {
 	if at, ok := s.node.Next(); ok && at <= now {
 		s.node.Advance(now)
 	}
 	s.flush(now)
-	s.takeRecords(now)
+	s.processRecords(now)
 	at, ok := s.node.Next()
 	s.wake.want(now, at, ok)
 }
 
+// flush sends the node's pending output.
 func (s *Server) flush(now time.Duration) {
 	s.node.Flush(now)
 	out := &s.node.IAX().Out
@@ -257,10 +262,10 @@
 		s.metrics.dropped += uint64(s.batch.send(out))
 		out.Reset()
 	}
-	s.flushStreams()
+	s.flushAssociations()
 }
 
-// Do runs f on the loop and waits for it.
+// Do runs f on the event loop and waits for it. It fails if the router has stopped or f does not run within doWait.
 func (s *Server) Do(f func(n *node.Node, now time.Duration)) error {
 	if s.stopped.Load() {
 		return ErrStopped
@@ -269,7 +274,7 @@
 	err := s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		now := s.now()
 		f(s.node, now)
-		s.settle(now)
+		s.finishTurn(now)
 		close(ran)
 		return nil
 	}))
@@ -284,28 +289,29 @@
 	case <-s.done:
 		return ErrStopped
 	case <-limit.C:
-		return fmt.Errorf("runtime: the loop did nothing for %v", doWait)
+		return fmt.Errorf("runtime: event loop did not respond within %v", doWait)
 	}
 }
 
-// SetList hands a new exchange list to the node.
+// SetList passes a new exchange list to the node. After the router's end it does nothing.
 func (s *Server) SetList(l registry.List) {
 	wall := time.Now()
 	err := s.Do(func(n *node.Node, now time.Duration) {
 		n.SetList(now, wall, l)
-		s.listed.Store(int64(max(1, now)))
+		s.listReceivedAt.Store(int64(max(1, now)))
 	})
 	if err == nil {
-		s.log.Info("exchange list told", zap.Uint64("index", l.Index), zap.Int("exchanges", len(l.Entries)))
+		s.log.Info("exchange list updated", zap.Uint64("index", l.Index), zap.Int("exchanges", len(l.Entries)))
 	}
 }
 
-func (s *Server) listFault(err error) {
-	s.metrics.listFaults.Inc()
-	s.log.Warn("exchange list", zap.Error(err))
+// onListError counts and logs an error of the list's source, which retries.
+func (s *Server) onListError(err error) {
+	s.metrics.listErrors.Inc()
+	s.log.Warn("exchange list not updated; keeping the last one", zap.Error(err))
 }
 
-// Reload takes new settings over for calls that come from now on.
+// Reload applies the dial plan, group sizes and call limit of new settings to calls from now on.
 func (s *Server) Reload(next *config.Settings) error {
 	if err := s.set.CheckReload(next); err != nil {
 		return err
@@ -316,7 +322,7 @@
 	})
 }
 
-// Drain refuses new calls, keeps standing ones up to the settings' limit or until ctx ends, then stops.
+// Drain rejects new calls, waits for standing ones until router.drain_limit has passed or ctx ends, then stops the router.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	if err := s.Do(func(n *node.Node, _ time.Duration) { n.Core.Close() }); err != nil {
@@ -325,8 +331,8 @@
 	s.log.Info("draining", zap.Duration("limit", s.set.Router.DrainLimit))
 	limit := time.NewTimer(s.set.Router.DrainLimit)
 	defer limit.Stop()
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(50 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		open := 0
 		if err := s.Do(func(n *node.Node, _ time.Duration) { open = n.Core.OpenCalls() + n.Core.Legs() }); err != nil {
@@ -337,34 +343,36 @@
 		}
 		select {
 		case <-limit.C:
-			s.log.Warn("drain limit reached", zap.Int("left", open))
+			s.log.Warn("drain limit reached; stopping with calls open", zap.Int("left", open))
 			return s.Stop()
 		case <-ctx.Done():
 			return s.Stop()
-		case <-look.C:
+		case <-poll.C:
 		}
 	}
 }
 
-// Stop ends the router at once; what it held is lost to it. Its records are written out; calls that stood are closed
-// at the next start.
-func (s *Server) Stop() error { return s.end(false) }
+// Stop ends the router at once without releasing its calls. Waiting records are written; standing calls are closed in the
+// records at the next start.
+func (s *Server) Stop() error { return s.shutdown(false) }
 
-// Kill ends the router as a kill of its process would, records that wait included.
-func (s *Server) Kill() error { return s.end(true) }
+// Kill ends the router as a kill of its process would: waiting records are lost.
+func (s *Server) Kill() error { return s.shutdown(true) }
 
+// closeRecords closes the record store; drop discards waiting records.
 func (s *Server) closeRecords(drop bool) error {
 	switch {
-	case s.keep == nil:
+	case s.recorder == nil:
 		return nil
 	case drop:
-		s.keep.rec.Abort()
+		s.recorder.rec.Abort()
 		return nil
 	}
-	return s.keep.rec.Close()
+	return s.recorder.rec.Close()
 }
 
-func (s *Server) end(drop bool) error {
+// shutdown stops the event loop and all goroutines, then closes the record store.
+func (s *Server) shutdown(drop bool) error {
 	if s.cancel != nil {
 		s.cancel()
 	}
@@ -372,13 +380,13 @@
 	defer cancel()
 	err := s.engine.Stop(ctx)
 	<-s.done
-	s.side.Wait()
-	s.ended.Do(func() { err = errors.Join(err, s.closeRecords(drop)) })
+	s.background.Wait()
+	s.closeRecordsOnce.Do(func() { err = errors.Join(err, s.closeRecords(drop)) })
 	return err
 }
 
-// Wait returns when the router has ended.
+// Wait waits for the router's end and returns the error that ended its event loop, if any.
 func (s *Server) Wait() error {
 	<-s.done
-	return s.failed
+	return s.runErr
 }
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -23,12 +23,12 @@
 	"pipitring/internal/registry"
 )
 
-// gnet starts a pool of workers at its import, which stays.
+// gnet starts a pool of workers when it is imported, which never ends.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreCurrent(), goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*goWorker).run.func1"))
 }
 
-// settings of a router at exchange 0 with a group to 1; the list is in a file.
+// settings returns the settings of a router at exchange 0 with a group to exchange 1 and the list in a file.
 func settings(t *testing.T, list string, extra string) *config.Settings {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "exchanges.toml")
@@ -68,7 +68,7 @@
 	return set
 }
 
-// peer is a plain socket with an endpoint: a caller, or the far exchange.
+// peer is an IAX2 endpoint on a UDP socket: a caller, or the neighbour exchange.
 type peer struct {
 	t    *testing.T
 	conn *net.UDPConn
@@ -99,7 +99,7 @@
 	p.ep.Out.Reset()
 }
 
-// until plays until an event of the kind comes; the limit only bounds a failure.
+// until processes datagrams and timers until an event of a kind occurs, and fails after 20 s.
 func (p *peer) until(k iax2.Kind) iax2.Event {
 	p.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
@@ -120,7 +120,7 @@
 		}
 		p.ep.Advance(time.Since(p.at))
 	}
-	p.t.Fatalf("no event %d in 20 s", k)
+	p.t.Fatalf("no event %d within 20 s", k)
 	return iax2.Event{}
 }
 
@@ -141,9 +141,9 @@
 // told waits until the router has a list.
 func told(t *testing.T, s *Server) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); s.listed.Load() == 0; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(20 * time.Second); s.listReceivedAt.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("no list came")
+			t.Fatal("no list within 20 s")
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	}
 }
 
-// SIGTERM's way: new calls are refused, a standing one is kept until its end, then the router stops.
+// Drain, as on SIGTERM, must reject new calls, wait for the end of a standing one and then stop the router.
 func TestDrain(t *testing.T) {
 	far, caller := newPeer(t), newPeer(t)
 	s := start(t, settings(t, listOf(far.addr()), ""))
@@ -208,7 +208,7 @@
 	}
 	select {
 	case <-ended:
-		t.Fatal("stopped under a standing call")
+		t.Fatal("stopped during a standing call")
 	default:
 	}
 	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
@@ -270,11 +270,11 @@
 	}
 	next.Router.Exchange = 5
 	if s.Reload(next) == nil {
-		t.Error("another exchange was taken over")
+		t.Error("a change of the exchange was accepted")
 	}
 }
 
-func TestStartReportsWhatIsWrong(t *testing.T) {
+func TestStartOnAddressInUse(t *testing.T) {
 	first := start(t, settings(t, "", ""))
 	set := settings(t, "", "")
 	set.Router.Listen = first.Addr()
@@ -284,8 +284,8 @@
 	}
 }
 
-// After Stop nothing is done any more, and says so.
-func TestStopped(t *testing.T) {
+// After Stop, Do must return an error, and SetList must return.
+func TestDoAfterStop(t *testing.T) {
 	s, err := Start(settings(t, "", ""), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -294,7 +294,7 @@
 		t.Error(err)
 	}
 	if err := s.Do(func(*node.Node, time.Duration) {}); err == nil {
-		t.Error("the loop of a stopped router did something")
+		t.Error("Do on a stopped router returned no error")
 	}
 	s.SetList(registry.List{Entries: []registry.Entry{{ID: "x", Phase: decide.Ready}}})
 }
--- a/internal/runtime/waker.go
+++ b/internal/runtime/waker.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// waker is the timer of an event loop that owns a state machine: it rings once, at the earliest time asked for.
+// waker is the timer of an event loop that owns a state machine: it fires once, at the earliest time requested.
 type waker struct {
 	timer *time.Timer
-	at    time.Duration // 0 is not set
+	dueAt time.Duration // 0 if the timer is not set
 }
 
-// newWaker returns a waker that is not set; ring runs beside the loop and has it call rang.
-func newWaker(ring func()) waker {
-	w := waker{timer: time.AfterFunc(time.Hour, ring)}
+// newWaker returns a waker that is not set. When it fires, it calls onFire on another goroutine, which has to make the
+// event loop call rang.
+func newWaker(onFire func()) waker {
+	w := waker{timer: time.AfterFunc(time.Hour, onFire)}
 	w.timer.Stop()
 	return w
 }
 
-// rang takes in that the timer has rung.
-func (w *waker) rang() { w.at = 0 }
+// rang records that the timer has fired, so that the next want sets it again.
+func (w *waker) rang() { w.dueAt = 0 }
 
-// want asks for a ring at a time, unless an earlier one is due. ok is false where there is nothing to ring for.
+// want sets the timer to a time at least minTimerDelay after now, unless an earlier one is set. If ok is false, it does
+// nothing.
 func (w *waker) want(now, at time.Duration, ok bool) {
-	at = max(at, now+timerGrain)
-	if ok && (w.at == 0 || at < w.at) {
-		w.at = at
+	at = max(at, now+minTimerDelay)
+	if ok && (w.dueAt == 0 || at < w.dueAt) {
+		w.dueAt = at
 		w.timer.Reset(at - now)
 	}
 }
 
+// stop cancels the timer.
 func (w *waker) stop() { w.timer.Stop() }
