--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -1,5 +1,5 @@
-// Package crashfs is a file system in memory on which every change of the disk is a point at which something can be
-// done: the power cut, the disk full, an error. It is what storage is tested on.
+// Package crashfs is an in-memory file system for tests of storage. It calls a hook before every change of the disk, where
+// a test can simulate a power cut, a full disk or an I/O error.
 package crashfs
 
 import (
@@ -11,44 +11,44 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Point is one change of the disk that is about to be made.
+// Point is a change of the disk that is about to be made.
 type Point struct {
-	N    uint64 // from 1
-	Op   string // create, write, sync, rename, remove, link, mkdir
+	N    uint64 // sequence number, from 1
+	Op   string // one of create, write, sync, rename, remove, link, mkdir
 	Name string
 }
 
-// FS counts the points and calls a hook at each. An error of the hook is the operation's.
+// FS counts changes and calls a hook before each. If the hook returns an error, the operation fails with it.
 type FS struct {
 	vfs.FS
-	mem  *vfs.MemFS
-	n    atomic.Uint64
-	mu   sync.RWMutex
-	hook func(Point) error
+	mem     *vfs.MemFS
+	changes atomic.Uint64
+	mu      sync.RWMutex
+	hook    func(Point) error
 }
 
-// New returns an empty disk.
-func New() *FS { return over(vfs.NewCrashableMem()) }
+// New returns an empty file system.
+func New() *FS { return wrap(vfs.NewCrashableMem()) }
 
-func over(mem *vfs.MemFS) *FS { return &FS{FS: mem, mem: mem} }
+func wrap(mem *vfs.MemFS) *FS { return &FS{FS: mem, mem: mem} }
 
-// SetHook sets what is called at each point, on the goroutine that makes the change; nil is nothing.
+// SetHook sets the function that is called before each change, on the goroutine that makes it; nil removes it.
 func (f *FS) SetHook(h func(Point) error) {
 	f.mu.Lock()
 	f.hook = h
 	f.mu.Unlock()
 }
 
-// Points is how many there were.
-func (f *FS) Points() uint64 { return f.n.Load() }
+// Points returns the number of changes so far, including those that the hook failed.
+func (f *FS) Points() uint64 { return f.changes.Load() }
 
-// Crash returns the disk as a power cut now would leave it: what was synced, and of the rest each part with a
-// chance of percent in 100.
+// Crash returns a copy of the disk as a power cut now could leave it: all synced data, and each part of the unsynced data
+// with a probability of percent in 100. The choice is determined by seed.
 func (f *FS) Crash(percent int, seed uint64) *FS {
-	return over(f.mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rand.New(rand.NewPCG(seed, 5))}))
+	return wrap(f.mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rand.New(rand.NewPCG(seed, 5))}))
 }
 
-// FlipBit changes one bit of a file.
+// FlipBit inverts one bit of a file; bit is taken modulo the file's size in bits.
 func (f *FS) FlipBit(name string, bit int64) error {
 	b, err := f.mem.UnsafeGetFileDataBuffer(name)
 	if err != nil {
@@ -61,8 +61,9 @@
 	return nil
 }
 
-func (f *FS) at(op, name string) error {
-	p := Point{f.n.Add(1), op, name}
+// beforeChange counts a change and calls the hook.
+func (f *FS) beforeChange(op, name string) error {
+	p := Point{f.changes.Add(1), op, name}
 	f.mu.RLock()
 	h := f.hook
 	f.mu.RUnlock()
@@ -72,89 +73,91 @@
 	return h(p)
 }
 
-// Unwrap is the file system below.
+// Unwrap returns the underlying file system.
 func (f *FS) Unwrap() vfs.FS { return f.mem }
 
-func (f *FS) file(name string, of vfs.File, err error) (vfs.File, error) {
+// wrapFile returns a file whose changes are counted.
+func (f *FS) wrapFile(name string, of vfs.File, err error) (vfs.File, error) {
 	if err != nil {
 		return nil, err
 	}
 	return &file{of, f, name}, nil
 }
 
-// Create is a point.
+// Create counts as a change.
 func (f *FS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	if err := f.at("create", name); err != nil {
+	if err := f.beforeChange("create", name); err != nil {
 		return nil, err
 	}
 	of, err := f.mem.Create(name, c)
-	return f.file(name, of, err)
+	return f.wrapFile(name, of, err)
 }
 
-// OpenReadWrite is a point.
+// OpenReadWrite counts as a change.
 func (f *FS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
-	if err := f.at("create", name); err != nil {
+	if err := f.beforeChange("create", name); err != nil {
 		return nil, err
 	}
 	of, err := f.mem.OpenReadWrite(name, c, o...)
-	return f.file(name, of, err)
+	return f.wrapFile(name, of, err)
 }
 
-// ReuseForWrite is a point.
+// ReuseForWrite counts as a change.
 func (f *FS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	if err := f.at("create", name); err != nil {
+	if err := f.beforeChange("create", name); err != nil {
 		return nil, err
 	}
 	of, err := f.mem.ReuseForWrite(old, name, c)
-	return f.file(name, of, err)
+	return f.wrapFile(name, of, err)
 }
 
-// OpenDir is no point; syncing what it returns is.
+// OpenDir does not count as a change; a sync of the returned directory does.
 func (f *FS) OpenDir(name string) (vfs.File, error) {
 	of, err := f.mem.OpenDir(name)
-	return f.file(name, of, err)
+	return f.wrapFile(name, of, err)
 }
 
-// Rename is a point.
+// Rename counts as a change.
 func (f *FS) Rename(old, name string) error {
-	if err := f.at("rename", name); err != nil {
+	if err := f.beforeChange("rename", name); err != nil {
 		return err
 	}
 	return f.mem.Rename(old, name)
 }
 
-// Remove is a point.
+// Remove counts as a change.
 func (f *FS) Remove(name string) error {
-	if err := f.at("remove", name); err != nil {
+	if err := f.beforeChange("remove", name); err != nil {
 		return err
 	}
 	return f.mem.Remove(name)
 }
 
-// RemoveAll is a point.
+// RemoveAll counts as a change.
 func (f *FS) RemoveAll(name string) error {
-	if err := f.at("remove", name); err != nil {
+	if err := f.beforeChange("remove", name); err != nil {
 		return err
 	}
 	return f.mem.RemoveAll(name)
 }
 
-// Link is a point.
+// Link counts as a change.
 func (f *FS) Link(old, name string) error {
-	if err := f.at("link", name); err != nil {
+	if err := f.beforeChange("link", name); err != nil {
 		return err
 	}
 	return f.mem.Link(old, name)
 }
 
-// MkdirAll is a point.
+// MkdirAll counts as a change.
 func (f *FS) MkdirAll(dir string, perm os.FileMode) error {
-	if err := f.at("mkdir", dir); err != nil {
+	if err := f.beforeChange("mkdir", dir); err != nil {
 		return err
 	}
 	return f.mem.MkdirAll(dir, perm)
 }
 
+// file is an open file or directory whose changes are counted.
 type file struct {
 	vfs.File
 	fs   *FS
@@ -162,21 +165,22 @@
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.fs.at("write", f.name); err != nil {
+	if err := f.fs.beforeChange("write", f.name); err != nil {
 		return 0, err
 	}
 	return f.File.Write(b)
 }
 
 func (f *file) WriteAt(b []byte, off int64) (int, error) {
-	if err := f.fs.at("write", f.name); err != nil {
+	if err := f.fs.beforeChange("write", f.name); err != nil {
 		return 0, err
 	}
 	return f.File.WriteAt(b, off)
 }
 
+// sync counts a sync as a change, then calls do.
 func (f *file) sync(do func() error) error {
-	if err := f.fs.at("sync", f.name); err != nil {
+	if err := f.fs.beforeChange("sync", f.name); err != nil {
 		return err
 	}
 	return do()
@@ -186,7 +190,7 @@
 func (f *file) SyncData() error { return f.sync(f.File.SyncData) }
 
 func (f *file) SyncTo(n int64) (bool, error) {
-	if err := f.fs.at("sync", f.name); err != nil {
+	if err := f.fs.beforeChange("sync", f.name); err != nil {
 		return false, err
 	}
 	return f.File.SyncTo(n)
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws what was measured, as SVG or PNG by the file's ending.
+// Package plots draws bar charts of measurements, as SVG or PNG depending on the file name's extension.
 package plots
 
 import (
@@ -12,25 +12,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Series is one set of bars.
+// Series is a named data series; Y holds one value per label.
 type Series struct {
 	Name string
 	Y    []float64
 }
 
-// colors tell series apart, also for readers who see red and green alike.
+// colors are the colours of series, distinguishable with colour-vision deficiency.
 var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 158, 115, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{213, 94, 0, 255}}
 
-// CheckFormat tells whether a file's ending is one that can be written.
+// CheckFormat returns an error if a file name's extension is not .svg or .png.
 func CheckFormat(file string) error {
 	switch strings.ToLower(filepath.Ext(file)) {
 	case ".svg", ".png":
 		return nil
 	}
-	return fmt.Errorf("%s: a plot is written as .svg or .png", file)
+	return fmt.Errorf("%s: unsupported plot format; the file name must end in .svg or .png", file)
 }
 
+// save writes a plot of 18 cm by 11 cm.
 func save(p *plot.Plot, file string) error {
 	if err := CheckFormat(file); err != nil {
 		return err
@@ -38,7 +39,7 @@
 	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// Bars draws groups of bars, one group a label.
+// Bars draws a bar chart with one group of bars per label and one bar per series in each group.
 func Bars(file, title, y string, labels []string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, y
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,5 +1,6 @@
-// Package records runs the call detail records of one router beside its event loop: the store, the ledger that decides
-// what is written, the exports and what is deleted after them. Nothing here makes the loop wait for the disk.
+// Package records stores and exports the call detail records of one router on goroutines beside its event loop: the store,
+// the ledger that decides what is written, the exports, and the deletion of exported records. The event loop never waits
+// for the disk.
 package records
 
 import (
@@ -17,96 +18,97 @@
 	"pipitring/internal/store"
 )
 
-// Version is the format of the store.
+// Version is the version of the store's format.
 const Version = 1
 
-// Schema is the form of the store.
+// Schema returns the schema of the store.
 func Schema() store.Schema { return store.Schema{Version: Version} }
 
-// OwnerName names a router in its store.
+// OwnerName returns the owner's name that is written into the store of a router.
 func OwnerName(router uint32) string { return fmt.Sprintf("pipitring router %d", router) }
 
-// ExportOptions set one export.
+// ExportOptions configures one export. Exactly one of Dir and URL is set.
 type ExportOptions struct {
 	cdr.ExportSettings
-	Dir       string // a directory, or:
-	URL       string // a receiver that speaks tus 1.0
-	Token     string
-	ChunkSize int           // bytes of one request
-	Timeout   time.Duration // of one request
+	Dir       string        // target directory
+	URL       string        // of a receiver that supports tus 1.0
+	Token     string        // bearer token for the receiver; empty for none
+	ChunkSize int           // bytes per request; 0 is unlimited
+	Timeout   time.Duration // per request
 }
 
-// Options set a Recorder.
+// Options configures a Recorder.
 type Options struct {
 	Dir               string
-	FS                vfs.FS // nil is the disk
+	FS                vfs.FS // nil: the disk
 	Router            uint32
 	Rater             cdr.Rater
 	Gate              store.GateSettings
-	MaxBatch          int
-	BatchDelay        time.Duration
-	HeartbeatInterval time.Duration // between marks that this life runs
-	FullRetryInterval time.Duration // between tries while the disk is full
+	MaxBatch          int           // items per commit
+	BatchDelay        time.Duration // delay before a commit, so that more items join it
+	HeartbeatInterval time.Duration // interval of heartbeats of this incarnation in the store
+	FullRetryInterval time.Duration // interval of write retries while the disk is full
 	MemTableSize      uint64        // see store.Options
 	Exports           []ExportOptions
-	Retention         time.Duration // records that every export has confirmed are kept for so long
-	DiskLimit         uint64        // over this the oldest confirmed go before; 0 is none
-	TrimInterval      time.Duration
-	OnDurable         func(ticket uint64) // told when what was submitted up to a ticket is durable; on the writer's goroutine
+	Retention         time.Duration       // retention of records that every export has confirmed
+	DiskLimit         uint64              // bytes above which confirmed records are deleted before their retention ends; 0 is no limit
+	TrimInterval      time.Duration       // interval of deletions; 0 is never
+	OnDurable         func(ticket uint64) // called on the writer's goroutine when items up to a ticket are durable
 	Log               func(level Level, text string, err error)
-	Now               func() time.Duration // monotonic; nil is since Open
+	Now               func() time.Duration // monotonic clock; nil: the time since Open
 	Wall              func() time.Time
 }
 
-// Level is how bad what is logged is.
+// Level is the severity of a log line.
 type Level uint8
 
-// Levels.
+// Severity levels.
 const (
-	Info Level = iota
-	Warn
-	Error
+	Info  Level = iota // normal operation
+	Warn               // a fault that is retried or has ended
+	Error              // a fault that needs the operator's attention
 )
 
-// Recorder keeps the records of one router.
+// Recorder stores and exports the call detail records of one router.
 type Recorder struct {
-	opt    Options
-	store  *store.Store
-	ledger *cdr.Ledger // the writer's, once that runs
-	writer *store.Writer[cdr.Item]
-	built  uint64        // the last number put into a batch; the writer's
-	last   atomic.Uint64 // the last number that is durable
-	closed int
-	took   time.Duration
-
-	mu      sync.Mutex
-	full    bool // what the disk last did, for when the writer did not run yet
-	failed  error
-	exports []ExportStatus
-	nudge   []chan struct{}
-	cancel  context.CancelFunc
-	side    sync.WaitGroup
+	opt            Options
+	store          *store.Store
+	ledger         *cdr.Ledger // used by the writer's goroutine only, once that runs
+	writer         *store.Writer[cdr.Item]
+	lastBuilt      uint64        // last record number put into a batch; used by the writer's goroutine only
+	lastDurable    atomic.Uint64 // last record number that is durable
+	recoveredCalls int
+	recoveryTime   time.Duration
+
+	mu           sync.Mutex
+	diskFull     bool // state of the disk, for a writer that is created later
+	diskErr      error
+	exports      []ExportStatus
+	flushSignals []chan struct{}
+	cancel       context.CancelFunc
+	background   sync.WaitGroup
 }
 
-// ExportStatus is how one export does.
+// ExportStatus is the state of one export.
 type ExportStatus struct {
 	Target        string
-	LastConfirmed uint64 // the last number that it has confirmed
-	Batches       uint64
-	Failures      uint64
-	Err           string // of the last try, if it failed
+	LastConfirmed uint64 // last record number that the target has confirmed
+	Batches       uint64 // batches planned so far
+	Failures      uint64 // failed attempts so far
+	Err           string // error of the last attempt; empty if it succeeded
 }
 
-const recoverBatch = 2000
+const recoverBatchSize = 2000 // calls closed per commit of the recovery
 
-// Open opens a router's records, closes the calls that stood when an earlier life was killed, and begins a new life.
+// Open opens a router's records, starts a new incarnation, and closes the calls that were standing when an earlier
+// incarnation was killed.
 func Open(o Options) (*Recorder, error) {
-	began := time.Now()
+	openedAt := time.Now()
 	if o.FS == nil {
 		o.FS = vfs.Default
 	}
 	if o.Now == nil {
-		o.Now = func() time.Duration { return time.Since(began) }
+		o.Now = func() time.Duration { return time.Since(openedAt) }
 	}
 	if o.Wall == nil {
 		o.Wall = time.Now
@@ -117,24 +119,24 @@
 	r := &Recorder{opt: o}
 	var err error
 	r.store, err = store.Open(store.Options{Dir: o.Dir, FS: o.FS, Owner: OwnerName(o.Router), Schema: Schema(), FullRetryInterval: o.FullRetryInterval,
-		MemTableSize: o.MemTableSize, OnDamage: func(text string) { o.Log(Error, "records: "+text, nil) }, OnFull: r.diskFull, OnFailure: r.diskFailed})
+		MemTableSize: o.MemTableSize, OnDamage: func(text string) { o.Log(Error, "records: "+text, nil) }, OnFull: r.onDiskFull, OnFailure: r.onDiskFailure})
 	if err != nil {
 		return nil, err
 	}
-	if err = r.begin(); err != nil {
+	if err = r.startIncarnation(); err != nil {
 		_ = r.store.Close()
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
-	r.took = o.Now()
-	r.last.Store(r.ledger.LastNumber())
-	r.built = r.ledger.LastNumber()
+	r.recoveryTime = o.Now()
+	r.lastDurable.Store(r.ledger.LastNumber())
+	r.lastBuilt = r.ledger.LastNumber()
 	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch), BatchDelay: o.BatchDelay,
-		Build: r.build, OnDurable: r.durable, OnIdle: r.idle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
+		Build: r.buildBatch, OnDurable: r.onDurable, OnIdle: r.onIdle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
 	r.mu.Lock()
 	r.writer = w
-	w.SetFull(r.full)
-	if r.failed != nil {
-		w.SetFailed(r.failed)
+	w.SetFull(r.diskFull)
+	if r.diskErr != nil {
+		w.SetFailed(r.diskErr)
 	}
 	r.mu.Unlock()
 	var ctx context.Context
@@ -146,8 +148,9 @@
 	return r, nil
 }
 
-// begin makes the new life durable, then closes what earlier ones left open. Each step may be repeated by a crash.
-func (r *Recorder) begin() (err error) {
+// startIncarnation makes the new incarnation durable, then closes the calls that earlier ones left open. A crash at any
+// step is safe, because every step can be repeated.
+func (r *Recorder) startIncarnation() (err error) {
 	if r.ledger, err = cdr.OpenLedger(r.store, r.opt.Router, r.opt.Rater); err != nil {
 		return err
 	}
@@ -158,8 +161,8 @@
 	}
 	for {
 		b := r.store.Batch()
-		n, err := r.ledger.Recover(b, recoverBatch, func(id cdr.ID, err error) {
-			r.opt.Log(Error, "mark of call "+id.String()+" cannot be read: its record holds its id alone", err)
+		n, err := r.ledger.Recover(b, recoverBatchSize, func(id cdr.ID, err error) {
+			r.opt.Log(Error, "open-call entry of call "+id.String()+" cannot be read: its record contains only its ID", err)
 		})
 		if err != nil {
 			return err
@@ -170,78 +173,85 @@
 		if err := r.store.Commit(b); err != nil {
 			return err
 		}
-		r.closed += n
+		r.recoveredCalls += n
 	}
-	// Only now: until the last is closed, its life was alive no longer than told before.
+	// The first heartbeat comes after the recovery, because the recovery uses the last heartbeat of the earlier
+	// incarnation as the time at which its calls were last known to stand.
 	b = r.store.Batch()
 	r.ledger.Heartbeat(b, r.opt.Wall())
 	return r.store.Commit(b)
 }
 
-func (r *Recorder) diskFull(full bool) {
+// onDiskFull passes on that the disk is full or has free space again.
+func (r *Recorder) onDiskFull(full bool) {
 	r.mu.Lock()
-	r.full = full
+	r.diskFull = full
 	if r.writer != nil {
 		r.writer.SetFull(full)
 	}
 	r.mu.Unlock()
 	if full {
-		r.opt.Log(Error, "records: the disk is full", nil)
+		r.opt.Log(Error, "records: disk full; writes are retried until there is free space", nil)
 	} else {
-		r.opt.Log(Warn, "records: the disk has room again", nil)
+		r.opt.Log(Warn, "records: disk has free space again", nil)
 	}
 }
 
-func (r *Recorder) diskFailed(err error) {
+// onDiskFailure passes on that the disk has failed for good.
+func (r *Recorder) onDiskFailure(err error) {
 	r.mu.Lock()
-	r.failed = err
+	r.diskErr = err
 	if r.writer != nil {
 		r.writer.SetFailed(err)
 	}
 	r.mu.Unlock()
-	r.opt.Log(Error, "records: the disk has failed: nothing is kept until a restart", err)
+	r.opt.Log(Error, "records: disk failed; no records are stored until a restart", err)
 }
 
-func (r *Recorder) build(b *store.Batch, items []cdr.Item) error {
+// buildBatch writes items into a batch; it runs on the writer's goroutine.
+func (r *Recorder) buildBatch(b *store.Batch, items []cdr.Item) error {
 	r.ledger.Put(b, items)
-	r.built = r.ledger.LastNumber()
+	r.lastBuilt = r.ledger.LastNumber()
 	return nil
 }
 
-func (r *Recorder) idle(b *store.Batch) { r.ledger.Heartbeat(b, r.opt.Wall()) }
+// onIdle writes a heartbeat into a batch; it runs on the writer's goroutine.
+func (r *Recorder) onIdle(b *store.Batch) { r.ledger.Heartbeat(b, r.opt.Wall()) }
 
-func (r *Recorder) durable(upTo uint64) {
-	r.last.Store(r.built)
+// onDurable handles a commit; it runs on the writer's goroutine.
+func (r *Recorder) onDurable(upTo uint64) {
+	r.lastDurable.Store(r.lastBuilt)
 	if r.opt.OnDurable != nil {
 		r.opt.OnDurable(upTo)
 	}
 }
 
-// ID names the how-manieth call of this life.
+// ID returns the ID of the call with a sequence number in this incarnation.
 func (r *Recorder) ID(call uint64) cdr.ID { return r.ledger.ID(call) }
 
-// Submit hands items over; it never waits. false: they are lost, and counted.
+// Submit queues items to be stored and returns the ticket of the last one; it never blocks. If ok is false, the items are
+// lost and counted as lost.
 func (r *Recorder) Submit(items ...cdr.Item) (ticket uint64, ok bool) {
 	return r.writer.Submit(items...)
 }
 
-// AddOverdue counts answers that went out before their record was durable.
+// AddOverdue counts n answers that were sent before their record was durable.
 func (r *Recorder) AddOverdue(n int) { r.writer.AddOverdue(n) }
 
-// Status is how the records do.
+// Status is the state of the records.
 type Status struct {
 	store.Status
-	Last           uint64 // number of the newest durable record
-	Incarnation    uint32
-	RecoveredCalls int           // calls closed by recovery at the start,
-	RecoveryTime   time.Duration // and how long that took, with opening the store
-	Bytes          uint64        // on disk
+	Last           uint64        // number of the newest durable record
+	Incarnation    uint32        // incarnation, from 1
+	RecoveredCalls int           // calls that the recovery closed at the start
+	RecoveryTime   time.Duration // duration of opening the store and of the recovery
+	Bytes          uint64        // size on disk; 0 after the disk has failed
 	Exports        []ExportStatus
 }
 
-// Status looks at the records.
+// Status returns the current state of the records.
 func (r *Recorder) Status() Status {
-	s := Status{Status: r.DiskStatus(), Last: r.last.Load(), Incarnation: r.ledger.Incarnation(), RecoveredCalls: r.closed, RecoveryTime: r.took}
+	s := Status{Status: r.DiskStatus(), Last: r.lastDurable.Load(), Incarnation: r.ledger.Incarnation(), RecoveredCalls: r.recoveredCalls, RecoveryTime: r.recoveryTime}
 	if s.State != store.Failed {
 		s.Bytes = r.store.Size()
 	}
@@ -251,33 +261,35 @@
 	return s
 }
 
-// DiskStatus is how the records' disk does: as Status, without its size, which costs more to tell.
+// DiskStatus returns the state of the writer and its disk. It is cheaper than Status, which also determines the size.
 func (r *Recorder) DiskStatus() store.Status { return r.writer.Status() }
 
-// Store reads what is kept.
+// Store returns the underlying store, for reading.
 func (r *Recorder) Store() *store.Store { return r.store }
 
-// Close writes what waits and ends.
+// Close writes the waiting items and closes the records.
 func (r *Recorder) Close() error {
-	r.stopSide()
+	r.stopBackground()
 	err := r.writer.Close()
 	return errors.Join(err, r.store.Close())
 }
 
-// Abort ends as a kill would: what waits is lost.
+// Abort closes the records as a kill of the process would: waiting items are lost.
 func (r *Recorder) Abort() {
-	r.stopSide()
+	r.stopBackground()
 	r.writer.Abort()
 	_ = r.store.Close()
 }
 
-func (r *Recorder) stopSide() {
+// stopBackground stops the exports and the deletion and waits for their end.
+func (r *Recorder) stopBackground() {
 	if r.cancel != nil {
 		r.cancel()
 	}
-	r.side.Wait()
+	r.background.Wait()
 }
 
+// startExports starts all exports whose targets can be opened, and the deletion of exported records.
 func (r *Recorder) startExports(ctx context.Context) error {
 	for i := range r.opt.Exports {
 		o := &r.opt.Exports[i]
@@ -287,24 +299,24 @@
 		}
 		t, err := OpenTarget(r.opt.FS, o)
 		if err != nil {
-			// The records go on without this export: they are kept until it can be had again.
-			r.opt.Log(Error, "export "+o.Target+" gives way", err)
+			// The router runs without this export. Its records are retained until its target can be opened at a later start.
+			r.opt.Log(Error, "export "+o.Target+" is disabled until a restart: its target cannot be opened", err)
 			r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(), Batches: e.BatchCount(), Err: err.Error()})
-			r.nudge = append(r.nudge, nil)
+			r.flushSignals = append(r.flushSignals, nil)
 			continue
 		}
 		r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(), Batches: e.BatchCount()})
-		wake := make(chan struct{}, 1)
-		r.nudge = append(r.nudge, wake)
-		r.side.Go(func() { r.export(ctx, i, e, t, wake) })
+		flush := make(chan struct{}, 1)
+		r.flushSignals = append(r.flushSignals, flush)
+		r.background.Go(func() { r.export(ctx, i, e, t, flush) })
 	}
 	if r.opt.TrimInterval > 0 && len(r.opt.Exports) > 0 {
-		r.side.Go(func() { r.trim(ctx) })
+		r.background.Go(func() { r.trim(ctx) })
 	}
 	return nil
 }
 
-// OpenTarget opens what an export goes to.
+// OpenTarget opens the target of an export: a tus receiver if URL is set, else a directory.
 func OpenTarget(fs vfs.FS, o *ExportOptions) (export.Target, error) {
 	if o.URL != "" {
 		return export.NewTus(o.URL, o.Token, o.ChunkSize, o.Timeout), nil
@@ -312,7 +324,8 @@
 	return export.OpenDirectory(fs, o.Dir)
 }
 
-// Commit makes a batch of changes durable, beside the writer's: they are of other keys.
+// Commit returns a function that commits batches for an export. It may run concurrently with the writer, which changes
+// other keys.
 func Commit(s *store.Store) export.Commit {
 	return func(build func(cdr.WriteBatch) error) error {
 		b := s.Batch()
@@ -323,8 +336,9 @@
 	}
 }
 
-// export sends batches until ctx ends.
-func (r *Recorder) export(ctx context.Context, i int, e *cdr.Export, t export.Target, wake chan struct{}) {
+// export sends batches of export i until ctx ends. A signal on flushSignal makes it send all records that there are,
+// however few.
+func (r *Recorder) export(ctx context.Context, i int, e *cdr.Export, t export.Target, flushSignal chan struct{}) {
 	defer func() { _ = t.Close() }()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -332,11 +346,11 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-wake:
+		case <-flushSignal:
 			flush = true
 		case <-timer.C:
 		}
-		sent, again, err := export.SendNext(ctx, e, t, r.last.Load(), flush, r.opt.Wall, Commit(r.store))
+		sent, nextAttempt, err := export.SendNext(ctx, e, t, r.lastDurable.Load(), flush, r.opt.Wall, Commit(r.store))
 		if ctx.Err() != nil {
 			return
 		}
@@ -351,25 +365,25 @@
 			r.opt.Log(Warn, "export "+st.Target, err)
 		}
 		flush = flush && sent
-		// A new record wakes nobody: who waits looks again after a second at the latest.
-		timer.Reset(min(max(again.Sub(r.opt.Wall()), time.Millisecond), time.Second))
+		// New records do not wake the export, so it checks for them at least once a second.
+		timer.Reset(min(max(nextAttempt.Sub(r.opt.Wall()), time.Millisecond), time.Second))
 		if sent || flush {
 			timer.Reset(0)
 		}
 	}
 }
 
-// Flush makes the exports send what there is now, however little.
+// Flush makes the exports send all records that there are now, however few.
 func (r *Recorder) Flush() {
-	for _, wake := range r.nudge {
+	for _, flush := range r.flushSignals {
 		select {
-		case wake <- struct{}{}:
+		case flush <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Confirmed is the last number that every export has confirmed.
+// Confirmed returns the last record number that every export has confirmed; 0 if there are no exports.
 func (r *Recorder) Confirmed() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -383,13 +397,14 @@
 	return least
 }
 
-const trimBatch = 1000
+const trimBatchSize = 1000 // records deleted per commit
 
-// trim deletes what every export has confirmed, when it is old enough or the disk limit asks for it.
+// trim periodically deletes records that every export has confirmed, once their retention has ended or while the store is
+// over the disk limit. It ends with ctx or at the first failure.
 func (r *Recorder) trim(ctx context.Context) {
 	tick := time.NewTicker(r.opt.TrimInterval)
 	defer tick.Stop()
-	over := false
+	overLimit := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -400,29 +415,30 @@
 		if limit := r.opt.DiskLimit; limit > 0 && r.store.Size() > limit {
 			before = r.opt.Wall()
 		}
-		n, err := r.trimOnce(before)
+		n, err := r.trimBefore(before)
 		if err != nil {
-			r.opt.Log(Error, "records: deleting what was exported", err)
+			r.opt.Log(Error, "records: deletion of exported records failed; no more are deleted until a restart", err)
 			return
 		}
 		if n > 0 {
 			err = r.store.Compact(cdr.RecordKey(0), cdr.RecordKey(r.Confirmed()+1))
 		}
 		if err != nil {
-			r.opt.Log(Warn, "records: making room", err)
+			r.opt.Log(Warn, "records: compaction after the deletion failed", err)
 		}
-		if was := over; r.opt.DiskLimit > 0 {
-			if over = r.store.Size() > r.opt.DiskLimit; over && !was {
-				r.opt.Log(Error, "records: over the disk limit, and nothing more that every export has confirmed", nil)
+		if wasOver := overLimit; r.opt.DiskLimit > 0 {
+			if overLimit = r.store.Size() > r.opt.DiskLimit; overLimit && !wasOver {
+				r.opt.Log(Error, "records: store is over records.disk_limit, but no more records are confirmed by every export", nil)
 			}
 		}
 	}
 }
 
-func (r *Recorder) trimOnce(before time.Time) (total int, err error) {
+// trimBefore deletes the confirmed records that ended before a time, and returns their number.
+func (r *Recorder) trimBefore(before time.Time) (total int, err error) {
 	for {
 		b := r.store.Batch()
-		n, err := cdr.Trim(r.store, b, r.Confirmed(), before, trimBatch)
+		n, err := cdr.Trim(r.store, b, r.Confirmed(), before, trimBatchSize)
 		if err != nil {
 			return total, err
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -22,8 +22,8 @@
 
 var day = time.Date(2026, 12, 1, 14, 0, 0, 0, time.UTC)
 
-// bed is a recorder whose wall clock the test sets.
-type bed struct {
+// harness is a recorder whose wall clock the test sets.
+type harness struct {
 	t    *testing.T
 	opt  Options
 	rec  *Recorder
@@ -33,8 +33,8 @@
 	more chan struct{}
 }
 
-func newBed(t *testing.T, fs vfs.FS) *bed {
-	b := &bed{t: t, wall: day, more: make(chan struct{}, 1)}
+func newHarness(t *testing.T, fs vfs.FS) *harness {
+	b := &harness{t: t, wall: day, more: make(chan struct{}, 1)}
 	b.opt = Options{Dir: "records", FS: fs, Router: 3, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20}, MaxBatch: 64,
 		HeartbeatInterval: time.Hour, FullRetryInterval: time.Millisecond, OnDurable: func(upTo uint64) {
 			b.mu.Lock()
@@ -52,13 +52,13 @@
 	return b
 }
 
-func (b *bed) set(wall time.Time) {
+func (b *harness) set(wall time.Time) {
 	b.mu.Lock()
 	b.wall = wall
 	b.mu.Unlock()
 }
 
-func (b *bed) open() {
+func (b *harness) open() {
 	b.t.Helper()
 	b.done = 0
 	var err error
@@ -67,11 +67,11 @@
 	}
 }
 
-func (b *bed) put(items ...cdr.Item) {
+func (b *harness) put(items ...cdr.Item) {
 	b.t.Helper()
 	ticket, ok := b.rec.Submit(items...)
 	if !ok {
-		b.t.Fatal("not taken")
+		b.t.Fatal("not accepted")
 	}
 	for limit := time.Now().Add(20 * time.Second); ; {
 		b.mu.Lock()
@@ -83,17 +83,17 @@
 		select {
 		case <-b.more:
 		case <-time.After(time.Until(limit)):
-			b.t.Fatal("not durable in 20 s")
+			b.t.Fatal("not durable within 20 s")
 		}
 	}
 }
 
-func (b *bed) record(call uint64, end cdr.End, answered time.Time) cdr.Record {
+func (b *harness) record(call uint64, end cdr.End, answered time.Time) cdr.Record {
 	return cdr.Record{ID: b.rec.ID(call), End: end, Class: "status", Called: fmt.Sprint("1", call), Calling: fmt.Sprint("9", call), Origin: -1,
 		Dest: 1, Width: 1, Offered: day, Answered: answered, Ended: day.Add(time.Minute)}
 }
 
-func (b *bed) audit() *cdr.Audit {
+func (b *harness) audit() *cdr.Audit {
 	b.t.Helper()
 	a, err := cdr.Verify(b.rec.Store())
 	if err != nil {
@@ -102,7 +102,7 @@
 	return a
 }
 
-func (b *bed) versions(id cdr.ID) []*cdr.Record {
+func (b *harness) versions(id cdr.ID) []*cdr.Record {
 	b.t.Helper()
 	all, err := cdr.Versions(b.rec.Store(), id)
 	if err != nil {
@@ -111,11 +111,11 @@
 	return all
 }
 
-// Calls that stood when their router was killed are closed once, with when they were last seen; those that ended are
-// left alone. A clock set back between the lives makes no length negative.
-func TestKilledWhileCallsStand(t *testing.T) {
+// Calls that were standing when their router was killed are closed exactly once, at the time they were last seen; calls that
+// had ended are not changed. A wall clock that is set back between the incarnations must not make a duration negative.
+func TestRecoveryAfterKill(t *testing.T) {
 	for _, back := range []time.Duration{0, -2 * time.Hour} {
-		b := newBed(t, crashfs.New())
+		b := newHarness(t, crashfs.New())
 		b.open()
 		stood, ended := b.rec.ID(1), b.rec.ID(2)
 		b.put(cdr.Item{Open: true, Record: b.record(1, 0, day)}, cdr.Item{Open: true, Record: b.record(2, 0, day)},
@@ -136,7 +136,7 @@
 		b.rec.Abort()
 		b.open()
 		if a := b.audit(); !a.Good() || a.Records != 2 || a.Open != 0 || b.rec.Status().RecoveredCalls != 0 {
-			t.Errorf("after one more life: %+v", a)
+			t.Errorf("after one more incarnation: %+v", a)
 		}
 		if err := b.rec.Close(); err != nil {
 			t.Error(err)
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestRatedAgain(t *testing.T) {
+func TestRerate(t *testing.T) {
 	price := func(s string) *cdr.Tariffs {
 		p, err := cdr.ParseAmount(s)
 		if err != nil {
@@ -152,7 +152,7 @@
 		}
 		return &cdr.Tariffs{Currency: "AUD", Places: 2, Zone: time.UTC, List: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
 	}
-	b := newBed(t, crashfs.New())
+	b := newHarness(t, crashfs.New())
 	b.opt.Rater = price("1")
 	b.open()
 	b.put(cdr.Item{Record: b.record(1, cdr.Answered, day)})
@@ -160,7 +160,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the second changes nothing
+	for range 2 { // the second rating changes nothing
 		batch := b.rec.Store().Batch()
 		if _, err := l.Rerate(batch, b.rec.ID(1), price("2")); err != nil {
 			t.Fatal(err)
@@ -174,42 +174,43 @@
 		t.Errorf("%+v", got)
 	}
 	if _, err := l.Rerate(b.rec.Store().Batch(), cdr.ID{Router: 9}, price("2")); err == nil {
-		t.Error("a call without a record was rated again")
+		t.Error("a call without a record was rerated")
 	}
 	if err := b.rec.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// step runs one step of an export of a recorder that runs no exports of its own.
-func (b *bed) step(e *cdr.Export, target export.Target) (bool, error) {
+// step runs one step of an export for a recorder that has no exports configured.
+func (b *harness) step(e *cdr.Export, target export.Target) (bool, error) {
 	sent, _, err := export.SendNext(b.t.Context(), e, target, b.rec.Status().Last, true, func() time.Time { return day }, Commit(b.rec.Store()))
 	return sent, err
 }
 
-func (b *bed) exportSettings(f cdr.Format) cdr.ExportSettings {
+func (b *harness) exportSettings(f cdr.Format) cdr.ExportSettings {
 	return cdr.ExportSettings{Target: "out", Router: 3, Format: f, MaxRecords: 10, MinRecords: 1, KeepBatches: 100}
 }
 
-// A receiver that cuts off, loses answers, repeats, refuses, forgets and restarts gets each batch once, under one number.
-func TestTusThroughFaults(t *testing.T) {
+// A receiver that aborts uploads, loses responses, rejects requests or loses its uploads must get each batch once, under one
+// number, even if the exporter is killed between attempts.
+func TestTusExportWithFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.ReceiverFaults
-		forget bool // the receiver loses its uploads before the next try
-		again  int  // how often a batch may come complete once more: only where the receiver itself forgot it
+		forget bool // the receiver loses its uploads before the next attempt
+		again  int  // repeated complete batches that are allowed, as the receiver itself lost them
 	}{
 		{"none", standin.ReceiverFaults{}, false, 0},
-		{"cut off at the start", standin.ReceiverFaults{Cuts: 3, CutAfter: 0}, false, 0},
-		{"cut off in the middle", standin.ReceiverFaults{Cuts: 3, CutAfter: 700}, false, 0},
+		{"aborted at the start", standin.ReceiverFaults{Cuts: 3, CutAfter: 0}, false, 0},
+		{"aborted in the middle", standin.ReceiverFaults{Cuts: 3, CutAfter: 700}, false, 0},
 		{"confirmation lost", standin.ReceiverFaults{LoseAnswers: 2}, false, 0},
-		{"making it lost", standin.ReceiverFaults{LoseCreated: 1}, false, 0},
-		{"refused for a while", standin.ReceiverFaults{Refuse: 9}, false, 0},
-		{"cut off and forgotten", standin.ReceiverFaults{Cuts: 9, CutAfter: 300}, true, 0},
-		{"taken, its confirmation lost, and forgotten", standin.ReceiverFaults{LoseAnswers: 1, Refuse: 0}, true, 1},
+		{"response to the creation lost", standin.ReceiverFaults{LoseCreated: 1}, false, 0},
+		{"rejected for a while", standin.ReceiverFaults{Refuse: 9}, false, 0},
+		{"aborted, and uploads lost", standin.ReceiverFaults{Cuts: 9, CutAfter: 300}, true, 0},
+		{"accepted, its confirmation and uploads lost", standin.ReceiverFaults{LoseAnswers: 1, Refuse: 0}, true, 1},
 	} {
 		for _, format := range []cdr.Format{cdr.CSV, cdr.Parquet} {
-			b := newBed(t, crashfs.New())
+			b := newHarness(t, crashfs.New())
 			b.open()
 			for call := range uint64(25) {
 				b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
@@ -226,12 +227,12 @@
 			r.Set(c.faults)
 			for tries := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; tries++ {
 				if tries > 60 {
-					t.Fatalf("%s: not through after 60 tries: %d batches, done %d", c.name, e.BatchCount(), e.LastConfirmed())
+					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name, e.BatchCount(), e.LastConfirmed())
 				}
 				if _, err := b.step(e, tus); err != nil && c.forget {
 					r.DropUploads()
 				}
-				if tries%2 == 1 { // the exporter is killed between any two tries
+				if tries%2 == 1 { // the exporter is killed after every second attempt
 					if e, err = cdr.OpenExport(b.rec.Store(), b.exportSettings(format)); err != nil {
 						t.Fatal(err)
 					}
@@ -239,7 +240,7 @@
 			}
 			got, again, bad := r.Batches()
 			if len(got) != 3 || again > c.again || len(bad) > 0 {
-				t.Errorf("%s, %s: %d batches, %d came again, %v", c.name, format, len(got), again, bad)
+				t.Errorf("%s, %s: %d batches, %d repeated, %v", c.name, format, len(got), again, bad)
 			}
 			ids := map[string]bool{}
 			for key, batch := range got {
@@ -249,13 +250,13 @@
 				}
 				for _, id := range list {
 					if ids[id] {
-						t.Errorf("%s: %s comes twice", c.name, id)
+						t.Errorf("%s: record %s is exported twice", c.name, id)
 					}
 					ids[id] = true
 				}
 			}
 			if len(ids) != 25 {
-				t.Errorf("%s: %d of 25 records", c.name, len(ids))
+				t.Errorf("%s: %d of 25 records exported", c.name, len(ids))
 			}
 			r.Close()
 			tus.Client.CloseIdleConnections()
@@ -266,14 +267,15 @@
 	}
 }
 
-// Of two exporters to one directory the second gives way, and says so; when the first has gone it has its turn.
+// Of two exporters to one directory, the second must report the conflict and export nothing; once the first has closed, it
+// can export after a restart.
 func TestTwoExporters(t *testing.T) {
 	fs := crashfs.New()
 	first, err := export.OpenDirectory(fs, "out")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBed(t, fs)
+	b := newHarness(t, fs)
 	b.opt.Exports = []ExportOptions{{ExportSettings: b.exportSettings(cdr.CSV), Dir: "out"}}
 	b.open()
 	if st := b.rec.Status(); len(st.Exports) != 1 || !strings.Contains(st.Exports[0].Err, export.ErrLocked.Error()) {
@@ -287,7 +289,7 @@
 	b.rec.Flush()
 	for limit := time.Now().Add(20 * time.Second); b.rec.Confirmed() < 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("not exported in 20 s: %+v", b.rec.Status().Exports)
+			t.Fatalf("not exported within 20 s: %+v", b.rec.Status().Exports)
 		}
 	}
 	a := b.audit()
@@ -299,9 +301,9 @@
 	}
 }
 
-// What every export has confirmed is deleted when it is old, and nothing else.
+// Only records that every export has confirmed are deleted, and only once they are old enough.
 func TestTrim(t *testing.T) {
-	b := newBed(t, crashfs.New())
+	b := newHarness(t, crashfs.New())
 	b.open()
 	for call := range uint64(30) {
 		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
@@ -309,7 +311,7 @@
 	for _, c := range []struct {
 		upTo   uint64
 		before time.Time
-		want   uint64 // the first that is left
+		want   uint64 // number of the first remaining record
 	}{{0, day.AddDate(1, 0, 0), 1}, {20, day, 1}, {20, day.Add(time.Hour), 21}, {20, day.Add(time.Hour), 21}, {30, day.Add(time.Hour), 31}} {
 		batch := b.rec.Store().Batch()
 		if _, err := cdr.Trim(b.rec.Store(), batch, c.upTo, c.before, 1000); err != nil {
@@ -323,7 +325,7 @@
 		}
 	}
 	b.rec.Abort()
-	b.open() // numbers go on where they were, though no record is left
+	b.open() // record numbers must continue, although no record is left
 	b.put(cdr.Item{Record: b.record(1, cdr.Refused, time.Time{})})
 	if a := b.audit(); a.First != 31 || a.Last != 31 || !a.Good() {
 		t.Errorf("after a restart: %+v", a)
@@ -333,11 +335,11 @@
 	}
 }
 
-// A bit flipped anywhere in any file, or a file cut short: never a record that was not written, never a wrong one. The
-// store opens or says that it is damaged; what it lost is reported as a gap or as damage.
-func TestFlippedBits(t *testing.T) {
+// A flipped bit in any file must never yield a record that was not written or a wrong one. The store either opens or reports
+// damage, and lost records are reported as a gap or as damage.
+func TestBitFlips(t *testing.T) {
 	fs := crashfs.New()
-	b := newBed(t, fs)
+	b := newHarness(t, fs)
 	b.opt.MemTableSize = 32 << 10
 	b.open()
 	const calls = 200
@@ -349,7 +351,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opened, refused, rescued := 0, 0, 0
+	opened, damaged, salvaged := 0, 0, 0
 	for _, name := range names {
 		info, err := fs.Stat(fs.PathJoin("records", name))
 		if err != nil || info.IsDir() || info.Size() == 0 {
@@ -360,29 +362,29 @@
 			if err := copied.FlipBit("records/"+name, k*info.Size()*8/24+k%8); err != nil {
 				t.Fatal(err)
 			}
-			told := ""
-			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(), OnDamage: func(text string) { told = text }})
+			damage := ""
+			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(), OnDamage: func(text string) { damage = text }})
 			if err != nil {
-				refused++
+				damaged++
 				continue
 			}
 			opened++
 			a, err := cdr.Verify(s)
-			if told != "" {
-				rescued++
-				// A chunk is gone, or two where the flip is in a length: not what lies behind.
+			if damage != "" {
+				salvaged++
+				// One chunk is lost, or two if the flip is in a length, but nothing behind them.
 				if a == nil || a.Records < calls-2 {
-					t.Errorf("%s, part %d: %s, and %+v is left", name, k, told, a)
+					t.Errorf("%s, part %d: %s; left: %+v", name, k, damage, a)
 				}
 			}
-			// The last chunk of the log cannot be told from one that a crash has torn.
+			// The last chunk of the log cannot be distinguished from one that a crash left incomplete.
 			if err == nil && a.Good() && a.Records < calls-1 {
-				t.Errorf("%s, part %d: %d of %d records, and nothing is said", name, k, a.Records, calls)
+				t.Errorf("%s, part %d: %d of %d records left without a report of damage", name, k, a.Records, calls)
 			}
 			all := cdr.Filter{}
 			err = all.Each(s, func(uint64, error) {}, func(n uint64, r *cdr.Record) error {
 				if r.ID.Call != n || r.Called != fmt.Sprint("1", n) {
-					t.Errorf("%s, part %d: number %d is %+v", name, k, n, r)
+					t.Errorf("%s, part %d: record number %d is %+v", name, k, n, r)
 				}
 				return nil
 			})
@@ -392,17 +394,17 @@
 			_ = s.Close()
 		}
 	}
-	if opened == 0 || refused == 0 || rescued == 0 {
-		t.Errorf("%d opened, %d of them gone round damage; %d refused", opened, rescued, refused)
+	if opened == 0 || damaged == 0 || salvaged == 0 {
+		t.Errorf("%d opened, %d of them salvaged; %d not opened", opened, salvaged, damaged)
 	}
 }
 
-// A log of many blocks without damage is read as it is: what fills up the end of a block is none.
-func TestLongLogIsWhole(t *testing.T) {
+// The padding at the ends of blocks in a long log must not be taken for damage.
+func TestLongLogWithoutDamage(t *testing.T) {
 	fs := crashfs.New()
-	b := newBed(t, fs)
+	b := newHarness(t, fs)
 	b.open()
-	for call := uint64(1); call <= 3000; call += 5 { // of all sizes, so that blocks end at every place
+	for call := uint64(1); call <= 3000; call += 5 { // records of many sizes, so that blocks end at many different offsets
 		var items []cdr.Item
 		for k := range uint64(5) {
 			r := b.record(call+k, cdr.Answered, day)
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -2,99 +2,101 @@
 
 import "time"
 
-// State is how the disk behind a Writer does.
+// State is the state of the disk behind a Writer.
 type State uint8
 
-// States, the worse ones later.
+// Disk states, in the order of severity.
 const (
-	Healthy State = iota
-	Slow          // the oldest that waits has waited too long, or too much waits
-	Full          // the disk has no room; what waits is written when it has
-	Failed        // the disk has failed: nothing is written until the program starts anew
+	Healthy State = iota // items are written in time
+	Slow                 // the oldest item has waited too long, or too many items wait
+	Full                 // the disk has no free space; waiting items are written once it has
+	Failed               // the disk has failed; nothing is written until the program restarts
 )
 
+// String returns the state's name, as in metrics and logs.
 func (s State) String() string { return [...]string{"healthy", "slow", "full", "failed"}[s] }
 
-// Policy is what is done with new calls while the disk is not healthy.
+// Policy is the treatment of new calls while the disk is in a state other than Healthy.
 type Policy uint8
 
-// Answers.
+// Policies for new calls.
 const (
-	AcceptCalls Policy = iota // take them, and count those whose records are at risk
-	RejectCalls               // turn them away
+	AcceptCalls Policy = iota // accept calls, although a crash may lose their records
+	RejectCalls               // reject calls
 )
 
-// GateSettings set a Gate.
+// GateSettings configures a Gate.
 type GateSettings struct {
 	OnSlow, OnFull, OnFailed Policy
-	SlowAfter                time.Duration // the oldest that waits may wait this long
-	MaxQueue                 int           // items that may wait
+	SlowAfter                time.Duration // age of the oldest waiting item above which the disk counts as slow
+	MaxQueue                 int           // limit of waiting items
 }
 
-// Gate decides what a slow, full or failed disk means for new calls and for what waits. It does no I/O and is told the
-// time.
+// Gate decides how a slow, full or failed disk affects new calls and waiting items. It does no I/O and reads no clock: the
+// time is passed to its methods. It must not be used concurrently.
 type Gate struct {
-	set     GateSettings
-	full    bool
-	failed  bool
-	waiting int
-	oldest  time.Duration // when the oldest that waits came
-	since   time.Duration // of the present state
-	state   State
-	Lost    uint64 // items given up because too much waited
-	Overdue uint64 // items that had to be taken for granted before they were durable
+	settings   GateSettings
+	full       bool
+	failed     bool
+	waiting    int
+	oldestAt   time.Duration // when the oldest waiting item was queued
+	stateSince time.Duration // when the current state began
+	state      State
+	Lost       uint64 // items lost because the queue was at its limit or the disk had failed
+	Overdue    uint64 // items on which the caller relied before they were durable
 }
 
-// NewGate returns a gate before a healthy disk.
-func NewGate(s GateSettings) *Gate { return &Gate{set: s} }
+// NewGate returns a gate for a healthy disk.
+func NewGate(s GateSettings) *Gate { return &Gate{settings: s} }
 
-// SetFull tells that the disk filled up, or has room again.
-func (g *Gate) SetFull(now time.Duration, full bool) { g.full = full; g.look(now) }
+// SetFull records that the disk is full or has free space again.
+func (g *Gate) SetFull(now time.Duration, full bool) { g.full = full; g.update(now) }
 
-// SetFailed tells that the disk has failed for good.
-func (g *Gate) SetFailed(now time.Duration) { g.failed = true; g.look(now) }
+// SetFailed records that the disk has failed for good.
+func (g *Gate) SetFailed(now time.Duration) { g.failed = true; g.update(now) }
 
-// SetWaiting tells how much waits, and since when the oldest does.
+// SetWaiting records how many items wait, and when the oldest of them was queued.
 func (g *Gate) SetWaiting(now time.Duration, n int, oldest time.Duration) {
-	g.waiting, g.oldest = n, oldest
-	g.look(now)
+	g.waiting, g.oldestAt = n, oldest
+	g.update(now)
 }
 
-func (g *Gate) look(now time.Duration) {
+// update determines the state.
+func (g *Gate) update(now time.Duration) {
 	s := Healthy
 	switch {
 	case g.failed:
 		s = Failed
 	case g.full:
 		s = Full
-	case g.waiting > 0 && now-g.oldest > g.set.SlowAfter, g.waiting > g.set.MaxQueue/2,
-		g.state == Slow && g.waiting > g.set.MaxQueue/4: // it opens later than it shuts, or it would flap
+	case g.waiting > 0 && now-g.oldestAt > g.settings.SlowAfter, g.waiting > g.settings.MaxQueue/2,
+		g.state == Slow && g.waiting > g.settings.MaxQueue/4: // leaves Slow at a lower level than it enters it, so that it does not flap
 		s = Slow
 	}
 	if s != g.state {
-		g.state, g.since = s, now
+		g.state, g.stateSince = s, now
 	}
 }
 
-// State is the disk's, and since when it is.
-func (g *Gate) State() (State, time.Duration) { return g.state, g.since }
+// State returns the disk's state and when it began.
+func (g *Gate) State() (State, time.Duration) { return g.state, g.stateSince }
 
-// Accepting tells whether new calls are taken.
+// Accepting reports whether new calls are accepted.
 func (g *Gate) Accepting() bool {
 	switch g.state {
 	case Slow:
-		return g.set.OnSlow == AcceptCalls
+		return g.settings.OnSlow == AcceptCalls
 	case Full:
-		return g.set.OnFull == AcceptCalls
+		return g.settings.OnFull == AcceptCalls
 	case Failed:
-		return g.set.OnFailed == AcceptCalls
+		return g.settings.OnFailed == AcceptCalls
 	}
 	return true
 }
 
-// Admit tells whether n more items may wait; those that may not are lost, and counted.
+// Admit reports whether n more items may be queued. If not, they are counted as lost.
 func (g *Gate) Admit(n int) bool {
-	if g.failed || g.waiting+n > g.set.MaxQueue {
+	if g.failed || g.waiting+n > g.settings.MaxQueue {
 		g.Lost += uint64(n)
 		return false
 	}
@@ -102,5 +104,5 @@
 	return true
 }
 
-// AtRisk is how many items a crash now would lose.
+// AtRisk returns the number of items that a crash now would lose.
 func (g *Gate) AtRisk() int { return g.waiting }
--- a/internal/store/holdfs.go
+++ b/internal/store/holdfs.go
@@ -12,78 +12,79 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// ErrClosing is what a write that waited for room gets when the store is closed.
+// ErrClosing is returned by a write that was waiting for free space when the store was closed.
 var ErrClosing = errors.New("store: closed while the disk was full")
 
-// holdFS waits out a full disk: a write that finds no room is tried again until there is some, so that the database
-// above never sees the error, which would end it. What was written before the disk filled up counts.
-type holdFS struct {
+// retryFS retries operations that fail because the disk is full until there is free space, so that the database above never
+// gets this error, which would end it. A write that was partly done continues where it stopped.
+type retryFS struct {
 	vfs.FS
-	again time.Duration   // between tries
-	told  func(full bool) // when the disk fills up and when a write goes through again
+	interval time.Duration   // between retries
+	onFull   func(full bool) // called when the first operation begins to wait and when the last one ends to
 
-	mu   sync.Mutex
-	full int // writes that wait
-	stop bool
+	mu         sync.Mutex
+	waitingOps int // operations that wait for free space
+	closed     bool
 }
 
-func newHoldFS(fs vfs.FS, again time.Duration, told func(bool)) *holdFS {
-	return &holdFS{FS: fs, again: again, told: told}
+func newRetryFS(fs vfs.FS, interval time.Duration, onFull func(bool)) *retryFS {
+	return &retryFS{FS: fs, interval: interval, onFull: onFull}
 }
 
-// close lets go what waits.
-func (h *holdFS) close() {
+// close makes waiting operations fail with ErrClosing.
+func (h *retryFS) close() {
 	h.mu.Lock()
-	h.stop = true
+	h.closed = true
 	h.mu.Unlock()
 }
 
-// noRoom tells whether an error may pass by itself.
-func noRoom(err error) bool {
+// isDiskFull reports whether an error means that the disk or a quota has no free space.
+func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// hold does f until it does not fail for lack of room.
-func (h *holdFS) hold(f func() error) error {
+// retryWhileFull calls f until it does not fail because the disk is full.
+func (h *retryFS) retryWhileFull(f func() error) error {
 	err := f()
-	if err == nil || !noRoom(err) {
+	if err == nil || !isDiskFull(err) {
 		return err
 	}
-	h.count(1)
-	defer h.count(-1)
+	h.addWaiting(1)
+	defer h.addWaiting(-1)
 	for {
 		h.mu.Lock()
-		stop := h.stop
+		closed := h.closed
 		h.mu.Unlock()
-		if stop {
+		if closed {
 			return ErrClosing
 		}
-		time.Sleep(h.again)
-		if err = f(); err == nil || !noRoom(err) {
+		time.Sleep(h.interval)
+		if err = f(); err == nil || !isDiskFull(err) {
 			return err
 		}
 	}
 }
 
-func (h *holdFS) count(d int) {
+// addWaiting changes the number of waiting operations by delta and calls onFull if it becomes or ceases to be zero.
+func (h *retryFS) addWaiting(delta int) {
 	h.mu.Lock()
-	before := h.full > 0
-	h.full += d
-	after := h.full > 0
+	before := h.waitingOps > 0
+	h.waitingOps += delta
+	after := h.waitingOps > 0
 	h.mu.Unlock()
 	if before != after {
-		h.told(after)
+		h.onFull(after)
 	}
 }
 
-func (h *holdFS) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	err = h.hold(func() error { f, err = h.FS.Create(name, c); return err })
+func (h *retryFS) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
+	err = h.retryWhileFull(func() error { f, err = h.FS.Create(name, c); return err })
 	if err == nil && strings.HasPrefix(h.PathBase(name), "MANIFEST-") {
-		// The marker that names it is another entry of the same directory: a disk that keeps the later of two entries
-		// and not the earlier would leave a store that cannot be opened.
-		err = h.hold(func() error { return SyncDir(h.FS, h.PathDir(name)) })
+		// The marker file that names the manifest is created later in the same directory. A crash may keep a later directory
+		// entry and lose an earlier one, which would leave a store that cannot be opened.
+		err = h.retryWhileFull(func() error { return SyncDir(h.FS, h.PathDir(name)) })
 	}
-	return h.file(f), err
+	return h.wrapFile(f), err
 }
 
 // SyncDir makes the entries of a directory durable.
@@ -95,19 +96,19 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// MkdirAllSync makes a directory, and those above it that are missing, and makes their entries durable.
+// MkdirAllSync creates a directory and its missing parents, and makes their entries durable.
 func MkdirAllSync(fs vfs.FS, dir string, perm os.FileMode) error {
-	var above []string // directories that get a new entry
+	var parents []string // directories that get a new entry
 	for at := dir; ; at = fs.PathDir(at) {
 		if _, err := fs.Stat(at); err == nil || fs.PathDir(at) == at {
 			break
 		}
-		above = append(above, fs.PathDir(at))
+		parents = append(parents, fs.PathDir(at))
 	}
 	if err := fs.MkdirAll(dir, perm); err != nil {
 		return err
 	}
-	for _, at := range above {
+	for _, at := range parents {
 		if err := SyncDir(fs, at); err != nil {
 			return err
 		}
@@ -115,45 +116,47 @@
 	return nil
 }
 
-func (h *holdFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (f vfs.File, err error) {
-	err = h.hold(func() error { f, err = h.FS.OpenReadWrite(name, c, o...); return err })
-	return h.file(f), err
+func (h *retryFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (f vfs.File, err error) {
+	err = h.retryWhileFull(func() error { f, err = h.FS.OpenReadWrite(name, c, o...); return err })
+	return h.wrapFile(f), err
 }
 
-func (h *holdFS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	err = h.hold(func() error { f, err = h.FS.ReuseForWrite(old, name, c); return err })
-	return h.file(f), err
+func (h *retryFS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
+	err = h.retryWhileFull(func() error { f, err = h.FS.ReuseForWrite(old, name, c); return err })
+	return h.wrapFile(f), err
 }
 
-func (h *holdFS) Link(old, name string) error {
-	return h.hold(func() error { return h.FS.Link(old, name) })
+func (h *retryFS) Link(old, name string) error {
+	return h.retryWhileFull(func() error { return h.FS.Link(old, name) })
 }
 
-func (h *holdFS) Rename(old, name string) error {
-	return h.hold(func() error { return h.FS.Rename(old, name) })
+func (h *retryFS) Rename(old, name string) error {
+	return h.retryWhileFull(func() error { return h.FS.Rename(old, name) })
 }
 
-func (h *holdFS) MkdirAll(dir string, perm os.FileMode) error {
-	return h.hold(func() error { return h.FS.MkdirAll(dir, perm) })
+func (h *retryFS) MkdirAll(dir string, perm os.FileMode) error {
+	return h.retryWhileFull(func() error { return h.FS.MkdirAll(dir, perm) })
 }
 
-// Unwrap is the file system below.
-func (h *holdFS) Unwrap() vfs.FS { return h.FS }
+// Unwrap returns the underlying file system.
+func (h *retryFS) Unwrap() vfs.FS { return h.FS }
 
-func (h *holdFS) file(f vfs.File) vfs.File {
+// wrapFile returns a file whose writes are retried while the disk is full; nil for nil.
+func (h *retryFS) wrapFile(f vfs.File) vfs.File {
 	if f == nil {
 		return nil
 	}
-	return &holdFile{File: f, fs: h}
+	return &retryFile{File: f, fs: h}
 }
 
-type holdFile struct {
+// retryFile is an open file of a retryFS.
+type retryFile struct {
 	vfs.File
-	fs *holdFS
+	fs *retryFS
 }
 
-func (f *holdFile) Write(b []byte) (n int, err error) {
-	err = f.fs.hold(func() error {
+func (f *retryFile) Write(b []byte) (n int, err error) {
+	err = f.fs.retryWhileFull(func() error {
 		k, err := f.File.Write(b[n:])
 		n += k
 		if err == nil && n < len(b) {
@@ -164,8 +167,8 @@
 	return n, err
 }
 
-func (f *holdFile) WriteAt(b []byte, at int64) (n int, err error) {
-	err = f.fs.hold(func() error {
+func (f *retryFile) WriteAt(b []byte, at int64) (n int, err error) {
+	err = f.fs.retryWhileFull(func() error {
 		k, err := f.File.WriteAt(b[n:], at+int64(n))
 		n += k
 		return err
@@ -173,9 +176,9 @@
 	return n, err
 }
 
-// Preallocate is only a help: where there is no room for it, writes find out.
-func (f *holdFile) Preallocate(offset, length int64) error {
-	if err := f.File.Preallocate(offset, length); err != nil && !noRoom(err) {
+// Preallocate ignores a full disk, because preallocation is only an optimisation: writes are retried later.
+func (f *retryFile) Preallocate(offset, length int64) error {
+	if err := f.File.Preallocate(offset, length); err != nil && !isDiskFull(err) {
 		return err
 	}
 	return nil
--- a/internal/store/salvage.go
+++ b/internal/store/salvage.go
@@ -14,69 +14,70 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// A log's end may be torn by a crash, and the database takes whatever cannot be read for that end. A bit that flipped
-// in the middle of the last log would so take all behind it along, without a word. Chunks of the log carry how much of
-// it was durable when they were written (record format of pebble, "WAL sync format"): one that lies behind what cannot
-// be read, and says that this was durable, proves damage. Then what lies behind is put into the store again, and the
-// damaged log is kept beside it.
+// A crash may leave an incomplete chunk at the end of the write-ahead log, so the database takes the first chunk that cannot
+// be read for the end of the log. A bit flip in the middle of the last log would therefore silently lose everything behind
+// it. Each chunk holds how many bytes of the log were durable when it was written (pebble's "WAL sync format"): a chunk
+// behind the unreadable part that says that this part was durable proves damage. In that case the batches behind the damage
+// are applied to the store again, and the damaged log is kept beside the store.
 const (
-	chunkHeader = 19 // checksum 4, length 2, type 1, log number 4, durable offset 8
-	chunkFirst  = 9  // types of such chunks: full, first, middle, last
-	chunkLast   = 12
-	logBlock    = 32 << 10
+	chunkHeaderSize = 19       // bytes: checksum 4, length 2, type 1, log number 4, durable offset 8
+	minChunkType    = 9        // type of a chunk that holds a full batch in the WAL sync format
+	maxChunkType    = 12       // type of the last chunk of a batch; 10 is the first chunk and 11 a middle one
+	logBlockSize    = 32 << 10 // bytes; no chunk crosses the boundary of a block
 
-	rescuePrefix  = "rescue-"  // a damaged log whose batches are not back in the store yet
-	damagedPrefix = "damaged-" // and afterwards, for whoever wants to look at it
+	salvagePrefix = "rescue-"  // of a damaged log whose batches are not yet applied to the store again
+	damagedPrefix = "damaged-" // of a damaged log after that, kept for analysis
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// chunk is one chunk of a log.
+// chunk is one chunk of a write-ahead log.
 type chunk struct {
-	kind    byte // 0 full, 1 first, 2 middle, 3 last
-	durable uint64
+	kind    byte   // 0 full, 1 first, 2 middle, 3 last
+	durable uint64 // bytes of the log that were durable when the chunk was written
 	payload []byte
-	end     int
+	end     int // offset behind the chunk
 }
 
-// chunkAt reads the chunk at an offset; false if none is there.
-func chunkAt(log []byte, number uint32, at int) (c chunk, ok bool) {
-	if at+chunkHeader > len(log) || at%logBlock+chunkHeader > logBlock {
+// readChunk reads the chunk of a log at an offset; ok is false if there is no valid chunk.
+func readChunk(log []byte, number uint32, at int) (c chunk, ok bool) {
+	if at+chunkHeaderSize > len(log) || at%logBlockSize+chunkHeaderSize > logBlockSize {
 		return c, false
 	}
 	h := log[at:]
 	kind, n := h[6], int(binary.LittleEndian.Uint16(h[4:]))
-	c.end = at + chunkHeader + n
-	if kind < chunkFirst || kind > chunkLast || binary.LittleEndian.Uint32(h[7:]) != number || c.end > len(log) ||
-		at%logBlock+chunkHeader+n > logBlock {
+	c.end = at + chunkHeaderSize + n
+	if kind < minChunkType || kind > maxChunkType || binary.LittleEndian.Uint32(h[7:]) != number || c.end > len(log) ||
+		at%logBlockSize+chunkHeaderSize+n > logBlockSize {
 		return c, false
 	}
 	sum := crc32.Checksum(log[at+6:c.end], castagnoli)
 	if (sum>>15|sum<<17)+0xa282ead8 != binary.LittleEndian.Uint32(h) {
 		return c, false
 	}
-	c.kind, c.durable, c.payload = kind-chunkFirst, binary.LittleEndian.Uint64(h[11:]), log[at+chunkHeader:c.end]
+	c.kind, c.durable, c.payload = kind-minChunkType, binary.LittleEndian.Uint64(h[11:]), log[at+chunkHeaderSize:c.end]
 	return c, true
 }
 
-// examine looks for damage in a log: where it begins, -1 if there is none, and the batches that lie behind it.
-func examine(log []byte, number uint32) (bad int, batches [][]byte) {
+// findDamage looks for damage in a log. It returns the offset where it begins, -1 if there is none, and the batches behind
+// it that can be read.
+func findDamage(log []byte, number uint32) (bad int, batches [][]byte) {
 	bad = -1
 	proven := false
-	var whole []byte // of a batch in several chunks
+	var joined []byte // payload of a batch in several chunks
 	open := false
 	for at := 0; at < len(log); {
-		if rest := logBlock - at%logBlock; rest < chunkHeader {
-			at += rest // too little for any chunk: filled up
+		if rest := logBlockSize - at%logBlockSize; rest < chunkHeaderSize {
+			at += rest // padding: the rest of the block is too short for a chunk
 			continue
 		}
-		c, ok := chunkAt(log, number, at)
+		c, ok := readChunk(log, number, at)
 		if !ok {
 			if bad < 0 {
 				bad = at
 			}
 			open = false
-			at++ // byte by byte: lengths before here are not to be trusted
+			at++ // search byte by byte, because a damaged length cannot be used
 			continue
 		}
 		at = c.end
@@ -88,14 +89,14 @@
 		case 0:
 			batches = append(batches, c.payload)
 		case 1:
-			whole, open = append([]byte(nil), c.payload...), true
+			joined, open = append([]byte(nil), c.payload...), true
 		default:
 			if !open {
-				continue // its beginning is what cannot be read
+				continue // the first chunk of this batch is unreadable
 			}
-			whole = append(whole, c.payload...)
+			joined = append(joined, c.payload...)
 			if c.kind == 3 {
-				batches, open = append(batches, whole), false
+				batches, open = append(batches, joined), false
 			}
 		}
 	}
@@ -105,6 +106,7 @@
 	return bad, batches
 }
 
+// readAll returns the content of a file.
 func readAll(fs vfs.FS, name string) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
@@ -114,22 +116,22 @@
 	return io.ReadAll(f)
 }
 
-// WriteFileAtomic lets a file appear whole, in place of what had its name: under another one first, synced, then renamed, and
-// the directory synced.
+// WriteFileAtomic creates or replaces a file atomically and durably: it writes and syncs a temporary file in the same
+// directory, renames it and syncs the directory.
 func WriteFileAtomic(fs vfs.FS, name string, content []byte) error {
-	part := fs.PathJoin(fs.PathDir(name), "."+fs.PathBase(name)+".part")
-	f, err := fs.Create(part, vfs.WriteCategoryUnspecified)
+	temp := fs.PathJoin(fs.PathDir(name), "."+fs.PathBase(name)+".part")
+	f, err := fs.Create(temp, vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(append([]byte(nil), content...)); err == nil { // Write may change what it is given
+	if _, err = f.Write(append([]byte(nil), content...)); err == nil { // a copy, because Write may change its argument
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = fs.Rename(part, name)
+		err = fs.Rename(temp, name)
 	}
 	if err == nil {
 		err = SyncDir(fs, fs.PathDir(name))
@@ -137,19 +139,19 @@
 	return err
 }
 
-// logNumber is the number of a log by its file's name.
+// logNumber returns the number of a log from its file name.
 func logNumber(name string) (uint32, bool) {
 	text, ok := strings.CutSuffix(name, ".log")
 	n, err := strconv.ParseUint(text, 10, 32)
 	return uint32(n), ok && err == nil
 }
 
-// checkLogs looks for damage in the logs of a store that is not open. For writing it puts damaged ones aside, to be
-// put back by rescue; else damage is an error.
-func checkLogs(fs vfs.FS, dir string, readOnly bool, told func(string)) error {
+// checkLogs looks for damage in the logs of a store that is not open. If the store will be opened for writing, it copies
+// damaged logs for salvageLogs and truncates them before the damage; otherwise damage is an error.
+func checkLogs(fs vfs.FS, dir string, readOnly bool, onDamage func(string)) error {
 	names, err := fs.List(dir)
 	if err != nil {
-		return nil // there is none yet
+		return nil // there is no store yet
 	}
 	for _, name := range names {
 		number, ok := logNumber(name)
@@ -161,16 +163,16 @@
 		if err != nil {
 			return err
 		}
-		bad, batches := examine(log, number)
+		bad, batches := findDamage(log, number)
 		if bad < 0 {
 			continue
 		}
 		text := fmt.Sprintf("%s: damaged at byte %d of %d; %d batches behind it can be read", path, bad, len(log), len(batches))
 		if readOnly {
-			return fmt.Errorf("%w: %s: opening it for writing puts them back", ErrDamaged, text)
+			return fmt.Errorf("%w: %s; opening the store for writing restores them", ErrDamaged, text)
 		}
-		told(text)
-		if err := WriteFileAtomic(fs, fs.PathJoin(dir, rescuePrefix+name), log); err != nil {
+		onDamage(text)
+		if err := WriteFileAtomic(fs, fs.PathJoin(dir, salvagePrefix+name), log); err != nil {
 			return err
 		}
 		if err := WriteFileAtomic(fs, path, log[:bad]); err != nil {
@@ -180,17 +182,17 @@
 	return nil
 }
 
-// rescue puts the batches of logs that were put aside back into the open store. Of a key that is there the newer value
-// stays: what was written in later logs is not undone.
-func (s *Store) rescue() error {
+// salvageLogs applies the batches of logs that checkLogs has copied to the open store again. An existing value of a key is
+// kept, because a later log may have written it.
+func (s *Store) salvageLogs() error {
 	fs := s.opt.FS
 	names, err := fs.List(s.opt.Dir)
 	if err != nil {
 		return err
 	}
 	for _, name := range names {
-		log, ok := strings.CutPrefix(name, rescuePrefix)
-		number, isLog := logNumber(log)
+		logName, ok := strings.CutPrefix(name, salvagePrefix)
+		number, isLog := logNumber(logName)
 		if !ok || !isLog {
 			continue
 		}
@@ -199,34 +201,35 @@
 		if err != nil {
 			return err
 		}
-		_, batches := examine(content, number)
+		_, batches := findDamage(content, number)
 		for _, repr := range batches {
-			if err := s.putBack(repr); err != nil {
+			if err := s.reapplyBatch(repr); err != nil {
 				return err
 			}
 		}
-		if err := fs.Rename(path, fs.PathJoin(s.opt.Dir, damagedPrefix+filepath.Base(log))); err != nil {
+		if err := fs.Rename(path, fs.PathJoin(s.opt.Dir, damagedPrefix+filepath.Base(logName))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Store) putBack(repr []byte) error {
+// reapplyBatch applies an encoded batch, except for values of keys that exist.
+func (s *Store) reapplyBatch(repr []byte) error {
 	b := s.Batch()
 	r := batchrepr.Read(repr)
 	for {
 		kind, key, value, ok, err := r.Next()
 		if err != nil || !ok {
-			break // what of it can be read is put back
+			break // operations before an unreadable one are applied
 		}
-		_, has, err := s.Get(key)
+		_, exists, err := s.Get(key)
 		if err != nil {
 			return err
 		}
 		switch kind {
 		case pebble.InternalKeyKindSet:
-			if !has {
+			if !exists {
 				b.Set(key, value)
 			}
 		case pebble.InternalKeyKindDelete:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps keys and values on disk through crashes: pebble on an injected file system, with a format
-// version, an owner, and group commits beside the caller (Writer). It knows nothing of what is kept.
+// Package store is a crash-safe key-value store: pebble on an injected file system, with a format version, an owner, and
+// group commits on a goroutine of their own (Writer). It does not interpret keys and values.
 package store
 
 import (
@@ -18,79 +18,81 @@
 
 // Errors of Open.
 var (
-	ErrInUse       = errors.New("in use by another process")
-	ErrNewerFormat = errors.New("written by a newer version")
+	ErrInUse       = errors.New("store is in use by another process")
+	ErrNewerFormat = errors.New("store was written by a newer version of the program")
 	ErrDamaged     = errors.New("damaged")
-	ErrWrongOwner  = errors.New("belongs to another router")
-	ErrNotExist    = errors.New("no store there")
+	ErrWrongOwner  = errors.New("store belongs to another router")
+	ErrNotExist    = errors.New("store does not exist")
 )
 
-// Keys of the store's own; users' keys do not begin with a zero byte.
+// Keys of the store itself. Keys of its users must not begin with a zero byte.
 var (
 	keyFormat = []byte("\x00format")
 	keyOwner  = []byte("\x00owner")
 )
 
-// Schema is the form of what is kept.
+// Schema is the version of the stored data's format, and how to upgrade from older ones.
 type Schema struct {
 	Version uint32
-	// Upgrade turns what an older version has written into that of the next one, in one batch: a crash in an upgrade
-	// leaves the old version or the new one.
+	// Upgrade holds, by version, the function that converts the data of this version to the next one. The conversion is one
+	// batch, so that a crash leaves either the old version or the new one.
 	Upgrade map[uint32]func(*Store, *Batch) error
 }
 
-// Options set a store.
+// Options configures a store.
 type Options struct {
 	Dir               string
-	FS                vfs.FS // nil is the disk
-	Owner             string // "" takes whoever's
+	FS                vfs.FS // nil: the disk
+	Owner             string // "" accepts a store of any owner
 	Schema            Schema
-	ReadOnly          bool // nothing is written, not even a recovery's
-	Cache             int64
-	MemTableSize      uint64          // bytes gathered before they are sorted into a file; 0 is 8 MiB
-	FullRetryInterval time.Duration   // between tries while the disk is full
-	OnFull            func(full bool) // told when the disk fills up, and when it has room again; on any goroutine
-	OnDamage          func(string)    // told of damage that was found in opening and gone round
-	OnFailure         func(error)     // told, once, when the disk fails for good; on any goroutine
+	ReadOnly          bool            // nothing is written, not even by a recovery
+	Cache             int64           // size of the block cache in bytes; 0 is 32 MiB
+	MemTableSize      uint64          // size of the memtable in bytes; 0 is 8 MiB
+	FullRetryInterval time.Duration   // interval of write retries while the disk is full; 0 is 100 ms
+	OnFull            func(full bool) // called when the disk is full and when it has free space again; on any goroutine
+	OnDamage          func(string)    // called for each damaged log that Open salvages
+	OnFailure         func(error)     // called once, when the disk fails for good; on any goroutine
 }
 
 // Store is an open store.
 type Store struct {
-	db     *pebble.DB
-	hold   *holdFS
-	broken atomic.Bool
-	opt    Options
+	db      *pebble.DB
+	retryFS *retryFS
+	failed  atomic.Bool
+	opt     Options
 }
 
-// Batch is a set of changes that come to be together or not at all.
+// Batch is a set of changes that is committed atomically.
 type Batch struct{ b *pebble.Batch }
 
-// Set puts a value.
-func (b *Batch) Set(key, value []byte) { _ = b.b.Set(key, value, nil) } // fails on closed batches only
+// Set sets the value of a key.
+func (b *Batch) Set(key, value []byte) { _ = b.b.Set(key, value, nil) } // fails only if the batch is closed
 
-// Delete takes a key out.
+// Delete deletes a key.
 func (b *Batch) Delete(key []byte) { _ = b.b.Delete(key, nil) }
 
-// errFatal carries pebble's last words: it must not return from Fatalf.
-type errFatal struct{ text string }
+// fatalError is the panic value that carries the text of a fatal error out of pebble, as Fatalf must not return.
+type fatalError struct{ text string }
 
-// words is pebble's log: errors count, the rest is its own business.
-type words struct{ s *Store }
+// pebbleLogger is pebble's logger: a fatal error marks the store as failed, all other lines are dropped.
+type pebbleLogger struct{ s *Store }
 
-func (w words) Infof(string, ...any)  {}
-func (w words) Errorf(string, ...any) {}
-func (w words) Fatalf(format string, args ...any) {
-	w.s.fail(fmt.Errorf(format, args...))
-	panic(errFatal{fmt.Sprintf(format, args...)})
+func (w pebbleLogger) Infof(string, ...any)  {}
+func (w pebbleLogger) Errorf(string, ...any) {}
+func (w pebbleLogger) Fatalf(format string, args ...any) {
+	w.s.markFailed(fmt.Errorf(format, args...))
+	panic(fatalError{fmt.Sprintf(format, args...)})
 }
 
-func (s *Store) fail(err error) {
-	if !s.broken.Swap(true) && s.opt.OnFailure != nil {
+// markFailed marks the store as failed and calls OnFailure the first time.
+func (s *Store) markFailed(err error) {
+	if !s.failed.Swap(true) && s.opt.OnFailure != nil {
 		s.opt.OnFailure(err)
 	}
 }
 
-// Open opens a store, makes one where there is none, and upgrades an older one.
+// Open opens a store. Unless it is read-only, Open creates a missing store, upgrades an older one and salvages damaged
+// logs.
 func Open(o Options) (*Store, error) {
 	if o.FS == nil {
 		o.FS = vfs.Default
@@ -104,7 +106,7 @@
 	if o.OnDamage == nil {
 		o.OnDamage = func(string) {}
 	}
-	s := &Store{opt: o, hold: newHoldFS(o.FS, o.FullRetryInterval, o.OnFull)}
+	s := &Store{opt: o, retryFS: newRetryFS(o.FS, o.FullRetryInterval, o.OnFull)}
 	_, err := o.FS.Stat(o.Dir)
 	if err != nil && o.ReadOnly {
 		return nil, fmt.Errorf("%s: %w", o.Dir, ErrNotExist)
@@ -112,23 +114,23 @@
 	if err := checkLogs(o.FS, o.Dir, o.ReadOnly, o.OnDamage); err != nil {
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
-	fs := vfs.FS(s.hold)
-	// Keys are small and many: one long log costs a restart more than short memtables cost in service.
-	opt := &pebble.Options{FS: fs, Logger: words{s}, ReadOnly: o.ReadOnly, FormatMajorVersion: pebble.FormatNewest,
-		// Damage is the reader's to hear of, who goes on with the rest; by default it ends the process.
+	fs := vfs.FS(s.retryFS)
+	// Keys are small and many: replaying a long log at a restart costs more than flushing small memtables in service.
+	opt := &pebble.Options{FS: fs, Logger: pebbleLogger{s}, ReadOnly: o.ReadOnly, FormatMajorVersion: pebble.FormatNewest,
+		// Readers get damage as an error and continue with the rest; pebble's default handler ends the process.
 		EventListener: &pebble.EventListener{DataCorruption: func(pebble.DataCorruptionInfo) {}},
 		MemTableSize:  cmp.Or(o.MemTableSize, 8<<20), CacheSize: cmp.Or(o.Cache, 32<<20)}
 	for i := range opt.Levels {
-		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that are asked for singly are not there
+		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that are read singly do not exist
 	}
 	if s.db, err = openPebble(o.Dir, opt); err != nil {
-		return nil, fmt.Errorf("%s: %w", o.Dir, inTerms(err))
+		return nil, fmt.Errorf("%s: %w", o.Dir, translateError(err))
 	}
 	if !o.ReadOnly {
-		err = s.rescue()
+		err = s.salvageLogs()
 	}
 	if err == nil {
-		err = s.welcome()
+		err = s.checkFormatAndOwner()
 	}
 	if err != nil {
 		_ = s.Close()
@@ -137,18 +139,18 @@
 	return s, nil
 }
 
-// openPebble opens the database; what ends it ends the attempt.
+// openPebble opens the database; a fatal error of pebble is returned as an error.
 func openPebble(dir string, o *pebble.Options) (db *pebble.DB, err error) {
 	defer func() {
-		if e, ok := recover().(errFatal); ok {
+		if e, ok := recover().(fatalError); ok {
 			err = errors.New(e.text)
 		}
 	}()
 	return pebble.Open(dir, o)
 }
 
-// inTerms puts an error of pebble's in this package's terms.
-func inTerms(err error) error {
+// translateError wraps an error of pebble with the matching error of this package.
+func translateError(err error) error {
 	switch {
 	case err == nil:
 	case pebble.IsCorruptionError(err):
@@ -159,8 +161,8 @@
 	return err
 }
 
-// welcome checks format and owner, and writes them into a new store.
-func (s *Store) welcome() error {
+// checkFormatAndOwner checks the format version and the owner, and writes both into a new store.
+func (s *Store) checkFormatAndOwner() error {
 	format, found, err := s.Get(keyFormat)
 	if err != nil {
 		return err
@@ -175,7 +177,7 @@
 		return s.Commit(b)
 	}
 	if len(format) != 4 {
-		return fmt.Errorf("%w: format version of %d bytes", ErrDamaged, len(format))
+		return fmt.Errorf("%w: format version is %d bytes long, not 4", ErrDamaged, len(format))
 	}
 	owner, _, err := s.Get(keyOwner)
 	if err != nil {
@@ -187,21 +189,21 @@
 	return s.upgrade(binary.BigEndian.Uint32(format))
 }
 
-// upgrade brings an older store to the schema's version, one version after the other.
+// upgrade converts an older store to the schema's version, one version at a time.
 func (s *Store) upgrade(from uint32) error {
 	if from > s.opt.Schema.Version {
-		return fmt.Errorf("%w: format %d, this program knows %d", ErrNewerFormat, from, s.opt.Schema.Version)
+		return fmt.Errorf("%w: format is %d, this program supports up to %d", ErrNewerFormat, from, s.opt.Schema.Version)
 	}
 	for v := from; v < s.opt.Schema.Version; v++ {
-		up := s.opt.Schema.Upgrade[v]
+		convert := s.opt.Schema.Upgrade[v]
 		switch {
-		case up == nil:
-			return fmt.Errorf("format %d: no way to %d is known", v, v+1)
+		case convert == nil:
+			return fmt.Errorf("format %d: no upgrade to %d is available", v, v+1)
 		case s.opt.ReadOnly:
-			return fmt.Errorf("format %d is older than %d: open it for writing once", v, s.opt.Schema.Version)
+			return fmt.Errorf("format %d is older than %d: open the store for writing once to upgrade it", v, s.opt.Schema.Version)
 		}
 		b := s.Batch()
-		if err := up(s, b); err != nil {
+		if err := convert(s, b); err != nil {
 			return fmt.Errorf("upgrade from format %d: %w", v, err)
 		}
 		b.Set(keyFormat, binary.BigEndian.AppendUint32(nil, v+1))
@@ -212,57 +214,58 @@
 	return nil
 }
 
-// Owner is whom the store belongs to.
+// Owner returns the owner's name that was written into the store when it was created.
 func (s *Store) Owner() (string, error) {
 	b, _, err := s.Get(keyOwner)
 	return string(b), err
 }
 
-// Batch begins a set of changes.
+// Batch returns a new empty batch, to be passed to Commit.
 func (s *Store) Batch() *Batch { return &Batch{s.db.NewBatch()} }
 
-// Commit makes a batch durable. After an error the store takes nothing more.
+// Commit makes a batch durable and closes it. After an error the store has failed, and all further commits fail.
 func (s *Store) Commit(b *Batch) (err error) {
 	defer b.b.Close()
 	defer func() {
 		switch e := recover().(type) {
 		case nil:
-		case errFatal:
+		case fatalError:
 			err = errors.New(e.text)
 		default:
 			panic(e)
 		}
 		if err != nil {
-			s.fail(err)
+			s.markFailed(err)
 		}
 	}()
-	if s.broken.Load() {
-		return errors.New("store: the disk has failed before")
+	if s.failed.Load() {
+		return errors.New("store: not committed, because the disk has failed")
 	}
 	return s.db.Apply(b.b, pebble.Sync)
 }
 
-// Get reads a value.
+// Get returns a copy of the value of a key, and whether the key exists.
 func (s *Store) Get(key []byte) (value []byte, found bool, err error) {
 	v, closer, err := s.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
 		return nil, false, nil
 	}
 	if err != nil {
-		return nil, false, inTerms(err)
+		return nil, false, translateError(err)
 	}
 	value = append([]byte(nil), v...)
 	return value, true, closer.Close()
 }
 
-// Scan calls f for all keys with a prefix from a key on, in order; key and value are f's only during the call.
+// Scan calls f for all keys with a prefix, in order, beginning at from; an empty from begins at the first. key and value
+// are valid only during the call. An error of f ends the scan and is returned.
 func (s *Store) Scan(prefix, from []byte, f func(key, value []byte) error) error {
 	if len(from) == 0 {
 		from = prefix
 	}
-	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: from, UpperBound: after(prefix)})
+	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: from, UpperBound: upperBound(prefix)})
 	if err != nil {
-		return inTerms(err)
+		return translateError(err)
 	}
 	for ok := it.First(); ok; ok = it.Next() {
 		v, err := it.ValueAndErr()
@@ -271,52 +274,52 @@
 		}
 		if err != nil {
 			_ = it.Close()
-			return inTerms(err)
+			return translateError(err)
 		}
 	}
-	return inTerms(it.Close())
+	return translateError(it.Close())
 }
 
-// Last reads the last key with a prefix.
+// Last returns the last key with a prefix and its value, and whether there is one.
 func (s *Store) Last(prefix []byte) (key, value []byte, found bool, err error) {
-	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: prefix, UpperBound: after(prefix)})
+	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: prefix, UpperBound: upperBound(prefix)})
 	if err != nil {
-		return nil, nil, false, inTerms(err)
+		return nil, nil, false, translateError(err)
 	}
 	if it.Last() {
 		key, found = append([]byte(nil), it.Key()...), true
 		value = append([]byte(nil), it.Value()...)
 	}
-	return key, value, found, inTerms(it.Close())
+	return key, value, found, translateError(it.Close())
 }
 
-// after is the least key that is above all with a prefix.
-func after(prefix []byte) []byte {
-	up := append([]byte(nil), prefix...)
-	for i := len(up) - 1; i >= 0; i-- {
-		if up[i]++; up[i] != 0 {
-			return up[:i+1]
+// upperBound returns the least key above all keys with a prefix; nil if there is none.
+func upperBound(prefix []byte) []byte {
+	bound := append([]byte(nil), prefix...)
+	for i := len(bound) - 1; i >= 0; i-- {
+		if bound[i]++; bound[i] != 0 {
+			return bound[:i+1]
 		}
 	}
 	return nil
 }
 
-// Size is what the store takes on disk, in bytes.
+// Size returns the store's size on disk in bytes.
 func (s *Store) Size() uint64 { return s.db.Metrics().DiskSpaceUsage() }
 
-// Compact makes room that deleted keys still take.
+// Compact frees the disk space of deleted keys from one key to another.
 func (s *Store) Compact(from, to []byte) error { return s.db.Compact(background, from, to, false) }
 
-// Close ends the store. What was not committed is gone.
+// Close closes the store. Batches that were not committed are lost.
 func (s *Store) Close() (err error) {
-	s.hold.close()
+	s.retryFS.close()
 	defer func() {
-		if e, ok := recover().(errFatal); ok {
+		if e, ok := recover().(fatalError); ok {
 			err = errors.New(e.text)
 		}
 	}()
-	if s.broken.Load() {
-		return nil // the database has ended in mid-commit, and closing it would wait for that for ever
+	if s.failed.Load() {
+		return nil // the database ended during a commit, and its Close would wait for that commit for ever
 	}
 	return s.db.Close()
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// An upgrade is whole or not begun, wherever it is cut off.
+// A crash at any change of the disk during an upgrade must leave a store that can be opened and upgraded.
 func TestUpgradeThroughCrashes(t *testing.T) {
 	fs := crashfs.New()
 	s := open(t, Options{Dir: "d", FS: fs, Schema: Schema{Version: 1}})
@@ -85,29 +85,29 @@
 		}
 		return nil
 	}}}}
-	var after []*crashfs.FS
-	fs.SetHook(func(p crashfs.Point) error { after = append(after, fs.Crash(int(p.N%3)*50, p.N)); return nil })
+	var crashed []*crashfs.FS
+	fs.SetHook(func(p crashfs.Point) error { crashed = append(crashed, fs.Crash(int(p.N%3)*50, p.N)); return nil })
 	up := o
 	up.FS = fs
 	_ = open(t, up).Close()
 	fs.SetHook(nil)
-	if len(after) < 5 {
-		t.Fatalf("%d points", len(after))
+	if len(crashed) < 5 {
+		t.Fatalf("%d changes, want at least 5", len(crashed))
 	}
-	for i, fs := range after {
+	for i, fs := range crashed {
 		o.FS = fs
 		s := open(t, o)
 		for k := range 50 {
 			if v, _, err := s.Get([]byte(fmt.Sprint("k", k))); string(v) != "2" || err != nil {
-				t.Fatalf("point %d: k%d is %q, %v", i, k, v, err)
+				t.Fatalf("change %d: k%d is %q, %v", i, k, v, err)
 			}
 		}
 		_ = s.Close()
 	}
 }
 
-// writer over a disk on which a hook decides.
-type rig struct {
+// harness is a writer on a file system whose faults the test sets.
+type harness struct {
 	fs   *crashfs.FS
 	s    *Store
 	w    *Writer[uint64]
@@ -116,12 +116,12 @@
 	more chan struct{}
 }
 
-func newRig(t *testing.T, g GateSettings) *rig {
-	r := &rig{fs: crashfs.New(), more: make(chan struct{}, 1)}
+func newHarness(t *testing.T, g GateSettings) *harness {
+	r := &harness{fs: crashfs.New(), more: make(chan struct{}, 1)}
 	began := time.Now()
 	var w *Writer[uint64]
 	var mu sync.Mutex
-	with := func(f func(*Writer[uint64])) {
+	withWriter := func(f func(*Writer[uint64])) {
 		mu.Lock()
 		defer mu.Unlock()
 		if w != nil {
@@ -129,8 +129,8 @@
 		}
 	}
 	r.s = open(t, Options{Dir: "d", FS: r.fs, FullRetryInterval: time.Millisecond,
-		OnFull:    func(full bool) { with(func(w *Writer[uint64]) { w.SetFull(full) }) },
-		OnFailure: func(err error) { with(func(w *Writer[uint64]) { w.SetFailed(err) }) }})
+		OnFull:    func(full bool) { withWriter(func(w *Writer[uint64]) { w.SetFull(full) }) },
+		OnFailure: func(err error) { withWriter(func(w *Writer[uint64]) { w.SetFailed(err) }) }})
 	mu.Lock()
 	w = NewWriter(r.s, WriterOptions[uint64]{Gate: g, MaxBatch: 8, IdleInterval: time.Hour, Now: func() time.Duration { return time.Since(began) },
 		Build: func(b *Batch, items []uint64) error {
@@ -153,8 +153,8 @@
 	return r
 }
 
-// await waits until so many are durable.
-func (r *rig) await(t *testing.T, n uint64) {
+// await waits until n items are durable.
+func (r *harness) await(t *testing.T, n uint64) {
 	t.Helper()
 	for {
 		r.mu.Lock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// state waits until the gate is in a state.
-func (r *rig) state(t *testing.T, want State) Status {
+// state waits until the disk's state is want, and returns the status.
+func (r *harness) state(t *testing.T, want State) Status {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if st := r.w.Status(); st.State == want {
@@ -183,10 +183,10 @@
 	}
 }
 
-// The disk fills up under load and has room again: new calls are refused meanwhile, what was taken waits, and nothing
-// of it is lost.
-func TestDiskFullForAWhile(t *testing.T) {
-	r := newRig(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
+// The disk is full for a while under load. Meanwhile new calls must be rejected, queued items must wait, and none of them
+// may be lost.
+func TestDiskTemporarilyFull(t *testing.T) {
+	r := newHarness(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	r.w.Submit(1, 2, 3)
 	r.await(t, 3)
 	r.fs.SetHook(func(p crashfs.Point) error {
@@ -197,7 +197,7 @@
 	})
 	for i := uint64(4); i <= 500; i++ {
 		if _, ok := r.w.Submit(i); !ok {
-			t.Fatalf("%d is not taken", i)
+			t.Fatalf("item %d is not accepted", i)
 		}
 	}
 	if st := r.state(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
@@ -206,37 +206,37 @@
 	r.fs.SetHook(nil)
 	r.await(t, 500)
 	if st := r.state(t, Healthy); !st.Accepting || st.Waiting != 0 {
-		t.Errorf("room again: %+v", st)
+		t.Errorf("free space again: %+v", st)
 	}
 	if err := r.w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
 	if err := r.s.Scan([]byte("n"), nil, func(_, _ []byte) error { n++; return nil }); err != nil || n != 500 {
-		t.Errorf("%d kept, %v", n, err)
+		t.Errorf("%d items stored, want 500; %v", n, err)
 	}
 	if err := r.s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// More than may wait is lost, and counted.
+// Items beyond the limit of the queue must be lost and counted.
 func TestQueueBound(t *testing.T) {
-	r := newRig(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
+	r := newHarness(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
 	r.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "write" {
 			return syscall.ENOSPC
 		}
 		return nil
 	})
-	taken := 0
+	accepted := 0
 	for i := range uint64(30) {
 		if _, ok := r.w.Submit(i); ok {
-			taken++
+			accepted++
 		}
 	}
-	if st := r.w.Status(); taken != 10 || st.Lost != 20 {
-		t.Errorf("%d taken, %+v", taken, st)
+	if st := r.w.Status(); accepted != 10 || st.Lost != 20 {
+		t.Errorf("%d items accepted, want 10; %+v", accepted, st)
 	}
 	r.fs.SetHook(nil)
 	r.await(t, 10)
@@ -244,9 +244,9 @@
 	_ = r.s.Close()
 }
 
-// A disk that fails for good ends the writer: it says so, and takes nothing more.
+// A disk that fails for good must end the writer, which reports this and accepts no more items.
 func TestDiskFails(t *testing.T) {
-	r := newRig(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
+	r := newHarness(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	r.w.Submit(1)
 	r.await(t, 1)
 	r.fs.SetHook(func(p crashfs.Point) error {
@@ -260,7 +260,7 @@
 		t.Errorf("%+v", st)
 	}
 	if _, ok := r.w.Submit(3); ok {
-		t.Error("a record was taken by a disk that has failed")
+		t.Error("an item was accepted after the disk had failed")
 	}
 	r.fs.SetHook(nil)
 	if err := r.w.Close(); err == nil {
@@ -269,13 +269,13 @@
 	_ = r.s.Close()
 }
 
-// Whatever the disk does in whatever order: the gate never admits more than may wait, counts what it turns away, and
-// opens again when all is well.
+// For any sequence of disk states, the gate must not admit more items than the limit, must count the rejected ones, and must
+// accept calls again once the disk is healthy.
 func TestGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := GateSettings{OnSlow: Policy(rapid.IntRange(0, 1).Draw(t, "slow")), OnFull: Policy(rapid.IntRange(0, 1).Draw(t, "full")),
 			OnFailed: RejectCalls, SlowAfter: time.Second, MaxQueue: rapid.IntRange(4, 40).Draw(t, "queue")}
-		g, now, waiting, turned := NewGate(set), time.Duration(0), 0, uint64(0)
+		g, now, waiting, rejected := NewGate(set), time.Duration(0), 0, uint64(0)
 		since := time.Duration(0)
 		full := false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -289,7 +289,7 @@
 				if g.Admit(n) {
 					waiting += n
 				} else {
-					turned += uint64(n)
+					rejected += uint64(n)
 				}
 			case 1:
 				waiting, since = rapid.IntRange(0, waiting).Draw(t, "left"), now
@@ -298,21 +298,21 @@
 				g.SetFull(now, full)
 			}
 			g.SetWaiting(now, waiting, since)
-			if waiting > set.MaxQueue || g.Lost != turned || g.AtRisk() != waiting {
-				t.Fatalf("%d of %d wait, %d lost of %d turned away", waiting, set.MaxQueue, g.Lost, turned)
+			if waiting > set.MaxQueue || g.Lost != rejected || g.AtRisk() != waiting {
+				t.Fatalf("%d of %d items wait, %d counted as lost of %d rejected", waiting, set.MaxQueue, g.Lost, rejected)
 			}
 			if state, _ := g.State(); full != (state == Full) || full && g.Accepting() != (set.OnFull == AcceptCalls) {
-				t.Fatalf("full %v, state %v, open %v", full, state, g.Accepting())
+				t.Fatalf("full %v, state %v, accepting %v", full, state, g.Accepting())
 			}
 		}
 		g.SetFull(now, false)
 		g.SetWaiting(now, 0, now)
 		if state, _ := g.State(); state != Healthy || !g.Accepting() {
-			t.Fatalf("all well, and %v", state)
+			t.Fatalf("disk is healthy, but the state is %v", state)
 		}
 		g.SetFailed(now)
 		if g.Accepting() || g.Admit(1) {
-			t.Fatal("a failed disk takes records")
+			t.Fatal("the gate admits items after the disk has failed")
 		}
 	})
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -5,174 +5,180 @@
 	"time"
 )
 
-// WriterOptions set a Writer.
+// WriterOptions configures a Writer.
 type WriterOptions[T any] struct {
 	Gate GateSettings
-	// MaxBatch is the most items of one commit.
+	// MaxBatch is the maximum number of items per commit.
 	MaxBatch int
-	// BatchDelay is how long a commit waits for more items to come together; 0 is not at all: while one commit is on its
-	// way, what comes gathers for the next.
+	// BatchDelay is how long a commit waits for more items after the first one. With 0, items still form batches: those
+	// submitted during a commit wait for the next one.
 	BatchDelay time.Duration
-	// Build puts items into a batch, in order; it is called on the writer's goroutine only.
+	// Build writes items into a batch, in order; it is called on the writer's goroutine only.
 	Build func(b *Batch, items []T) error
-	// OnDurable is told how many items were durable in all after each commit; on the writer's goroutine.
+	// OnDurable is called after each commit with the number of durable items since the start, on the writer's goroutine.
 	OnDurable func(upTo uint64)
-	// OnIdle is called when nothing has come for a while; what it puts into the batch is committed.
+	// OnIdle is called at each IdleInterval in which no items wait; what it writes into the batch is committed.
 	OnIdle       func(b *Batch)
 	IdleInterval time.Duration
-	Now          func() time.Duration // a monotonic clock
+	Now          func() time.Duration // monotonic clock
 }
 
-// Writer commits items in batches beside its users, who never wait for the disk.
+// Writer commits items in batches on its own goroutine, so that its users never wait for the disk. Its methods may be called
+// concurrently.
 type Writer[T any] struct {
 	opt   WriterOptions[T]
 	store *Store
 
-	mu     sync.Mutex
-	gate   *Gate
-	queue  []T
-	came   []time.Duration // when each of the queue came
-	taken  uint64          // items ever queued
-	out    int             // of them in the commit that is on its way
-	outAt  time.Duration   // when its oldest came
-	commit uint64          // commits made
-	wake   chan struct{}
-	ended  bool
-	done   chan struct{}
-	err    error
+	mu            sync.Mutex
+	gate          *Gate
+	queue         []T
+	queuedAt      []time.Duration // when each item of queue was submitted
+	accepted      uint64          // items queued since the start
+	inFlight      int             // items in the current commit, which are no longer in queue
+	inFlightSince time.Duration   // when the oldest of them was submitted
+	commits       uint64          // commits done
+	wake          chan struct{}
+	closed        bool
+	done          chan struct{}
+	err           error
 }
 
-// NewWriter starts a writer. The store's Full and Broken have to be handed on to it.
+// NewWriter starts a writer. The caller has to pass the store's OnFull and OnFailure calls on to SetFull and SetFailed.
 func NewWriter[T any](s *Store, o WriterOptions[T]) *Writer[T] {
 	w := &Writer[T]{opt: o, store: s, gate: NewGate(o.Gate), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Submit queues items; their tickets end with the returned one. false: they are lost, and counted as such.
+// Submit queues items and returns the ticket of the last one, which is the number of items queued since the start. If ok is
+// false, the items are lost and counted as lost.
 func (w *Writer[T]) Submit(items ...T) (ticket uint64, ok bool) {
 	now := w.opt.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.look(now)
-	if w.ended || !w.gate.Admit(len(items)) {
-		return w.taken, false
+	w.updateGate(now)
+	if w.closed || !w.gate.Admit(len(items)) {
+		return w.accepted, false
 	}
 	w.queue = append(w.queue, items...)
 	for range items {
-		w.came = append(w.came, now)
+		w.queuedAt = append(w.queuedAt, now)
 	}
-	w.taken += uint64(len(items))
-	w.nudge()
-	return w.taken, true
+	w.accepted += uint64(len(items))
+	w.signal()
+	return w.accepted, true
 }
 
-func (w *Writer[T]) nudge() {
+// signal wakes the writer's goroutine.
+func (w *Writer[T]) signal() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// look tells the gate what waits.
-func (w *Writer[T]) look(now time.Duration) {
+// updateGate passes the number of waiting items and the age of the oldest to the gate. w.mu must be held.
+func (w *Writer[T]) updateGate(now time.Duration) {
 	oldest := now
 	switch {
-	case w.out > 0:
-		oldest = w.outAt
-	case len(w.came) > 0:
-		oldest = w.came[0]
+	case w.inFlight > 0:
+		oldest = w.inFlightSince
+	case len(w.queuedAt) > 0:
+		oldest = w.queuedAt[0]
 	}
-	w.gate.SetWaiting(now, len(w.queue)+w.out, oldest)
+	w.gate.SetWaiting(now, len(w.queue)+w.inFlight, oldest)
 }
 
-// SetFull hands on that the disk filled up or has room again.
+// SetFull records that the disk is full or has free space again.
 func (w *Writer[T]) SetFull(full bool) {
 	w.mu.Lock()
 	w.gate.SetFull(w.opt.Now(), full)
 	w.mu.Unlock()
 }
 
-// SetFailed hands on that the disk has failed.
+// SetFailed records that the disk has failed.
 func (w *Writer[T]) SetFailed(error) {
 	w.mu.Lock()
 	w.gate.SetFailed(w.opt.Now())
 	w.mu.Unlock()
 }
 
-// AddOverdue counts items that were taken for granted before they were durable.
+// AddOverdue counts n items on which the caller relied before they were durable.
 func (w *Writer[T]) AddOverdue(n int) {
 	w.mu.Lock()
 	w.gate.Overdue += uint64(n)
 	w.mu.Unlock()
 }
 
-// Status is how a Writer does.
+// Status is the state of a Writer.
 type Status struct {
 	State     State
-	Accepting bool // new calls are taken
-	Waiting   int  // items that a crash now would lose
-	Lost      uint64
-	Overdue   uint64
-	Taken     uint64
-	Commits   uint64
-	Err       error
+	Accepting bool   // new calls are accepted
+	Waiting   int    // items that a crash now would lose
+	Lost      uint64 // items lost because the queue was at its limit or the disk had failed
+	Overdue   uint64 // items on which the caller relied before they were durable
+	Taken     uint64 // items queued since the start
+	Commits   uint64 // commits done
+	Err       error  // error that ended the writer, if any
 }
 
-// Status looks at the writer.
+// Status returns the current state of the writer.
 func (w *Writer[T]) Status() Status {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.look(w.opt.Now())
+	w.updateGate(w.opt.Now())
 	state, _ := w.gate.State()
-	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.taken, w.commit, w.err}
+	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.accepted, w.commits, w.err}
 }
 
-// Close commits what waits, if the disk takes it, and ends the writer.
-func (w *Writer[T]) Close() error { return w.end(false) }
+// Close commits the waiting items, ends the writer and returns the error that ended it before, if any.
+func (w *Writer[T]) Close() error { return w.shutdown(false) }
 
-// Abort ends the writer as a crash would: what waits is lost.
-func (w *Writer[T]) Abort() { _ = w.end(true) }
+// Abort ends the writer as a crash would: waiting items are lost.
+func (w *Writer[T]) Abort() { _ = w.shutdown(true) }
 
-func (w *Writer[T]) end(drop bool) error {
+// shutdown ends the writer; drop discards waiting items.
+func (w *Writer[T]) shutdown(drop bool) error {
 	w.mu.Lock()
 	if drop {
-		w.queue, w.came = nil, nil
+		w.queue, w.queuedAt = nil, nil
 	}
-	w.ended = true
+	w.closed = true
 	w.mu.Unlock()
-	w.nudge()
+	w.signal()
 	<-w.done
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// take takes the next items to commit; false: the writer has ended.
-func (w *Writer[T]) take() (items []T, alive bool) {
+// nextBatch removes the items of the next commit from the queue. If running is false, the queue is empty and the writer is
+// to end.
+func (w *Writer[T]) nextBatch() (items []T, running bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := min(len(w.queue), w.opt.MaxBatch)
 	if n == 0 {
-		return nil, !w.ended
+		return nil, !w.closed
 	}
 	items = w.queue[:n:n]
-	w.out, w.outAt = n, w.came[0]
-	w.queue, w.came = w.queue[n:], w.came[n:]
+	w.inFlight, w.inFlightSince = n, w.queuedAt[0]
+	w.queue, w.queuedAt = w.queue[n:], w.queuedAt[n:]
 	if len(w.queue) == 0 {
-		w.queue, w.came = nil, nil // or the array behind grows for ever
+		w.queue, w.queuedAt = nil, nil // releases the underlying array, which would otherwise grow for ever
 	}
 	return items, true
 }
 
+// run commits batches until the writer ends.
 func (w *Writer[T]) run() {
 	defer close(w.done)
 	idle := time.NewTicker(max(w.opt.IdleInterval, time.Millisecond))
 	defer idle.Stop()
 	committed := uint64(0)
 	for {
-		items, alive := w.take()
-		if !alive {
+		items, running := w.nextBatch()
+		if !running {
 			return
 		}
 		if len(items) == 0 {
@@ -182,19 +188,19 @@
 					time.Sleep(w.opt.BatchDelay)
 				}
 			case <-idle.C:
-				if w.opt.OnIdle != nil && !w.write(func(b *Batch) error { w.opt.OnIdle(b); return nil }) {
+				if w.opt.OnIdle != nil && !w.commitBatch(func(b *Batch) error { w.opt.OnIdle(b); return nil }) {
 					return
 				}
 			}
 			continue
 		}
-		if !w.write(func(b *Batch) error { return w.opt.Build(b, items) }) {
+		if !w.commitBatch(func(b *Batch) error { return w.opt.Build(b, items) }) {
 			return
 		}
 		committed += uint64(len(items))
 		w.mu.Lock()
-		w.out = 0
-		w.commit++
+		w.inFlight = 0
+		w.commits++
 		w.mu.Unlock()
 		if w.opt.OnDurable != nil {
 			w.opt.OnDurable(committed)
@@ -202,8 +208,8 @@
 	}
 }
 
-// write commits one batch; false ends the writer.
-func (w *Writer[T]) write(build func(*Batch) error) bool {
+// commitBatch builds and commits one batch, and reports whether the writer can continue.
+func (w *Writer[T]) commitBatch(build func(*Batch) error) bool {
 	b := w.store.Batch()
 	err := build(b)
 	if err == nil {
@@ -219,7 +225,7 @@
 	w.mu.Lock()
 	w.err = err
 	w.gate.SetFailed(w.opt.Now())
-	w.ended = true
+	w.closed = true
 	w.mu.Unlock()
 	return false
 }
