--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -68,8 +68,9 @@
 	}
 	requirePositive(d, "rules.drain_grace", r.DrainGrace)
 	if r.DrainGrace > 0 && r.DrainGrace < 4*s.IAX.AcceptDelay {
-		d.Report("rules.drain_grace", "%v is under four times iax.accept_delay (%v): set-ups that arrived could not be distinguished "+
-			"from lost ones before the grace period ends", r.DrainGrace, s.IAX.AcceptDelay)
+		d.Report("rules.drain_grace",
+			"%v is under four times iax.accept_delay (%v): set-ups that arrived could not be distinguished "+
+				"from lost ones before the grace period ends", r.DrainGrace, s.IAX.AcceptDelay)
 	}
 	if r.ColdCapacity <= 0 || r.ColdCapacity > 1 {
 		d.Report("rules.cold_from", "%v is not a share above 0 and up to 1", r.ColdCapacity)
@@ -89,7 +90,7 @@
 }
 
 func (s *Settings) checkExchanges(d *tomlbind.Doc) {
-	seen, zones, own := map[int]bool{}, map[string]bool{}, false
+	seen, zones, foundOwn := map[int]bool{}, map[string]bool{}, false
 	for i, x := range s.Exchange {
 		key := fmt.Sprintf("exchange[%d]", i+1)
 		if x.Number < 0 {
@@ -99,7 +100,7 @@
 			d.Report(key+".number", "exchange %d is given twice", x.Number)
 		}
 		seen[x.Number] = true
-		own = own || x.Number == s.Router.Exchange
+		foundOwn = foundOwn || x.Number == s.Router.Exchange
 		if !zones[x.Zone] {
 			zones[x.Zone] = true
 			s.Zones = append(s.Zones, x.Zone)
@@ -112,7 +113,7 @@
 			}
 		}
 	}
-	if !own {
+	if !foundOwn {
 		d.Report("router.exchange", "exchange %d is not among the [[exchange]] tables", s.Router.Exchange)
 	}
 }
@@ -144,8 +145,8 @@
 		if c.Patience < 0 || c.Patience > c.Deadline {
 			d.Report(key+".patience", "%v is not from 0 to the deadline of %v", c.Patience, c.Deadline)
 		} else if c.Patience > 0 && c.Patience <= 2*s.Router.AnswerMargin {
-			d.Report(key+".patience", "%v leaves no time for the call: it must be above twice router.answer_margin (%v)", c.Patience,
-				s.Router.AnswerMargin)
+			d.Report(key+".patience", "%v leaves no time for the call: it must be above twice router.answer_margin (%v)",
+				c.Patience, s.Router.AnswerMargin)
 		}
 		if c.Value <= 0 {
 			d.Report(key+".worth", "%v must be above zero", c.Value)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,20 +35,20 @@
 	Records        Records    `toml:"records"`
 	HTTP           HTTP       `toml:"http"`
 	Log            Log        `toml:"log"`
-	OverShareValue float64    `toml:"over_share_worth"`
+	OverShareValue float64    `toml:"over_share_worth"` // value of calls beyond a tenant's share
 }
 
 // Router is the [router] table.
 type Router struct {
-	Exchange     int            `toml:"exchange"`
-	Listen       netip.AddrPort `toml:"listen"`
-	Routers      int            `toml:"routers"`
-	Seed         uint64         `toml:"seed"`
-	MaxCalls     int            `toml:"max_calls"`
-	AnswerMargin time.Duration  `toml:"answer_margin"`
-	DrainLimit   time.Duration  `toml:"drain_limit"`
-	DefaultClass string         `toml:"default_class"`
-	PointCode    uint32         `toml:"point_code"`
+	Exchange     int            `toml:"exchange"`      // number of the router's own exchange
+	Listen       netip.AddrPort `toml:"listen"`        // IPv4 address of the UDP socket
+	Routers      int            `toml:"routers"`       // routers in the network; 0 is one per [[exchange]]
+	Seed         uint64         `toml:"seed"`          // of random decisions; 0 is another one at each start
+	MaxCalls     int            `toml:"max_calls"`     // concurrent calls; 0 is unlimited
+	AnswerMargin time.Duration  `toml:"answer_margin"` // time before the end of the caller's patience at which the final answer is sent
+	DrainLimit   time.Duration  `toml:"drain_limit"`   // how long standing calls are kept after SIGTERM
+	DefaultClass string         `toml:"default_class"` // of calls that no class matches
+	PointCode    uint32         `toml:"point_code"`    // of the own exchange; 0 is its number plus one
 }
 
 // Rules is the [rules] table: the limits that the router's call-handling rules work with.
@@ -66,13 +66,13 @@
 // Class is one [[class]] table: a class of calls and how calls are recognised as belonging to it.
 type Class struct {
 	Name        string        `toml:"name"`
-	HoldTime    time.Duration `toml:"hold"`
-	Width       int           `toml:"width"`
-	SetupTarget time.Duration `toml:"aim"`
-	Deadline    time.Duration `toml:"deadline"`
-	Patience    time.Duration `toml:"patience"`
-	Value       float64       `toml:"worth"`
-	LateValue   float64       `toml:"late_worth"`
+	HoldTime    time.Duration `toml:"hold"`       // mean length of a call
+	Width       int           `toml:"width"`      // circuits per call on each group; 0 is 1
+	SetupTarget time.Duration `toml:"aim"`        // set-up time within which a call has its full value
+	Deadline    time.Duration `toml:"deadline"`   // how long the caller redials
+	Patience    time.Duration `toml:"patience"`   // time after which the caller abandons an attempt; 0 is the deadline
+	Value       float64       `toml:"worth"`      // of a call that is set up in time, relative to other classes
+	LateValue   float64       `toml:"late_worth"` // share of the value for a call set up after the target, 0 to 1
 	Users       []string      `toml:"users"`
 	Contexts    []string      `toml:"contexts"`
 	Prefixes    []string      `toml:"prefixes"`
@@ -81,7 +81,7 @@
 // Tenant is one [[tenant]] table: an owner of traffic with a quota.
 type Tenant struct {
 	Name     string   `toml:"name"`
-	Quota    float64  `toml:"quota"`
+	Quota    float64  `toml:"quota"` // calls per second over all routers; 0 is unlimited
 	Users    []string `toml:"users"`
 	Contexts []string `toml:"contexts"`
 	Prefixes []string `toml:"prefixes"`
@@ -97,14 +97,14 @@
 
 // Group is one [[group]] table: a trunk group of this router's exchange.
 type Group struct {
-	To       int            `toml:"to"`
+	To       int            `toml:"to"` // number of the neighbour exchange
 	Circuits int            `toml:"circuits"`
-	Peer     netip.AddrPort `toml:"peer"`
+	Peer     netip.AddrPort `toml:"peer"` // address that the neighbour's router sends from, besides that on the list
 	// Front is FrontIAX2 or FrontISUP; empty means FrontIAX2. The fields below apply to FrontISUP only.
 	Front     string           `toml:"front"`
-	PointCode uint32           `toml:"point_code"`
-	FirstCIC  int              `toml:"first_cic"`
-	Connect   []netip.AddrPort `toml:"connect"`
+	PointCode uint32           `toml:"point_code"` // of the neighbour; 0 is its number plus one
+	FirstCIC  int              `toml:"first_cic"`  // 0 is 1
+	Connect   []netip.AddrPort `toml:"connect"`    // associations that this end establishes
 }
 
 // Switch is the [switch] table: the circuits to the exchange's own switch if that uses ISUP. If front is empty, the
@@ -126,36 +126,36 @@
 // List is the [list] table: the source of the exchange list, either a file or a service-discovery API.
 type List struct {
 	File         string        `toml:"file"`
-	DiscoveryURL string        `toml:"register"`
-	Service      string        `toml:"service"`
-	Wait         time.Duration `toml:"wait"`
+	DiscoveryURL string        `toml:"register"` // of a service-discovery API in the form of Consul's
+	Service      string        `toml:"service"`  // name of the service there
+	Wait         time.Duration `toml:"wait"`     // of one blocking query
 }
 
 // IAX is the [iax] table: the parameters of the IAX2 endpoint.
 type IAX struct {
-	RetransmitInterval    time.Duration `toml:"retry_first"`
+	RetransmitInterval    time.Duration `toml:"retry_first"` // before the first retransmission; it doubles with each
 	MaxRetransmitInterval time.Duration `toml:"retry_max"`
 	MaxRetransmits        int           `toml:"retries"`
-	AckDelay              time.Duration `toml:"ack_delay"`
-	AcceptDelay           time.Duration `toml:"accept_delay"`
-	Linger                time.Duration `toml:"linger"`
-	PingInterval          time.Duration `toml:"ping_every"`
-	MaxRefresh            time.Duration `toml:"refresh"`
-	MaxDialogs            int           `toml:"max_dialogs"`
-	MaxPerHost            int           `toml:"max_per_host"`
-	CallTokens            bool          `toml:"call_tokens"`
-	Challenge             bool          `toml:"challenge"`
+	AckDelay              time.Duration `toml:"ack_delay"`    // how long an ACK waits to be carried by another frame
+	AcceptDelay           time.Duration `toml:"accept_delay"` // before ACCEPT is sent alone, if neither ANSWER nor REJECT came
+	Linger                time.Duration `toml:"linger"`       // how long a call number stays reserved after its call
+	PingInterval          time.Duration `toml:"ping_every"`   // on standing calls; 0 is never
+	MaxRefresh            time.Duration `toml:"refresh"`      // longest registration
+	MaxDialogs            int           `toml:"max_dialogs"`  // 1 to 32766
+	MaxPerHost            int           `toml:"max_per_host"` // dialogs per address that is no neighbour's; 0 is unlimited
+	CallTokens            bool          `toml:"call_tokens"`  // require call tokens, so that spoofed sources get no call numbers
+	Challenge             bool          `toml:"challenge"`    // authenticate the calls of subscribers
 }
 
 // M3UA is the [m3ua] table: the M3UA associations over TCP of groups with front = "isup".
 type M3UA struct {
 	Listen            netip.AddrPort `toml:"listen"`
-	Mode              string         `toml:"mode"`
-	RoutingContext    uint32         `toml:"routing_context"`
-	AckTimeout        time.Duration  `toml:"ack_wait"`
+	Mode              string         `toml:"mode"`            // "override" or "loadshare"
+	RoutingContext    uint32         `toml:"routing_context"` // 0 is none
+	AckTimeout        time.Duration  `toml:"ack_wait"`        // for the response to ASPUP and the like
 	MaxRetries        int            `toml:"retries"`
-	HeartbeatInterval time.Duration  `toml:"beat"`
-	MaxUnsentBytes    int            `toml:"max_out"`
+	HeartbeatInterval time.Duration  `toml:"beat"`    // the association is closed after two heartbeats without a response
+	MaxUnsentBytes    int            `toml:"max_out"` // unsent bytes at which the association is closed
 }
 
 // ISUP is the [isup] table: the circuits' timers (Q.764, annex A).
@@ -197,7 +197,8 @@
 		IAX: IAX{RetransmitInterval: 500 * time.Millisecond, MaxRetransmitInterval: 4 * time.Second, MaxRetransmits: 4,
 			AckDelay: 20 * time.Millisecond, AcceptDelay: 150 * time.Millisecond, Linger: 3 * time.Second,
 			PingInterval: 20 * time.Second, MaxRefresh: time.Minute, MaxDialogs: 32000, MaxPerHost: 2000, CallTokens: true},
-		M3UA: M3UA{Mode: "override", AckTimeout: 2 * time.Second, MaxRetries: 4, HeartbeatInterval: 5 * time.Second, MaxUnsentBytes: 256 << 10},
+		M3UA: M3UA{Mode: "override", AckTimeout: 2 * time.Second, MaxRetries: 4,
+			HeartbeatInterval: 5 * time.Second, MaxUnsentBytes: 256 << 10},
 		ISUP: ISUP{T1: 15 * time.Second, T5: 5 * time.Minute, T7: 20 * time.Second, T9: 90 * time.Second,
 			T12: 15 * time.Second, T13: 5 * time.Minute, T16: 15 * time.Second, T17: 5 * time.Minute},
 		Records: DefaultRecords(),
@@ -237,13 +238,14 @@
 
 // DecideSettings converts the settings to those of the decision module.
 func (s *Settings) DecideSettings() decide.Settings {
-	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers, OverShareValue: s.OverShareValue,
-		MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true, MaxRetryAfter: s.Rules.MaxRetryAfter,
-		ReleaseGuard: s.lengthenForDrift(s.Rules.ReleaseWait), ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity,
-		ColdDuration: s.Rules.ColdDuration, OverloadMultiple: s.Rules.OverloadMultiple}
+	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers,
+		OverShareValue: s.OverShareValue, MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true,
+		MaxRetryAfter: s.Rules.MaxRetryAfter, ReleaseGuard: s.lengthenForDrift(s.Rules.ReleaseWait),
+		ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity, ColdDuration: s.Rules.ColdDuration,
+		OverloadMultiple: s.Rules.OverloadMultiple}
 	for _, c := range s.Class {
-		d.Classes = append(d.Classes, decide.Class{HoldTime: c.HoldTime, Width: c.Width, SetupTarget: c.SetupTarget, Deadline: c.Deadline,
-			Value: c.Value, LateValue: c.LateValue})
+		d.Classes = append(d.Classes, decide.Class{HoldTime: c.HoldTime, Width: c.Width, SetupTarget: c.SetupTarget,
+			Deadline: c.Deadline, Value: c.Value, LateValue: c.LateValue})
 	}
 	for _, t := range s.Tenant {
 		d.Tenants = append(d.Tenants, decide.Tenant{Quota: t.Quota})
@@ -252,7 +254,7 @@
 }
 
 // OwnCircuits returns the number of circuits or lines of the exchange's own switch. If that is not set, it is the sum of
-// the trunk groups' circuits: with a default of 0 or 1, a switch in slow start would be limited to a single call.
+// the trunk groups' circuits, so that a switch in slow start is not treated as one with a single line.
 func (s *Settings) OwnCircuits() int {
 	if s.Switch.Circuits > 0 {
 		return s.Switch.Circuits
@@ -269,8 +271,9 @@
 	if s.Router.Seed != 0 {
 		seed = s.Router.Seed
 	}
-	c := call.Settings{Decide: s.DecideSettings(), Seed: seed, Groups: s.GroupSizes, OwnCircuits: s.OwnCircuits(), Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin,
-		DrainGrace: s.shortenForDrift(s.Rules.DrainGrace), MaxCalls: s.Router.MaxCalls}
+	c := call.Settings{Decide: s.DecideSettings(), Seed: seed, Groups: s.GroupSizes, OwnCircuits: s.OwnCircuits(),
+		Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin, DrainGrace: s.shortenForDrift(s.Rules.DrainGrace),
+		MaxCalls: s.Router.MaxCalls}
 	if s.Records.Dir != "" && s.Records.Answer == AnswerDurable {
 		c.DurableTimeout = s.Records.AnswerWait
 	}
@@ -295,9 +298,9 @@
 // ISUPGroups returns the trunk groups and, as the last one, the circuits to the exchange's own switch. Groups that use
 // IAX2 are included.
 func (s *Settings) ISUPGroups() []Group {
-	w := s.Switch
-	return append(slices.Clone(s.Group), Group{To: s.Router.Exchange, Circuits: w.Circuits, Front: w.Front, PointCode: w.PointCode,
-		FirstCIC: w.FirstCIC, Connect: w.Connect})
+	sw := s.Switch
+	return append(slices.Clone(s.Group), Group{To: s.Router.Exchange, Circuits: sw.Circuits, Front: sw.Front,
+		PointCode: sw.PointCode, FirstCIC: sw.FirstCIC, Connect: sw.Connect})
 }
 
 // ISUPConfig converts the groups with front = "isup" to the configuration of the ISUP front end.
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -15,8 +15,9 @@
 func (s *Settings) NodeSettings(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
 	x := &s.IAX
 	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
-		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay, AcceptDelay: x.AcceptDelay, Linger: x.Linger,
-		PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh, RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
+		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay,
+		AcceptDelay: x.AcceptDelay, Linger: x.Linger, PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh,
+		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
@@ -42,16 +43,18 @@
 
 // How call-core enumerations map to those of stored records.
 var (
-	cdrEnds       = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused, call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
-	cdrEndSources = [...]cdr.EndSource{call.EndedByRouter: cdr.EndedByRouter, call.EndedByCaller: cdr.EndedByCaller, call.EndedByFarEnd: cdr.EndedByFarEnd, call.EndedByLoss: cdr.EndedByLoss,
-		call.EndedByTimer: cdr.EndedByTimer}
+	cdrEnds = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused,
+		call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
+	cdrEndSources = [...]cdr.EndSource{call.EndedByRouter: cdr.EndedByRouter, call.EndedByCaller: cdr.EndedByCaller,
+		call.EndedByFarEnd: cdr.EndedByFarEnd, call.EndedByLoss: cdr.EndedByLoss, call.EndedByTimer: cdr.EndedByTimer}
 )
 
 // CallRecord converts a record of the call core to the stored form. clock converts monotonic times to wall-clock times.
 func (s *Settings) CallRecord(clock *cdr.Clock, id cdr.ID, r *call.Record) cdr.Record {
-	out := cdr.Record{ID: id, End: cdrEnds[r.End], Cause: uint8(r.Cause), EndSource: cdrEndSources[r.EndSource], Class: s.Class[r.Class].Name,
-		Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context, Front: r.Bearer.Front, Circuit: r.Bearer.Circuit,
-		Origin: r.Origin, Dest: r.Dest, Transit: r.Transit, Width: r.Width, Offered: clock.At(r.Offered)}
+	out := cdr.Record{ID: id, End: cdrEnds[r.End], Cause: uint8(r.Cause), EndSource: cdrEndSources[r.EndSource],
+		Class: s.Class[r.Class].Name, Called: r.Called, Calling: r.Calling, User: r.User, Context: r.Context,
+		Front: r.Bearer.Front, Circuit: r.Bearer.Circuit, Origin: r.Origin, Dest: r.Dest, Transit: r.Transit,
+		Width: r.Width, Offered: clock.At(r.Offered)}
 	if r.Tenant < len(s.Tenant) {
 		out.Tenant = s.Tenant[r.Tenant].Name
 	}
@@ -59,7 +62,8 @@
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		out.Attempts = append(out.Attempts, cdr.Attempt{Exchange: a.Exchange, Tandem: a.Tandem, Front: a.Bearer.Front,
-			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Took: a.Duration, Outcome: outcomeName(a.Outcome), Cause: uint8(a.Cause)})
+			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Took: a.Duration, Outcome: outcomeName(a.Outcome),
+			Cause: uint8(a.Cause)})
 		end = max(end, a.Sent+a.Duration)
 	}
 	if r.SetupTime > 0 {
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -37,14 +37,14 @@
 // Export is one [[records.export]] table.
 type Export struct {
 	Name       string        `toml:"name"`
-	To         string        `toml:"to"` // directory or URL of a tus receiver
-	Format     string        `toml:"format"`
-	MaxRecords int           `toml:"most"`  // records per batch
-	MinRecords int           `toml:"least"` // smaller batches wait
-	MaxWait    time.Duration `toml:"wait"`  // longest wait for a batch to reach least
-	TokenFile  string        `toml:"token_file"`
-	ChunkSize  int           `toml:"part"`    // bytes per request
-	Timeout    time.Duration `toml:"timeout"` // per request
+	To         string        `toml:"to"`         // directory or URL of a tus receiver
+	Format     string        `toml:"format"`     // "csv" (the default) or "parquet"
+	MaxRecords int           `toml:"most"`       // per batch; 0 is 10000
+	MinRecords int           `toml:"least"`      // records for which a batch is sent at once; 0 is 1000
+	MaxWait    time.Duration `toml:"wait"`       // after which a smaller batch is sent; 0 is 1 min
+	TokenFile  string        `toml:"token_file"` // file with the bearer token for a receiver; empty for none
+	ChunkSize  int           `toml:"part"`       // bytes per request; 0 is unlimited
+	Timeout    time.Duration `toml:"timeout"`    // per request; 0 is 30 s
 }
 
 // Values of records.answer.
@@ -82,7 +82,8 @@
 		d.Report("records.answer", "%q is none of %s, %s", r.Answer, AnswerDurable, AnswerAtOnce)
 	}
 	if r.AnswerWait <= 0 || r.AnswerWait > s.Router.AnswerMargin {
-		d.Report("records.answer_wait", "%v must be above 0 and at most router.answer_margin (%v)", r.AnswerWait, s.Router.AnswerMargin)
+		d.Report("records.answer_wait", "%v must be above 0 and at most router.answer_margin (%v)", r.AnswerWait,
+			s.Router.AnswerMargin)
 	}
 	for key, v := range map[string]string{"on_slow": r.OnSlow, "on_full": r.OnFull, "on_failed": r.OnFailed} {
 		if _, ok := policies[v]; !ok {
@@ -131,7 +132,8 @@
 			d.Report(key+".name", "name %q is empty or given twice", e.Name)
 		}
 		if e.To == "" || targets[e.To] {
-			d.Report(key+".to", "%q is empty or given twice; want a directory or a URL such as \"http://127.0.0.1:8080/files\"", e.To)
+			d.Report(key+".to",
+				"%q is empty or given twice; want a directory or a URL such as \"http://127.0.0.1:8080/files\"", e.To)
 		}
 		names[e.Name], targets[e.To] = true, true
 		if e.Format == "" {
@@ -145,7 +147,8 @@
 				d.Report(key+".to", "%q is not a URL such as \"http://127.0.0.1:8080/files\"", e.To)
 			}
 		}
-		for key, v := range map[string]*int{key + ".most": &e.MaxRecords, key + ".least": &e.MinRecords, key + ".part": &e.ChunkSize} {
+		for key, v := range map[string]*int{key + ".most": &e.MaxRecords, key + ".least": &e.MinRecords,
+			key + ".part": &e.ChunkSize} {
 			if *v < 0 {
 				d.Report(key, "%d is negative", *v)
 			}
