--- a/internal/registry/discovery.go
+++ b/internal/registry/discovery.go
@@ -31,22 +31,22 @@
 }
 
 const (
-	minRetryDelay    = 200 * time.Millisecond // delay after the first failed query; it doubles with each further failure
+	minRetryDelay    = 200 * time.Millisecond // delay after a first failed query, before jitter; doubled after each further one
 	maxRetryDelay    = 10 * time.Second       // upper limit of the retry delay, before jitter
 	maxResponseBytes = 8 << 20                // size limit of a response body
 )
 
 // Run queries the API until ctx ends. Failed queries are reported to onError and retried with exponential back-off.
-func (r DiscoveryClient) Run(ctx context.Context, onUpdate func(List), onError func(error)) {
-	client := r.Client
+func (c DiscoveryClient) Run(ctx context.Context, onUpdate func(List), onError func(error)) {
+	client := c.Client
 	if client == nil {
 		t := &http.Transport{MaxIdleConns: 1, IdleConnTimeout: time.Minute}
 		defer t.CloseIdleConnections()
-		client = &http.Client{Transport: t, Timeout: r.Wait + r.Wait/4 + 5*time.Second}
+		client = &http.Client{Transport: t, Timeout: c.Wait + c.Wait/4 + 5*time.Second}
 	}
 	var p Poller
 	for ctx.Err() == nil {
-		l, err := r.query(ctx, client, p.Index())
+		l, err := c.query(ctx, client, p.Index())
 		if err != nil && ctx.Err() != nil {
 			return
 		}
@@ -117,9 +117,9 @@
 }
 
 // query makes one blocking query.
-func (r DiscoveryClient) query(ctx context.Context, client *http.Client, index uint64) (List, error) {
-	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {r.Wait.String()}}
-	u := strings.TrimSuffix(r.URL, "/") + "/v1/health/service/" + url.PathEscape(r.Service) + "?" + q.Encode()
+func (c DiscoveryClient) query(ctx context.Context, client *http.Client, index uint64) (List, error) {
+	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {c.Wait.String()}}
+	u := strings.TrimSuffix(c.URL, "/") + "/v1/health/service/" + url.PathEscape(c.Service) + "?" + q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
 		return List{}, err
@@ -131,18 +131,18 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return List{}, fmt.Errorf("%s: %w", r.URL, err)
+		return List{}, fmt.Errorf("%s: %w", c.URL, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("%s: %s", r.URL, resp.Status)
+		return List{}, fmt.Errorf("%s: %s", c.URL, resp.Status)
 	}
 	newIndex, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return List{}, fmt.Errorf("%s: X-Consul-Index %q is not a number", r.URL, resp.Header.Get("X-Consul-Index"))
+		return List{}, fmt.Errorf("%s: X-Consul-Index %q is not a number", c.URL, resp.Header.Get("X-Consul-Index"))
 	}
 	var entries []healthEntry
 	if err := json.Unmarshal(body, &entries); err != nil {
-		return List{}, fmt.Errorf("%s: %w", r.URL, err)
+		return List{}, fmt.Errorf("%s: %w", c.URL, err)
 	}
 	return parseHealth(max(newIndex, 1), entries)
 }
--- a/internal/registry/file.go
+++ b/internal/registry/file.go
@@ -17,9 +17,10 @@
 	"pipitring/internal/tomlbind"
 )
 
-// Source provides the exchange list until its context ends. Run calls onUpdate with each new list and onError with each
-// error; after an error the last list stays valid and the source retries.
+// Source provides the exchange list.
 type Source interface {
+	// Run calls onUpdate with each new list and onError with each error until ctx ends. After an error the last list stays
+	// valid and the source retries.
 	Run(ctx context.Context, onUpdate func(List), onError func(error))
 }
 
@@ -28,6 +29,7 @@
 	Exchange []listDocumentEntry `toml:"exchange" json:"exchange"`
 }
 
+// listDocumentEntry is one exchange in a list file.
 type listDocumentEntry struct {
 	ID      string         `toml:"id" json:"id"`
 	Number  int            `toml:"number" json:"number"`
@@ -42,23 +44,23 @@
 type timestamp struct{ time.Time }
 
 // UnmarshalText parses a time in RFC 3339 or an empty text.
-func (s *timestamp) UnmarshalText(b []byte) (err error) {
+func (t *timestamp) UnmarshalText(b []byte) (err error) {
 	if len(b) == 0 {
-		s.Time = time.Time{}
+		t.Time = time.Time{}
 		return nil
 	}
-	if s.Time, err = time.Parse(time.RFC3339Nano, string(b)); err != nil {
+	if t.Time, err = time.Parse(time.RFC3339Nano, string(b)); err != nil {
 		return errors.New("not a time such as \"2026-12-01T14:00:00Z\"")
 	}
 	return nil
 }
 
 // MarshalText writes the time in RFC 3339 with nanoseconds, and the zero time as an empty text.
-func (s timestamp) MarshalText() ([]byte, error) {
-	if s.IsZero() {
+func (t timestamp) MarshalText() ([]byte, error) {
+	if t.IsZero() {
 		return nil, nil
 	}
-	return s.AppendFormat(nil, time.RFC3339Nano), nil
+	return t.AppendFormat(nil, time.RFC3339Nano), nil
 }
 
 // ParseFile parses a list: as JSON if name ends in .json, else as TOML.
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -36,73 +36,74 @@
 // processorStart is the estimated start of one processor, on the router's monotonic clock.
 type processorStart struct {
 	startedAt time.Duration
-	longAgo   bool // startedAt is not used: it started longer ago than any slow start lasts
-	stamp     time.Time
+	longAgo   bool      // startedAt is not used: it started longer ago than any slow start lasts
+	listed    time.Time // start time according to the list
 	phase     decide.Phase
 	removedAt time.Duration // when it was removed from the list; 0 means it is listed
 }
 
-// Update processes a list that was received at now on the monotonic clock and at wall on the wall clock. coldFor is the
+// Update processes a list that was received at now on the monotonic clock and at wall on the wall clock. coldDuration is the
 // duration of a slow start.
-func (s *StartTimes) Update(now time.Duration, wall time.Time, coldFor time.Duration, l *List) {
+func (s *StartTimes) Update(now time.Duration, wall time.Time, coldDuration time.Duration, l *List) {
 	if s.processors == nil {
 		s.processors = map[string]*processorStart{}
 	}
-	listed := make(map[string]bool, len(l.Entries))
+	onList := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		e := &l.Entries[i]
-		listed[e.ID] = true
-		x := s.processors[e.ID]
+		onList[e.ID] = true
+		p := s.processors[e.ID]
 		switch {
-		case x == nil:
-			x = &processorStart{}
-			s.processors[e.ID] = x
-			s.setStart(x, now, wall, coldFor, e.Started, s.listReceived)
-		case e.Started.After(x.stamp), e.Started.Before(x.stamp) && x.phase == decide.Removed && !e.Started.IsZero():
-			s.setStart(x, now, wall, coldFor, e.Started, !x.stamp.IsZero())
+		case p == nil:
+			p = &processorStart{}
+			s.processors[e.ID] = p
+			s.setStart(p, now, wall, coldDuration, e.Started, s.listReceived)
+		case e.Started.After(p.listed), e.Started.Before(p.listed) && p.phase == decide.Removed && !e.Started.IsZero():
+			s.setStart(p, now, wall, coldDuration, e.Started, !p.listed.IsZero())
 		}
-		if x.stamp.IsZero() || e.Started.After(x.stamp) || x.phase == decide.Removed {
-			x.stamp = e.Started
+		if p.listed.IsZero() || e.Started.After(p.listed) || p.phase == decide.Removed {
+			p.listed = e.Started
 		}
-		x.phase, x.removedAt = e.Phase, 0
+		p.phase, p.removedAt = e.Phase, 0
 	}
-	for id, x := range s.processors {
+	for id, p := range s.processors {
 		switch {
-		case listed[id]:
-		case x.removedAt == 0:
-			x.removedAt, x.phase = max(1, now), decide.Removed
-		case now-x.removedAt > forgetDelay:
+		case onList[id]:
+		case p.removedAt == 0:
+			p.removedAt, p.phase = max(1, now), decide.Removed
+		case now-p.removedAt > forgetDelay:
 			delete(s.processors, id)
 		}
 	}
 	s.listReceived = s.listReceived || len(l.Entries) > 0
 }
 
-// setStart estimates a start from its timestamp; seen means that this router observed the start.
-func (s *StartTimes) setStart(x *processorStart, now time.Duration, wall time.Time, coldFor time.Duration, stamp time.Time, seen bool) {
-	age := wall.Sub(stamp)
-	x.startedAt, x.longAgo = now, false
+// setStart estimates a start from the start time on the list; observed means that this router saw the processor start.
+func (s *StartTimes) setStart(p *processorStart, now time.Duration, wall time.Time, coldDuration time.Duration,
+	listed time.Time, observed bool) {
+	age := wall.Sub(listed)
+	p.startedAt, p.longAgo = now, false
 	switch {
-	case stamp.IsZero():
-		x.longAgo = !seen
-	case age < -coldFor:
+	case listed.IsZero():
+		p.longAgo = !observed
+	case age < -coldDuration:
 		s.Distrusted++
-		x.longAgo = !seen
+		p.longAgo = !observed
 	case age < 0:
-	case age < coldFor:
-		x.startedAt = now - age
-	case seen:
+	case age < coldDuration:
+		p.startedAt = now - age
+	case observed:
 		s.Distrusted++
 	default:
-		x.longAgo = true
+		p.longAgo = true
 	}
 }
 
 // Age returns how long before now a processor started, or LongAgo if it started long ago or was on no list.
 func (s *StartTimes) Age(now time.Duration, id string) time.Duration {
-	x := s.processors[id]
-	if x == nil || x.longAgo {
+	p := s.processors[id]
+	if p == nil || p.longAgo {
 		return LongAgo
 	}
-	return now - x.startedAt
+	return now - p.startedAt
 }
