--- a/internal/runtime/assoc.go
+++ b/internal/runtime/assoc.go
@@ -15,7 +15,7 @@
 
 const (
 	dialTimeout       = 3 * time.Second        // for the TCP connection of an association
-	minReconnectDelay = 200 * time.Millisecond // delay before the first reconnect; it doubles with each further one
+	minReconnectDelay = 200 * time.Millisecond // delay before a first reconnect, before jitter; doubled for each further one
 	maxReconnectDelay = 10 * time.Second       // upper limit of the reconnect delay, before jitter
 	stableAfter       = 5 * time.Second        // lifetime of an association that resets the reconnect delay
 	maxOutboundBytes  = 1 << 20                // unsent bytes at which the connection of a peer that does not read is closed
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// startAssociations starts a goroutine for each association that the settings have this end establish.
+// startAssociations starts a goroutine for each association that this end has to establish according to the settings.
 func (s *Server) startAssociations(ctx context.Context) {
 	for _, g := range s.set.ISUPGroups() {
 		if g.Front != config.FrontISUP {
--- a/internal/runtime/assoc_test.go
+++ b/internal/runtime/assoc_test.go
@@ -161,7 +161,7 @@
 			_, err = c.Read(buf)
 		}
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Errorf("%q kept its connection", b)
+			t.Errorf("%q left the connection open", b)
 		}
 		c.Close()
 	}
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -157,9 +157,9 @@
 
 // collectRecords reads the metrics of the record store and its exports.
 func (m *metrics) collectRecords(gauge func(*prometheus.Desc, float64, ...string), count func(*prometheus.Desc, uint64, ...string),
-	unproven uint64) {
+	overdue uint64) {
 	st := m.s.recorder.rec.Status()
-	count(descAnswersNotDurable, unproven)
+	count(descAnswersNotDurable, overdue)
 	gauge(descRecordsState, float64(st.State))
 	gauge(descRecordsAtRisk, float64(st.Waiting))
 	count(descRecordsLost, st.Lost)
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -24,7 +24,7 @@
 	s               *Server
 	rec             *records.Recorder
 	clock           cdr.Clock  // used on the event loop only
-	items           []cdr.Item // buffer, used on the event loop only
+	items           []cdr.Item // reused buffer; used on the event loop only
 	reportedOverdue uint64     // value of Core.Stats.AnsweredNotDurable that was last reported to the store
 
 	mu          sync.Mutex
@@ -45,9 +45,11 @@
 	if set.Dir == "" {
 		return nil
 	}
-	k := &recorder{s: s}
-	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.GateSettings(), MaxBatch: set.Batch, BatchDelay: set.BatchDelay,
-		HeartbeatInterval: set.HeartbeatInterval, Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute, OnDurable: k.onDurable, Now: s.now,
+	rc := &recorder{s: s}
+	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.GateSettings(),
+		MaxBatch: set.Batch, BatchDelay: set.BatchDelay, HeartbeatInterval: set.HeartbeatInterval,
+		Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute,
+		OnDurable: rc.onDurable, Now: s.now,
 		Log: func(level records.Level, text string, err error) {
 			[...]func(string, ...zap.Field){s.log.Info, s.log.Warn, s.log.Error}[level](text, zap.Error(err))
 		}}
@@ -58,11 +60,11 @@
 	if o.Exports, err = ExportOptions(s.set); err != nil {
 		return err
 	}
-	if k.rec, err = records.Open(o); err != nil {
+	if rc.rec, err = records.Open(o); err != nil {
 		return fmt.Errorf("records: %w", err)
 	}
-	s.recorder = k
-	st := k.rec.Status()
+	s.recorder = rc
+	st := rc.rec.Status()
 	s.log.Info("records opened", zap.String("dir", set.Dir), zap.Uint32("life", st.Incarnation), zap.Uint64("last", st.Last),
 		zap.Int("closed", st.RecoveredCalls), zap.Duration("took", st.RecoveryTime))
 	return nil
@@ -73,8 +75,8 @@
 	for i := range set.Records.Export {
 		e := &set.Records.Export[i]
 		x := records.ExportOptions{ExportSettings: cdr.ExportSettings{Target: e.Name, Router: uint32(set.Router.Exchange),
-			Format: cdr.Format(e.Format), MaxRecords: e.MaxRecords, MinRecords: e.MinRecords, MaxWait: e.MaxWait, MinRetryDelay: time.Second, MaxRetryDelay: time.Minute,
-			KeepBatches: 1000}, ChunkSize: e.ChunkSize, Timeout: e.Timeout}
+			Format: cdr.Format(e.Format), MaxRecords: e.MaxRecords, MinRecords: e.MinRecords, MaxWait: e.MaxWait,
+			MinRetryDelay: time.Second, MaxRetryDelay: time.Minute, KeepBatches: 1000}, ChunkSize: e.ChunkSize, Timeout: e.Timeout}
 		if x.Token, err = e.ReadToken(); err != nil {
 			return nil, fmt.Errorf("records.export %q: %w", e.Name, err)
 		}
@@ -88,23 +90,23 @@
 }
 
 // watchDisk polls the disk's state until ctx ends, logs changes, and suspends or resumes new calls on the event loop.
-func (k *recorder) watchDisk(ctx context.Context) {
+func (rc *recorder) watchDisk(ctx context.Context) {
 	t := time.NewTicker(diskPollInterval)
 	defer t.Stop()
-	state, open := k.rec.DiskStatus().State, true
+	state, open := rc.rec.DiskStatus().State, true
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		st := k.rec.DiskStatus()
+		st := rc.rec.DiskStatus()
 		// Do fails if the event loop has ended or is slow; in the latter case the next poll tries again.
-		if st.Accepting != open && k.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Accepting) }) == nil {
+		if st.Accepting != open && rc.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Accepting) }) == nil {
 			open = st.Accepting
 		}
 		if st.State != state {
-			k.s.log.Warn("records: disk state changed", zap.Stringer("from", state), zap.Stringer("to", st.State),
+			rc.s.log.Warn("records: disk state changed", zap.Stringer("from", state), zap.Stringer("to", st.State),
 				zap.Bool("new_calls", st.Accepting), zap.Int("at_risk", st.Waiting), zap.Uint64("lost", st.Lost))
 			state = st.State
 		}
@@ -112,58 +114,59 @@
 }
 
 // submit passes the core's records to the record store; it runs on the event loop.
-func (k *recorder) submit(now time.Duration, made []call.Record) {
-	k.clock.Observe(now, time.Now())
-	if unproven := k.s.node.Core.Stats.AnsweredNotDurable; unproven != k.reportedOverdue {
-		k.rec.AddOverdue(int(unproven - k.reportedOverdue))
-		k.reportedOverdue = unproven
+func (rc *recorder) submit(now time.Duration, recs []call.Record) {
+	rc.clock.Observe(now, time.Now())
+	if overdue := rc.s.node.Core.Stats.AnsweredNotDurable; overdue != rc.reportedOverdue {
+		rc.rec.AddOverdue(int(overdue - rc.reportedOverdue))
+		rc.reportedOverdue = overdue
 	}
-	if len(made) == 0 {
+	if len(recs) == 0 {
 		return
 	}
-	k.items = k.items[:0]
-	for i := range made {
-		k.items = append(k.items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: k.s.set.CallRecord(&k.clock, k.rec.ID(made[i].CallSeq), &made[i])})
+	rc.items = rc.items[:0]
+	for i := range recs {
+		rc.items = append(rc.items, cdr.Item{Open: recs[i].Kind == call.AnswerRecord,
+			Record: rc.s.set.CallRecord(&rc.clock, rc.rec.ID(recs[i].CallSeq), &recs[i])})
 	}
-	last := made[len(made)-1].RecordSeq
-	k.mu.Lock()
-	ticket, ok := k.rec.Submit(k.items...)
+	last := recs[len(recs)-1].RecordSeq
+	rc.mu.Lock()
+	ticket, ok := rc.rec.Submit(rc.items...)
 	if ok {
-		k.tickets = append(k.tickets, pendingTicket{ticket, last})
+		rc.tickets = append(rc.tickets, pendingTicket{ticket, last})
 	}
-	k.mu.Unlock()
-	clear(k.items) // do not retain the strings, which the record store now owns
+	rc.mu.Unlock()
+	clear(rc.items) // do not retain the strings, which the record store now owns
 }
 
-// onDurable is called on the record store's goroutine when records up to a ticket are durable. One task on the event loop
-// is pending at most, for all tickets that become durable until it runs.
-func (k *recorder) onDurable(upTo uint64) {
-	k.mu.Lock()
-	for len(k.tickets) > 0 && k.tickets[0].recorder <= upTo {
-		k.durable = k.tickets[0].core
-		k.tickets = k.tickets[1:]
+// onDurable is called on the record store's goroutine when records up to a ticket are durable. It passes this on to the
+// event loop; at most one task for that is pending, which covers all tickets that become durable until it runs.
+func (rc *recorder) onDurable(upTo uint64) {
+	rc.mu.Lock()
+	for len(rc.tickets) > 0 && rc.tickets[0].recorder <= upTo {
+		rc.durable = rc.tickets[0].core
+		rc.tickets = rc.tickets[1:]
 	}
-	wake := !k.wakePending
-	k.wakePending = true
-	k.mu.Unlock()
+	wake := !rc.wakePending
+	rc.wakePending = true
+	rc.mu.Unlock()
 	if !wake {
 		return
 	}
 	// Execute fails only after the event loop has ended; then no answer is pending.
-	_ = k.s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		k.mu.Lock()
-		k.wakePending = false
-		ticket := k.durable
-		k.mu.Unlock()
-		now := k.s.now()
-		k.s.node.MarkDurable(now, ticket)
-		k.s.finishTurn(now)
+	_ = rc.s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		rc.mu.Lock()
+		rc.wakePending = false
+		ticket := rc.durable
+		rc.mu.Unlock()
+		now := rc.s.now()
+		rc.s.node.MarkDurable(now, ticket)
+		rc.s.finishTurn(now)
 		return nil
 	}))
 }
 
 // serveRecords responds with the stored records as lines of JSON, filtered by the id parameter if it is given.
-func (k *recorder) serveRecords(w http.ResponseWriter, q *http.Request) {
+func (rc *recorder) serveRecords(w http.ResponseWriter, q *http.Request) {
 	filter := cdr.Filter{}
 	if text := q.URL.Query().Get("id"); text != "" {
 		id, err := cdr.ParseID(text)
@@ -175,10 +178,11 @@
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
-	err := filter.Each(k.rec.Store(), func(n uint64, err error) {
-		k.s.log.Error("records: stored record cannot be read; skipping it", zap.Uint64("number", n), zap.Error(err))
+	err := filter.Each(rc.rec.Store(), func(n uint64, err error) {
+		rc.s.log.Error("records: stored record cannot be read; skipping it", zap.Uint64("number", n), zap.Error(err))
 	}, func(_ uint64, r *cdr.Record) error { return enc.Encode(r) })
 	if err != nil && !errors.Is(err, context.Canceled) {
-		k.s.log.Warn("records: listing for an HTTP client failed", zap.Error(err)) // for example because the client disconnected
+		// For example because the client has disconnected.
+		rc.s.log.Warn("records: listing for an HTTP client failed", zap.Error(err))
 	}
 }
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -45,16 +45,16 @@
 	log              *zap.Logger
 	metrics          *metrics
 	node             *node.Node
-	start            time.Time
+	start            time.Time // zero of the router's clock
 	engine           gnet.Engine
-	addr             netip.AddrPort
-	fd               int
-	batch            *batcher
+	addr             netip.AddrPort // of the UDP socket
+	fd               int            // duplicate descriptor of the UDP socket
+	batch            *batcher       // on fd
 	loop             gnet.EventLoop // set by the first datagram, which OnBoot sends
-	wake             waker
-	ready            chan struct{} // closed when loop is set
-	done             chan struct{} // closed when the event loop has ended
-	runErr           error
+	wake             waker          // timer of the event loop
+	ready            chan struct{}  // closed when loop is set
+	done             chan struct{}  // closed when the event loop has ended
+	runErr           error          // error that ended the event loop; to be read after done is closed
 	stopped          atomic.Bool
 	listReceivedAt   atomic.Int64 // when the exchange list was last received, on the router's clock; 0 is never
 	draining         atomic.Bool
@@ -76,7 +76,8 @@
 	if err := checkAddrFree(set.Router.Listen); err != nil {
 		return nil, fmt.Errorf("listening on %v: %w", set.Router.Listen, err)
 	}
-	s.node = node.New(set.NodeSettings(rand.Uint64(), rand.Uint64, func(number string) bool { return s.node.Core.HasRoute(number) }))
+	s.node = node.New(set.NodeSettings(rand.Uint64(), rand.Uint64,
+		func(number string) bool { return s.node.Core.HasRoute(number) }))
 	if err := s.openRecords(); err != nil {
 		return nil, err
 	}
@@ -164,7 +165,7 @@
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
 // OnBoot duplicates the descriptor of the UDP socket, for batches and for datagrams that are not sent in response to one.
-// It sends the first datagram to the own socket, because gnet provides the event loop only in the callback for a datagram.
+// It sends a first datagram to this socket itself, because the event loop is known only in the callback for a datagram.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
 	s.engine = eng
 	fd, err := eng.DupListener("udp", s.set.Router.Listen.String())
@@ -308,7 +309,7 @@
 // onListError counts and logs an error of the list's source, which retries.
 func (s *Server) onListError(err error) {
 	s.metrics.listErrors.Inc()
-	s.log.Warn("exchange list not updated; keeping the last one", zap.Error(err))
+	s.log.Warn("exchange list source failed; keeping the last list", zap.Error(err))
 }
 
 // Reload applies the dial plan, group sizes and call limit of new settings to calls from now on.
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -138,8 +138,8 @@
 	return s
 }
 
-// told waits until the router has a list.
-func told(t *testing.T, s *Server) {
+// awaitList waits until the router has received a list.
+func awaitList(t *testing.T, s *Server) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); s.listReceivedAt.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -151,7 +151,7 @@
 func TestCallOverSockets(t *testing.T) {
 	far, caller := newPeer(t), newPeer(t)
 	s := start(t, settings(t, listOf(far.addr()), ""))
-	told(t, s)
+	awaitList(t, s)
 	to, _ := iax2.AddrFrom(s.Addr())
 	d, err := caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15", Calling: "9"})
 	if err != nil {
@@ -187,7 +187,7 @@
 func TestDrain(t *testing.T) {
 	far, caller := newPeer(t), newPeer(t)
 	s := start(t, settings(t, listOf(far.addr()), ""))
-	told(t, s)
+	awaitList(t, s)
 	to, _ := iax2.AddrFrom(s.Addr())
 	d, _ := caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15"})
 	caller.flush()
@@ -227,7 +227,7 @@
 	at := ln.Addr().String()
 	ln.Close()
 	s := start(t, settings(t, listOf(newPeer(t).addr()), fmt.Sprintf("[http]\nlisten = %q", at)))
-	told(t, s)
+	awaitList(t, s)
 	get := func(path string) (int, string) {
 		resp, err := http.Get("http://" + at + path)
 		if err != nil {
