--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -51,7 +51,7 @@
 	MemTableSize      uint64        // see store.Options
 	Exports           []ExportOptions
 	Retention         time.Duration       // retention of records that every export has confirmed
-	DiskLimit         uint64              // bytes above which confirmed records are deleted before their retention ends; 0 is no limit
+	DiskLimit         uint64              // bytes above which confirmed records are deleted early; 0 is unlimited
 	TrimInterval      time.Duration       // interval of deletions; 0 is never
 	OnDurable         func(ticket uint64) // called on the writer's goroutine when items up to a ticket are durable
 	Log               func(level Level, text string, err error)
@@ -118,8 +118,10 @@
 	}
 	r := &Recorder{opt: o}
 	var err error
-	r.store, err = store.Open(store.Options{Dir: o.Dir, FS: o.FS, Owner: OwnerName(o.Router), Schema: Schema(), FullRetryInterval: o.FullRetryInterval,
-		MemTableSize: o.MemTableSize, OnDamage: func(text string) { o.Log(Error, "records: "+text, nil) }, OnFull: r.onDiskFull, OnFailure: r.onDiskFailure})
+	r.store, err = store.Open(store.Options{Dir: o.Dir, FS: o.FS, Owner: OwnerName(o.Router), Schema: Schema(),
+		FullRetryInterval: o.FullRetryInterval, MemTableSize: o.MemTableSize,
+		OnDamage: func(text string) { o.Log(Error, "records: "+text, nil) },
+		OnFull:   r.onDiskFull, OnFailure: r.onDiskFailure})
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +253,8 @@
 
 // Status returns the current state of the records.
 func (r *Recorder) Status() Status {
-	s := Status{Status: r.DiskStatus(), Last: r.lastDurable.Load(), Incarnation: r.ledger.Incarnation(), RecoveredCalls: r.recoveredCalls, RecoveryTime: r.recoveryTime}
+	s := Status{Status: r.DiskStatus(), Last: r.lastDurable.Load(), Incarnation: r.ledger.Incarnation(),
+		RecoveredCalls: r.recoveredCalls, RecoveryTime: r.recoveryTime}
 	if s.State != store.Failed {
 		s.Bytes = r.store.Size()
 	}
@@ -301,7 +304,8 @@
 		if err != nil {
 			// The router runs without this export. Its records are retained until its target can be opened at a later start.
 			r.opt.Log(Error, "export "+o.Target+" is disabled until a restart: its target cannot be opened", err)
-			r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(), Batches: e.BatchCount(), Err: err.Error()})
+			r.exports = append(r.exports, ExportStatus{Target: o.Target, LastConfirmed: e.LastConfirmed(),
+				Batches: e.BatchCount(), Err: err.Error()})
 			r.flushSignals = append(r.flushSignals, nil)
 			continue
 		}
@@ -428,7 +432,8 @@
 		}
 		if wasOver := overLimit; r.opt.DiskLimit > 0 {
 			if overLimit = r.store.Size() > r.opt.DiskLimit; overLimit && !wasOver {
-				r.opt.Log(Error, "records: store is over records.disk_limit, but no more records are confirmed by every export", nil)
+				r.opt.Log(Error,
+					"records: store is over records.disk_limit, but no more records are confirmed by every export", nil)
 			}
 		}
 	}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -34,79 +34,81 @@
 }
 
 func newHarness(t *testing.T, fs vfs.FS) *harness {
-	b := &harness{t: t, wall: day, more: make(chan struct{}, 1)}
-	b.opt = Options{Dir: "records", FS: fs, Router: 3, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20}, MaxBatch: 64,
+	h := &harness{t: t, wall: day, more: make(chan struct{}, 1)}
+	h.opt = Options{Dir: "records", FS: fs, Router: 3,
+		Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20}, MaxBatch: 64,
 		HeartbeatInterval: time.Hour, FullRetryInterval: time.Millisecond, OnDurable: func(upTo uint64) {
-			b.mu.Lock()
-			b.done = upTo
-			b.mu.Unlock()
+			h.mu.Lock()
+			h.done = upTo
+			h.mu.Unlock()
 			select {
-			case b.more <- struct{}{}:
+			case h.more <- struct{}{}:
 			default:
 			}
 		}, Wall: func() time.Time {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			return b.wall
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			return h.wall
 		}}
-	return b
+	return h
 }
 
-func (b *harness) set(wall time.Time) {
-	b.mu.Lock()
-	b.wall = wall
-	b.mu.Unlock()
+func (h *harness) set(wall time.Time) {
+	h.mu.Lock()
+	h.wall = wall
+	h.mu.Unlock()
 }
 
-func (b *harness) open() {
-	b.t.Helper()
-	b.done = 0
+func (h *harness) open() {
+	h.t.Helper()
+	h.done = 0
 	var err error
-	if b.rec, err = Open(b.opt); err != nil {
-		b.t.Fatal(err)
+	if h.rec, err = Open(h.opt); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-func (b *harness) put(items ...cdr.Item) {
-	b.t.Helper()
-	ticket, ok := b.rec.Submit(items...)
+func (h *harness) put(items ...cdr.Item) {
+	h.t.Helper()
+	ticket, ok := h.rec.Submit(items...)
 	if !ok {
-		b.t.Fatal("not accepted")
+		h.t.Fatal("not accepted")
 	}
 	for limit := time.Now().Add(20 * time.Second); ; {
-		b.mu.Lock()
-		done := b.done
-		b.mu.Unlock()
+		h.mu.Lock()
+		done := h.done
+		h.mu.Unlock()
 		if done >= ticket {
 			return
 		}
 		select {
-		case <-b.more:
+		case <-h.more:
 		case <-time.After(time.Until(limit)):
-			b.t.Fatal("not durable within 20 s")
+			h.t.Fatal("not durable within 20 s")
 		}
 	}
 }
 
-func (b *harness) record(call uint64, end cdr.End, answered time.Time) cdr.Record {
-	return cdr.Record{ID: b.rec.ID(call), End: end, Class: "status", Called: fmt.Sprint("1", call), Calling: fmt.Sprint("9", call), Origin: -1,
+func (h *harness) record(call uint64, end cdr.End, answered time.Time) cdr.Record {
+	return cdr.Record{ID: h.rec.ID(call), End: end, Class: "status", Called: fmt.Sprint("1", call),
+		Calling: fmt.Sprint("9", call), Origin: -1,
 		Dest: 1, Width: 1, Offered: day, Answered: answered, Ended: day.Add(time.Minute)}
 }
 
-func (b *harness) audit() *cdr.Audit {
-	b.t.Helper()
-	a, err := cdr.Verify(b.rec.Store())
+func (h *harness) audit() *cdr.Audit {
+	h.t.Helper()
+	a, err := cdr.Verify(h.rec.Store())
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return a
 }
 
-func (b *harness) versions(id cdr.ID) []*cdr.Record {
-	b.t.Helper()
-	all, err := cdr.Versions(b.rec.Store(), id)
+func (h *harness) versions(id cdr.ID) []*cdr.Record {
+	h.t.Helper()
+	all, err := cdr.Versions(h.rec.Store(), id)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return all
 }
@@ -115,30 +117,31 @@
 // had ended are not changed. A wall clock that is set back between the incarnations must not make a duration negative.
 func TestRecoveryAfterKill(t *testing.T) {
 	for _, back := range []time.Duration{0, -2 * time.Hour} {
-		b := newHarness(t, crashfs.New())
-		b.open()
-		stood, ended := b.rec.ID(1), b.rec.ID(2)
-		b.put(cdr.Item{Open: true, Record: b.record(1, 0, day)}, cdr.Item{Open: true, Record: b.record(2, 0, day)},
-			cdr.Item{Record: b.record(2, cdr.Answered, day)})
-		b.rec.Abort()
-		b.set(day.Add(time.Hour + back))
-		b.open()
-		if b.rec.Status().RecoveredCalls != 1 || b.rec.Status().Incarnation != 2 {
-			t.Errorf("%+v", b.rec.Status())
+		h := newHarness(t, crashfs.New())
+		h.open()
+		stood, ended := h.rec.ID(1), h.rec.ID(2)
+		h.put(cdr.Item{Open: true, Record: h.record(1, 0, day)}, cdr.Item{Open: true, Record: h.record(2, 0, day)},
+			cdr.Item{Record: h.record(2, cdr.Answered, day)})
+		h.rec.Abort()
+		h.set(day.Add(time.Hour + back))
+		h.open()
+		if h.rec.Status().RecoveredCalls != 1 || h.rec.Status().Incarnation != 2 {
+			t.Errorf("%+v", h.rec.Status())
 		}
-		got := b.versions(stood)
-		if len(got) != 1 || got[0].EndSource != cdr.EndedByRecovery || got[0].End != cdr.Answered || got[0].Duration != 0 || got[0].LastSeen != day {
+		got := h.versions(stood)
+		if len(got) != 1 || got[0].EndSource != cdr.EndedByRecovery || got[0].End != cdr.Answered ||
+			got[0].Duration != 0 || got[0].LastSeen != day {
 			t.Errorf("closed as %+v", got)
 		}
-		if got := b.versions(ended); len(got) != 1 || got[0].EndSource == cdr.EndedByRecovery {
+		if got := h.versions(ended); len(got) != 1 || got[0].EndSource == cdr.EndedByRecovery {
 			t.Errorf("ended as %+v", got)
 		}
-		b.rec.Abort()
-		b.open()
-		if a := b.audit(); !a.Good() || a.Records != 2 || a.Open != 0 || b.rec.Status().RecoveredCalls != 0 {
+		h.rec.Abort()
+		h.open()
+		if a := h.audit(); !a.Good() || a.Records != 2 || a.Open != 0 || h.rec.Status().RecoveredCalls != 0 {
 			t.Errorf("after one more incarnation: %+v", a)
 		}
-		if err := b.rec.Close(); err != nil {
+		if err := h.rec.Close(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -150,44 +153,47 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &cdr.Tariffs{Currency: "AUD", Places: 2, Zone: time.UTC, List: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
+		return &cdr.Tariffs{Currency: "AUD", Places: 2, Zone: time.UTC,
+			List: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
 	}
-	b := newHarness(t, crashfs.New())
-	b.opt.Rater = price("1")
-	b.open()
-	b.put(cdr.Item{Record: b.record(1, cdr.Answered, day)})
-	l, err := cdr.OpenLedger(b.rec.Store(), 3, nil)
+	h := newHarness(t, crashfs.New())
+	h.opt.Rater = price("1")
+	h.open()
+	h.put(cdr.Item{Record: h.record(1, cdr.Answered, day)})
+	l, err := cdr.OpenLedger(h.rec.Store(), 3, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 { // the second rating changes nothing
-		batch := b.rec.Store().Batch()
-		if _, err := l.Rerate(batch, b.rec.ID(1), price("2")); err != nil {
+		batch := h.rec.Store().Batch()
+		if _, err := l.Rerate(batch, h.rec.ID(1), price("2")); err != nil {
 			t.Fatal(err)
 		}
-		if err := b.rec.Store().Commit(batch); err != nil {
+		if err := h.rec.Store().Commit(batch); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got := b.versions(b.rec.ID(1))
-	if len(got) != 2 || got[0].Charge.Amount != "1.00" || got[0].Charge.Tariff != "t1/1" || got[1].Charge.Amount != "2.00" || got[1].Version != 2 {
+	got := h.versions(h.rec.ID(1))
+	if len(got) != 2 || got[0].Charge.Amount != "1.00" || got[0].Charge.Tariff != "t1/1" ||
+		got[1].Charge.Amount != "2.00" || got[1].Version != 2 {
 		t.Errorf("%+v", got)
 	}
-	if _, err := l.Rerate(b.rec.Store().Batch(), cdr.ID{Router: 9}, price("2")); err == nil {
+	if _, err := l.Rerate(h.rec.Store().Batch(), cdr.ID{Router: 9}, price("2")); err == nil {
 		t.Error("a call without a record was rerated")
 	}
-	if err := b.rec.Close(); err != nil {
+	if err := h.rec.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
 // step runs one step of an export for a recorder that has no exports configured.
-func (b *harness) step(e *cdr.Export, target export.Target) (bool, error) {
-	sent, _, err := export.SendNext(b.t.Context(), e, target, b.rec.Status().Last, true, func() time.Time { return day }, Commit(b.rec.Store()))
+func (h *harness) step(e *cdr.Export, target export.Target) (bool, error) {
+	sent, _, err := export.SendNext(h.t.Context(), e, target, h.rec.Status().Last, true,
+		func() time.Time { return day }, Commit(h.rec.Store()))
 	return sent, err
 }
 
-func (b *harness) exportSettings(f cdr.Format) cdr.ExportSettings {
+func (h *harness) exportSettings(f cdr.Format) cdr.ExportSettings {
 	return cdr.ExportSettings{Target: "out", Router: 3, Format: f, MaxRecords: 10, MinRecords: 1, KeepBatches: 100}
 }
 
@@ -210,30 +216,31 @@
 		{"accepted, its confirmation and uploads lost", standin.ReceiverFaults{LoseAnswers: 1, Refuse: 0}, true, 1},
 	} {
 		for _, format := range []cdr.Format{cdr.CSV, cdr.Parquet} {
-			b := newHarness(t, crashfs.New())
-			b.open()
+			h := newHarness(t, crashfs.New())
+			h.open()
 			for call := range uint64(25) {
-				b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
+				h.put(cdr.Item{Record: h.record(call+1, cdr.Answered, day)})
 			}
 			r, err := standin.NewReceiver()
 			if err != nil {
 				t.Fatal(err)
 			}
 			tus := export.NewTus(r.URL(), "", 500, 5*time.Second)
-			e, err := cdr.OpenExport(b.rec.Store(), b.exportSettings(format))
+			e, err := cdr.OpenExport(h.rec.Store(), h.exportSettings(format))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.Set(c.faults)
 			for tries := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; tries++ {
 				if tries > 60 {
-					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name, e.BatchCount(), e.LastConfirmed())
+					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name,
+						e.BatchCount(), e.LastConfirmed())
 				}
-				if _, err := b.step(e, tus); err != nil && c.forget {
+				if _, err := h.step(e, tus); err != nil && c.forget {
 					r.DropUploads()
 				}
 				if tries%2 == 1 { // the exporter is killed after every second attempt
-					if e, err = cdr.OpenExport(b.rec.Store(), b.exportSettings(format)); err != nil {
+					if e, err = cdr.OpenExport(h.rec.Store(), h.exportSettings(format)); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -260,7 +267,7 @@
 			}
 			r.Close()
 			tus.Client.CloseIdleConnections()
-			if err := b.rec.Close(); err != nil {
+			if err := h.rec.Close(); err != nil {
 				t.Error(err)
 			}
 		}
@@ -275,62 +282,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newHarness(t, fs)
-	b.opt.Exports = []ExportOptions{{ExportSettings: b.exportSettings(cdr.CSV), Dir: "out"}}
-	b.open()
-	if st := b.rec.Status(); len(st.Exports) != 1 || !strings.Contains(st.Exports[0].Err, export.ErrLocked.Error()) {
+	h := newHarness(t, fs)
+	h.opt.Exports = []ExportOptions{{ExportSettings: h.exportSettings(cdr.CSV), Dir: "out"}}
+	h.open()
+	if st := h.rec.Status(); len(st.Exports) != 1 || !strings.Contains(st.Exports[0].Err, export.ErrLocked.Error()) {
 		t.Errorf("%+v", st.Exports)
 	}
-	b.put(cdr.Item{Record: b.record(1, cdr.Refused, time.Time{})})
-	if err := errors.Join(b.rec.Close(), first.Close()); err != nil {
+	h.put(cdr.Item{Record: h.record(1, cdr.Refused, time.Time{})})
+	if err := errors.Join(h.rec.Close(), first.Close()); err != nil {
 		t.Fatal(err)
 	}
-	b.open()
-	b.rec.Flush()
-	for limit := time.Now().Add(20 * time.Second); b.rec.Confirmed() < 1; time.Sleep(time.Millisecond) {
+	h.open()
+	h.rec.Flush()
+	for limit := time.Now().Add(20 * time.Second); h.rec.Confirmed() < 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("not exported within 20 s: %+v", b.rec.Status().Exports)
+			t.Fatalf("not exported within 20 s: %+v", h.rec.Status().Exports)
 		}
 	}
-	a := b.audit()
-	if err := a.VerifyFiles(b.rec.Store(), export.Files{FS: fs, Dir: "out"}, 3); err != nil || !a.Good() || a.Exported != 1 {
+	a := h.audit()
+	if err := a.VerifyFiles(h.rec.Store(), export.Files{FS: fs, Dir: "out"}, 3); err != nil || !a.Good() || a.Exported != 1 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if err := b.rec.Close(); err != nil {
+	if err := h.rec.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
 // Only records that every export has confirmed are deleted, and only once they are old enough.
 func TestTrim(t *testing.T) {
-	b := newHarness(t, crashfs.New())
-	b.open()
+	h := newHarness(t, crashfs.New())
+	h.open()
 	for call := range uint64(30) {
-		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
+		h.put(cdr.Item{Record: h.record(call+1, cdr.Answered, day)})
 	}
 	for _, c := range []struct {
 		upTo   uint64
 		before time.Time
 		want   uint64 // number of the first remaining record
-	}{{0, day.AddDate(1, 0, 0), 1}, {20, day, 1}, {20, day.Add(time.Hour), 21}, {20, day.Add(time.Hour), 21}, {30, day.Add(time.Hour), 31}} {
-		batch := b.rec.Store().Batch()
-		if _, err := cdr.Trim(b.rec.Store(), batch, c.upTo, c.before, 1000); err != nil {
+	}{{0, day.AddDate(1, 0, 0), 1}, {20, day, 1}, {20, day.Add(time.Hour), 21}, {20, day.Add(time.Hour), 21},
+		{30, day.Add(time.Hour), 31}} {
+		batch := h.rec.Store().Batch()
+		if _, err := cdr.Trim(h.rec.Store(), batch, c.upTo, c.before, 1000); err != nil {
 			t.Fatal(err)
 		}
-		if err := b.rec.Store().Commit(batch); err != nil {
+		if err := h.rec.Store().Commit(batch); err != nil {
 			t.Fatal(err)
 		}
-		if a := b.audit(); a.First != c.want || !a.Good() || a.Records != 31-c.want {
+		if a := h.audit(); a.First != c.want || !a.Good() || a.Records != 31-c.want {
 			t.Errorf("up to %d before %v: %+v", c.upTo, c.before, a)
 		}
 	}
-	b.rec.Abort()
-	b.open() // record numbers must continue, although no record is left
-	b.put(cdr.Item{Record: b.record(1, cdr.Refused, time.Time{})})
-	if a := b.audit(); a.First != 31 || a.Last != 31 || !a.Good() {
+	h.rec.Abort()
+	h.open() // record numbers must continue, although no record is left
+	h.put(cdr.Item{Record: h.record(1, cdr.Refused, time.Time{})})
+	if a := h.audit(); a.First != 31 || a.Last != 31 || !a.Good() {
 		t.Errorf("after a restart: %+v", a)
 	}
-	if err := b.rec.Close(); err != nil {
+	if err := h.rec.Close(); err != nil {
 		t.Error(err)
 	}
 }
@@ -339,14 +347,14 @@
 // damage, and lost records are reported as a gap or as damage.
 func TestBitFlips(t *testing.T) {
 	fs := crashfs.New()
-	b := newHarness(t, fs)
-	b.opt.MemTableSize = 32 << 10
-	b.open()
+	h := newHarness(t, fs)
+	h.opt.MemTableSize = 32 << 10
+	h.open()
 	const calls = 200
 	for call := range uint64(calls) {
-		b.put(cdr.Item{Record: b.record(call+1, cdr.Answered, day)})
+		h.put(cdr.Item{Record: h.record(call+1, cdr.Answered, day)})
 	}
-	b.rec.Abort()
+	h.rec.Abort()
 	names, err := fs.List("records")
 	if err != nil {
 		t.Fatal(err)
@@ -363,7 +371,8 @@
 				t.Fatal(err)
 			}
 			damage := ""
-			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(), OnDamage: func(text string) { damage = text }})
+			s, err := store.Open(store.Options{Dir: "records", FS: copied, Schema: Schema(),
+				OnDamage: func(text string) { damage = text }})
 			if err != nil {
 				damaged++
 				continue
@@ -402,28 +411,28 @@
 // The padding at the ends of blocks in a long log must not be taken for damage.
 func TestLongLogWithoutDamage(t *testing.T) {
 	fs := crashfs.New()
-	b := newHarness(t, fs)
-	b.open()
+	h := newHarness(t, fs)
+	h.open()
 	for call := uint64(1); call <= 3000; call += 5 { // records of many sizes, so that blocks end at many different offsets
 		var items []cdr.Item
 		for k := range uint64(5) {
-			r := b.record(call+k, cdr.Answered, day)
+			r := h.record(call+k, cdr.Answered, day)
 			r.User = strings.Repeat("u", int((call*7+k*13)%90))
 			items = append(items, cdr.Item{Record: r})
 		}
-		b.put(items...)
+		h.put(items...)
 	}
-	b.rec.Abort()
-	b.opt.Log = func(level Level, text string, err error) {
+	h.rec.Abort()
+	h.opt.Log = func(level Level, text string, err error) {
 		if level > Info {
 			t.Errorf("%s, %v", text, err)
 		}
 	}
-	b.open()
-	if a := b.audit(); !a.Good() || a.Records != 3000 {
+	h.open()
+	if a := h.audit(); !a.Good() || a.Records != 3000 {
 		t.Errorf("%+v", a)
 	}
-	if err := b.rec.Close(); err != nil {
+	if err := h.rec.Close(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -70,7 +70,7 @@
 	case g.full:
 		s = Full
 	case g.waiting > 0 && now-g.oldestAt > g.settings.SlowAfter, g.waiting > g.settings.MaxQueue/2,
-		g.state == Slow && g.waiting > g.settings.MaxQueue/4: // leaves Slow at a lower level than it enters it, so that it does not flap
+		g.state == Slow && g.waiting > g.settings.MaxQueue/4: // leaves Slow at half its entry level, to prevent flapping
 		s = Slow
 	}
 	if s != g.state {
--- a/internal/store/retryfs.go
+++ b/internal/store/retryfs.go
@@ -32,10 +32,10 @@
 }
 
 // close makes waiting operations fail with ErrClosing.
-func (h *retryFS) close() {
-	h.mu.Lock()
-	h.closed = true
-	h.mu.Unlock()
+func (r *retryFS) close() {
+	r.mu.Lock()
+	r.closed = true
+	r.mu.Unlock()
 }
 
 // isDiskFull reports whether an error means that the disk or a quota has no free space.
@@ -44,21 +44,21 @@
 }
 
 // retryWhileFull calls f until it does not fail because the disk is full.
-func (h *retryFS) retryWhileFull(f func() error) error {
+func (r *retryFS) retryWhileFull(f func() error) error {
 	err := f()
 	if err == nil || !isDiskFull(err) {
 		return err
 	}
-	h.addWaiting(1)
-	defer h.addWaiting(-1)
+	r.addWaiting(1)
+	defer r.addWaiting(-1)
 	for {
-		h.mu.Lock()
-		closed := h.closed
-		h.mu.Unlock()
+		r.mu.Lock()
+		closed := r.closed
+		r.mu.Unlock()
 		if closed {
 			return ErrClosing
 		}
-		time.Sleep(h.interval)
+		time.Sleep(r.interval)
 		if err = f(); err == nil || !isDiskFull(err) {
 			return err
 		}
@@ -66,25 +66,25 @@
 }
 
 // addWaiting changes the number of waiting operations by delta and calls onFull if it becomes or ceases to be zero.
-func (h *retryFS) addWaiting(delta int) {
-	h.mu.Lock()
-	before := h.waitingOps > 0
-	h.waitingOps += delta
-	after := h.waitingOps > 0
-	h.mu.Unlock()
+func (r *retryFS) addWaiting(delta int) {
+	r.mu.Lock()
+	before := r.waitingOps > 0
+	r.waitingOps += delta
+	after := r.waitingOps > 0
+	r.mu.Unlock()
 	if before != after {
-		h.onFull(after)
+		r.onFull(after)
 	}
 }
 
-func (h *retryFS) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	err = h.retryWhileFull(func() error { f, err = h.FS.Create(name, c); return err })
-	if err == nil && strings.HasPrefix(h.PathBase(name), "MANIFEST-") {
+func (r *retryFS) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
+	err = r.retryWhileFull(func() error { f, err = r.FS.Create(name, c); return err })
+	if err == nil && strings.HasPrefix(r.PathBase(name), "MANIFEST-") {
 		// The marker file that names the manifest is created later in the same directory. A crash may keep a later directory
 		// entry and lose an earlier one, which would leave a store that cannot be opened.
-		err = h.retryWhileFull(func() error { return SyncDir(h.FS, h.PathDir(name)) })
+		err = r.retryWhileFull(func() error { return SyncDir(r.FS, r.PathDir(name)) })
 	}
-	return h.wrapFile(f), err
+	return r.wrapFile(f), err
 }
 
 // SyncDir makes the entries of a directory durable.
@@ -116,37 +116,37 @@
 	return nil
 }
 
-func (h *retryFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (f vfs.File, err error) {
-	err = h.retryWhileFull(func() error { f, err = h.FS.OpenReadWrite(name, c, o...); return err })
-	return h.wrapFile(f), err
+func (r *retryFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (f vfs.File, err error) {
+	err = r.retryWhileFull(func() error { f, err = r.FS.OpenReadWrite(name, c, o...); return err })
+	return r.wrapFile(f), err
 }
 
-func (h *retryFS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
-	err = h.retryWhileFull(func() error { f, err = h.FS.ReuseForWrite(old, name, c); return err })
-	return h.wrapFile(f), err
+func (r *retryFS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
+	err = r.retryWhileFull(func() error { f, err = r.FS.ReuseForWrite(old, name, c); return err })
+	return r.wrapFile(f), err
 }
 
-func (h *retryFS) Link(old, name string) error {
-	return h.retryWhileFull(func() error { return h.FS.Link(old, name) })
+func (r *retryFS) Link(old, name string) error {
+	return r.retryWhileFull(func() error { return r.FS.Link(old, name) })
 }
 
-func (h *retryFS) Rename(old, name string) error {
-	return h.retryWhileFull(func() error { return h.FS.Rename(old, name) })
+func (r *retryFS) Rename(old, name string) error {
+	return r.retryWhileFull(func() error { return r.FS.Rename(old, name) })
 }
 
-func (h *retryFS) MkdirAll(dir string, perm os.FileMode) error {
-	return h.retryWhileFull(func() error { return h.FS.MkdirAll(dir, perm) })
+func (r *retryFS) MkdirAll(dir string, perm os.FileMode) error {
+	return r.retryWhileFull(func() error { return r.FS.MkdirAll(dir, perm) })
 }
 
 // Unwrap returns the underlying file system.
-func (h *retryFS) Unwrap() vfs.FS { return h.FS }
+func (r *retryFS) Unwrap() vfs.FS { return r.FS }
 
 // wrapFile returns a file whose writes are retried while the disk is full; nil for nil.
-func (h *retryFS) wrapFile(f vfs.File) vfs.File {
+func (r *retryFS) wrapFile(f vfs.File) vfs.File {
 	if f == nil {
 		return nil
 	}
-	return &retryFile{File: f, fs: h}
+	return &retryFile{File: f, fs: r}
 }
 
 // retryFile is an open file of a retryFS.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -77,10 +77,10 @@
 // pebbleLogger is pebble's logger: a fatal error marks the store as failed, all other lines are dropped.
 type pebbleLogger struct{ s *Store }
 
-func (w pebbleLogger) Infof(string, ...any)  {}
-func (w pebbleLogger) Errorf(string, ...any) {}
-func (w pebbleLogger) Fatalf(format string, args ...any) {
-	w.s.markFailed(fmt.Errorf(format, args...))
+func (l pebbleLogger) Infof(string, ...any)  {}
+func (l pebbleLogger) Errorf(string, ...any) {}
+func (l pebbleLogger) Fatalf(format string, args ...any) {
+	l.s.markFailed(fmt.Errorf(format, args...))
 	panic(fatalError{fmt.Sprintf(format, args...)})
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -117,8 +117,8 @@
 }
 
 func newHarness(t *testing.T, g GateSettings) *harness {
-	r := &harness{fs: crashfs.New(), more: make(chan struct{}, 1)}
-	began := time.Now()
+	h := &harness{fs: crashfs.New(), more: make(chan struct{}, 1)}
+	startedAt := time.Now()
 	var w *Writer[uint64]
 	var mu sync.Mutex
 	withWriter := func(f func(*Writer[uint64])) {
@@ -128,11 +128,12 @@
 			f(w)
 		}
 	}
-	r.s = open(t, Options{Dir: "d", FS: r.fs, FullRetryInterval: time.Millisecond,
+	h.s = open(t, Options{Dir: "d", FS: h.fs, FullRetryInterval: time.Millisecond,
 		OnFull:    func(full bool) { withWriter(func(w *Writer[uint64]) { w.SetFull(full) }) },
 		OnFailure: func(err error) { withWriter(func(w *Writer[uint64]) { w.SetFailed(err) }) }})
 	mu.Lock()
-	w = NewWriter(r.s, WriterOptions[uint64]{Gate: g, MaxBatch: 8, IdleInterval: time.Hour, Now: func() time.Duration { return time.Since(began) },
+	w = NewWriter(h.s, WriterOptions[uint64]{Gate: g, MaxBatch: 8, IdleInterval: time.Hour,
+		Now: func() time.Duration { return time.Since(startedAt) },
 		Build: func(b *Batch, items []uint64) error {
 			for _, i := range items {
 				b.Set(binary.BigEndian.AppendUint64([]byte("n"), i), []byte("v"))
@@ -140,31 +141,31 @@
 			return nil
 		},
 		OnDurable: func(upTo uint64) {
-			r.mu.Lock()
-			r.upTo = upTo
-			r.mu.Unlock()
+			h.mu.Lock()
+			h.upTo = upTo
+			h.mu.Unlock()
 			select {
-			case r.more <- struct{}{}:
+			case h.more <- struct{}{}:
 			default:
 			}
 		}})
 	mu.Unlock()
-	r.w = w
-	return r
+	h.w = w
+	return h
 }
 
 // await waits until n items are durable.
-func (r *harness) await(t *testing.T, n uint64) {
+func (h *harness) await(t *testing.T, n uint64) {
 	t.Helper()
 	for {
-		r.mu.Lock()
-		got := r.upTo
-		r.mu.Unlock()
+		h.mu.Lock()
+		got := h.upTo
+		h.mu.Unlock()
 		if got >= n {
 			return
 		}
 		select {
-		case <-r.more:
+		case <-h.more:
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%d of %d durable after 20 s", got, n)
 		}
@@ -172,10 +173,10 @@
 }
 
 // state waits until the disk's state is want, and returns the status.
-func (r *harness) state(t *testing.T, want State) Status {
+func (h *harness) state(t *testing.T, want State) Status {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if st := r.w.Status(); st.State == want {
+		if st := h.w.Status(); st.State == want {
 			return st
 		} else if time.Now().After(limit) {
 			t.Fatalf("%+v after 20 s, want %v", st, want)
@@ -186,44 +187,44 @@
 // The disk is full for a while under load. Meanwhile new calls must be rejected, queued items must wait, and none of them
 // may be lost.
 func TestDiskTemporarilyFull(t *testing.T) {
-	r := newHarness(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
-	r.w.Submit(1, 2, 3)
-	r.await(t, 3)
-	r.fs.SetHook(func(p crashfs.Point) error {
+	h := newHarness(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
+	h.w.Submit(1, 2, 3)
+	h.await(t, 3)
+	h.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "write" || p.Op == "create" {
 			return syscall.ENOSPC
 		}
 		return nil
 	})
 	for i := uint64(4); i <= 500; i++ {
-		if _, ok := r.w.Submit(i); !ok {
+		if _, ok := h.w.Submit(i); !ok {
 			t.Fatalf("item %d is not accepted", i)
 		}
 	}
-	if st := r.state(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
+	if st := h.state(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
 		t.Errorf("full: %+v", st)
 	}
-	r.fs.SetHook(nil)
-	r.await(t, 500)
-	if st := r.state(t, Healthy); !st.Accepting || st.Waiting != 0 {
+	h.fs.SetHook(nil)
+	h.await(t, 500)
+	if st := h.state(t, Healthy); !st.Accepting || st.Waiting != 0 {
 		t.Errorf("free space again: %+v", st)
 	}
-	if err := r.w.Close(); err != nil {
+	if err := h.w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	if err := r.s.Scan([]byte("n"), nil, func(_, _ []byte) error { n++; return nil }); err != nil || n != 500 {
+	if err := h.s.Scan([]byte("n"), nil, func(_, _ []byte) error { n++; return nil }); err != nil || n != 500 {
 		t.Errorf("%d items stored, want 500; %v", n, err)
 	}
-	if err := r.s.Close(); err != nil {
+	if err := h.s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
 // Items beyond the limit of the queue must be lost and counted.
 func TestQueueBound(t *testing.T) {
-	r := newHarness(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
-	r.fs.SetHook(func(p crashfs.Point) error {
+	h := newHarness(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
+	h.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "write" {
 			return syscall.ENOSPC
 		}
@@ -231,42 +232,42 @@
 	})
 	accepted := 0
 	for i := range uint64(30) {
-		if _, ok := r.w.Submit(i); ok {
+		if _, ok := h.w.Submit(i); ok {
 			accepted++
 		}
 	}
-	if st := r.w.Status(); accepted != 10 || st.Lost != 20 {
+	if st := h.w.Status(); accepted != 10 || st.Lost != 20 {
 		t.Errorf("%d items accepted, want 10; %+v", accepted, st)
 	}
-	r.fs.SetHook(nil)
-	r.await(t, 10)
-	_ = r.w.Close()
-	_ = r.s.Close()
+	h.fs.SetHook(nil)
+	h.await(t, 10)
+	_ = h.w.Close()
+	_ = h.s.Close()
 }
 
 // A disk that fails for good must end the writer, which reports this and accepts no more items.
 func TestDiskFails(t *testing.T) {
-	r := newHarness(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
-	r.w.Submit(1)
-	r.await(t, 1)
-	r.fs.SetHook(func(p crashfs.Point) error {
+	h := newHarness(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
+	h.w.Submit(1)
+	h.await(t, 1)
+	h.fs.SetHook(func(p crashfs.Point) error {
 		if p.Op == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	})
-	r.w.Submit(2)
-	if st := r.state(t, Failed); st.Accepting {
+	h.w.Submit(2)
+	if st := h.state(t, Failed); st.Accepting {
 		t.Errorf("%+v", st)
 	}
-	if _, ok := r.w.Submit(3); ok {
+	if _, ok := h.w.Submit(3); ok {
 		t.Error("an item was accepted after the disk had failed")
 	}
-	r.fs.SetHook(nil)
-	if err := r.w.Close(); err == nil {
+	h.fs.SetHook(nil)
+	if err := h.w.Close(); err == nil {
 		t.Error("closed without an error")
 	}
-	_ = r.s.Close()
+	_ = h.s.Close()
 }
 
 // For any sequence of disk states, the gate must not admit more items than the limit, must count the rejected ones, and must
