--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -169,7 +169,7 @@
 		requirePositive(d, key+".wait", e.MaxWait)
 		requirePositive(d, key+".timeout", e.Timeout)
 		if e.MinRecords > e.MaxRecords {
-			d.Report(key+".least", "%d records is over the most of a batch (%d)", e.MinRecords, e.MaxRecords)
+			d.Report(key+".least", "%d records is over the maximum of a batch (most = %d)", e.MinRecords, e.MaxRecords)
 		}
 	}
 }
@@ -194,6 +194,7 @@
 	Tariff   []tariff `toml:"tariff"`
 }
 
+// tariff is one [[tariff]] table: its rates apply from a local time on.
 type tariff struct {
 	Name    string `toml:"name"`
 	Version int    `toml:"version"`
@@ -201,6 +202,7 @@
 	Rate    []rate `toml:"rate"`
 }
 
+// rate is one [[tariff.rate]] table: the price of the calls that match its classes, tenants, days and hours.
 type rate struct {
 	Classes   []string      `toml:"classes"`
 	Tenants   []string      `toml:"tenants"`
@@ -283,7 +285,8 @@
 
 // convert validates a rate.
 func (r *rate) convert(d *tomlbind.Doc, key string) (out cdr.Rate) {
-	out = cdr.Rate{Classes: r.Classes, Tenants: r.Tenants, Minimum: r.Minimum, Step: r.Step, Free: r.Free, Emergency: r.Emergency}
+	out = cdr.Rate{Classes: r.Classes, Tenants: r.Tenants, Minimum: r.Minimum, Step: r.Step, Free: r.Free,
+		Emergency: r.Emergency}
 	var err error
 	for i, name := range r.Days {
 		day, err := cdr.ParseDay(name)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -132,8 +132,9 @@
 	r.recoveryTime = o.Now()
 	r.lastDurable.Store(r.ledger.LastNumber())
 	r.lastBuilt = r.ledger.LastNumber()
-	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch), BatchDelay: o.BatchDelay,
-		Build: r.buildBatch, OnDurable: r.onDurable, OnIdle: r.onIdle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
+	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch),
+		BatchDelay: o.BatchDelay,
+		Build:      r.buildBatch, OnDurable: r.onDurable, OnIdle: r.onIdle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
 	r.mu.Lock()
 	r.writer = w
 	w.SetFull(r.diskFull)
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -156,8 +156,8 @@
 }
 
 // collectRecords reads the metrics of the record store and its exports.
-func (m *metrics) collectRecords(gauge func(*prometheus.Desc, float64, ...string), count func(*prometheus.Desc, uint64, ...string),
-	overdue uint64) {
+func (m *metrics) collectRecords(gauge func(*prometheus.Desc, float64, ...string),
+	count func(*prometheus.Desc, uint64, ...string), overdue uint64) {
 	st := m.s.recorder.rec.Status()
 	count(descAnswersNotDurable, overdue)
 	gauge(descRecordsState, float64(st.State))
@@ -205,7 +205,8 @@
 	core.Records = core.Records[:0]
 	front := s.node.ISUP()
 	for _, a := range front.Alarms {
-		s.log.Warn("circuit alarm", zap.Int("exchange", a.Exchange), zap.Uint16("cic", uint16(a.CIC)), zap.String("why", a.Text))
+		s.log.Warn("circuit alarm", zap.Int("exchange", a.Exchange), zap.Uint16("cic", uint16(a.CIC)),
+			zap.String("why", a.Text))
 	}
 	front.Alarms = front.Alarms[:0]
 }
