--- a/internal/iax2/cause.go
+++ b/internal/iax2/cause.go
@@ -1,6 +1,6 @@
 package iax2
 
-// Q.850 cause codes that this package gives or reads (RFC 5456, 8.6.21).
+// Q.850 cause codes that this package sends or interprets (RFC 5456, 8.6.21).
 const (
 	CauseNormal        = 16
 	CauseBusy          = 17
--- a/internal/iax2/config.go
+++ b/internal/iax2/config.go
@@ -5,38 +5,54 @@
 	"time"
 )
 
-// Config sets an Endpoint's limits and timers. Zero values take the defaults given here.
+// Config sets the limits and timers of an Endpoint. A zero value selects the default given with the field.
 type Config struct {
-	MaxDialogs int // at once, 32,000
-	MaxPerHost int // incoming ones of one untrusted IP address; 0 is no limit
-
-	RetransmitInterval    time.Duration // gap before a frame is sent again, then doubling; 500 ms (RFC 5456, 7.2.1)
-	MaxRetransmitInterval time.Duration // the longest gap; 10 s
-	MaxRetransmits        int           // repeats without an ACK before the peer is held to be gone; 4
-
-	AckDelay      time.Duration // an ACK waits this long for a frame to ride on; 0 is not at all
-	AcceptDelay   time.Duration // an offered call is accepted by itself after this; 0 is at once
-	Linger        time.Duration // a closed dialog's call number stays taken; 3 s
-	AuthTimeout   time.Duration // for the answer to a challenge; 5 s
-	PingInterval  time.Duration // on dialogs that stand; 0 is never
-	TokenLifetime time.Duration // of a call token; 10 s
-	MaxRefresh    time.Duration // longest registration granted; 60 s
-
-	Formats       uint32 // media formats taken; ulaw and alaw
-	RequireTokens bool   // NEW and REGREQ of untrusted hosts need a call token
-	// Trusted hosts are exempt from tokens, challenges and MaxPerHost; nil trusts none.
+	// MaxDialogs is the largest number of concurrent dialogs; default 32,000, at most MaxCallNumber-1.
+	MaxDialogs int
+	// MaxPerHost limits the concurrent incoming dialogs of one untrusted IP address; 0 means no limit.
+	MaxPerHost int
+
+	// RetransmitInterval is the time before the first retransmission of a frame; it doubles with each further
+	// one. Default 500 ms (RFC 5456, 7.2.1).
+	RetransmitInterval time.Duration
+	// MaxRetransmitInterval bounds the doubled interval; default 10 s.
+	MaxRetransmitInterval time.Duration
+	// MaxRetransmits is the number of retransmissions without an ACK after which the peer counts as
+	// unreachable; default 4.
+	MaxRetransmits int
+
+	// AckDelay is how long an ACK waits for a full frame that can carry it; 0 sends it at once.
+	AckDelay time.Duration
+	// AcceptDelay is the time after which an offered call is accepted automatically; 0 accepts it at once.
+	AcceptDelay time.Duration
+	// Linger is how long the call number of a closed dialog stays reserved; default 3 s.
+	Linger time.Duration
+	// AuthTimeout is the time allowed for the answer to a challenge; default 5 s.
+	AuthTimeout time.Duration
+	// PingInterval is the interval between PINGs on answered calls; 0 sends none.
+	PingInterval time.Duration
+	// TokenLifetime is the time for which a call token is valid; default 10 s.
+	TokenLifetime time.Duration
+	// MaxRefresh is the longest registration granted, and the refresh time stated in DPREP; default 60 s.
+	MaxRefresh time.Duration
+
+	// Formats is the bit mask of accepted media formats; default ulaw and alaw.
+	Formats uint32
+	// RequireTokens requires a call token in each NEW, REGREQ and REGREL from an untrusted host.
+	RequireTokens bool
+	// Trusted reports whether a host is exempt from call tokens, challenges and MaxPerHost; nil trusts no host.
 	Trusted func(Addr) bool
-	// Secret finds a user's secret; nil lets anybody call and nobody register.
+	// Secret returns the secret of a user. If it is nil, anybody may call and nobody may register.
 	Secret func(user string) (secret string, known bool)
-	// OpenCalls lets anybody call also where there are secrets; registrations are always challenged.
+	// OpenCalls accepts calls without a challenge even if Secret is set. Registrations are always challenged.
 	OpenCalls bool
-	// Exists tells whether a called number is served, for DPREQ; nil is yes.
+	// Exists reports whether a called number is served, for the answer to DPREQ; nil accepts every number.
 	Exists func(number string) bool
-	// Random feeds challenges and token keys; it has to be unpredictable in service.
+	// Random supplies challenges and token keys; it must be unpredictable in production.
 	Random func() uint64
 }
 
-// ulaw and alaw (8.7).
+// defaultFormats is ulaw and alaw (8.7).
 const defaultFormats = 0x0004 | 0x0008
 
 func (c Config) withDefaults() Config {
@@ -61,101 +77,121 @@
 	return c
 }
 
-// Request is what a NEW says of a call.
+// Request holds what a NEW states about a call.
 type Request struct {
 	Called      string
 	Calling     string
 	CallingName string
-	Context     string
-	User        string
-	Redirecting string // RDNIS: who passed the call on
-	Format      uint32 // wanted media format; 0 is the first of ours
-	Secret      string // to answer a challenge with; never sent
+	Context     string // context of the called number (CALLED CONTEXT)
+	User        string // user name to authenticate as
+	// Redirecting is the number that redirected the call (RDNIS).
+	Redirecting string
+	// Format is the requested media format; 0 selects the lowest of the configured formats.
+	Format uint32
+	// Secret answers a challenge; it is never sent itself.
+	Secret string
 }
 
-// Kind tells what an Event reports.
+// Kind is the type of an Event.
 type Kind uint8
 
-// Kinds of Event. Every dialog that the user knows (from Offered or Call) ends with one Closed.
+// Kinds of Event. Every dialog known to the user, from Offered or Call, ends with exactly one Closed.
 const (
-	Offered    Kind = iota + 1 // an incoming call: Request is set
-	Accepted                   // the far end took the call
-	Progress                   // it rings, or is proceeding
-	Answered                   // it answered: the call stands
-	Released                   // the far end ended or rejected it: Cause is set
-	Lost                       // the far end is gone or knows nothing of it: Reason is set
-	Closed                     // nothing of the dialog is left at either end
-	Registered                 // a user registered here: User, From and Refresh are set
+	// Offered reports an incoming call; Request is set.
+	Offered Kind = iota + 1
+	// Accepted reports that the far end has accepted the call.
+	Accepted
+	// Progress reports that the call is ringing, proceeding or in progress at the far end.
+	Progress
+	// Answered reports that the far end has answered.
+	Answered
+	// Released reports that the far end released or rejected the call; Cause is set.
+	Released
+	// Lost reports that the far end is unreachable or does not know the dialog; Reason is set.
+	Lost
+	// Closed reports that the dialog has ended and no further event follows.
+	Closed
+	// Registered reports that a user has registered with this endpoint; User, From and Refresh are set.
+	Registered
+	// Unregistered reports that a user has removed a registration here; User and From are set.
 	Unregistered
-	RegisterDone     // our own registration was taken: Refresh is set
-	RegisterRejected // or not: Cause is set
+	// RegisterDone reports that the peer has accepted our own registration; Refresh is set.
+	RegisterDone
+	// RegisterRejected reports that our own registration has failed; Cause is set.
+	RegisterRejected
 )
 
-// Reason tells why a dialog was lost.
+// Reason is why a dialog was lost.
 type Reason uint8
 
-// Reasons of Lost.
+// Reasons of a Lost event.
 const (
-	NoReply   Reason = iota + 1 // repeats went unanswered
-	Invalid                     // the peer answered INVAL
-	Restarted                   // the peer used the call number anew
+	// NoReply means that all retransmissions of a frame went unanswered.
+	NoReply Reason = iota + 1
+	// Invalid means that the peer answered INVAL.
+	Invalid
+	// Restarted means that the peer opened a new dialog with the same call number.
+	Restarted
 )
 
-// Event is one thing that a dialog did.
+// Event reports one change of a dialog or a registration.
 type Event struct {
-	Kind    Kind
-	Dialog  *Dialog
-	Cause   uint8 // Q.850 cause of Released, 0 if none was told
+	Kind   Kind
+	Dialog *Dialog
+	// Cause is the Q.850 cause of Released or RegisterRejected; 0 if none was received.
+	Cause   uint8
 	Reason  Reason
-	Request Request // of Offered
-	User    string  // of Registered, Unregistered
+	Request Request // set on Offered
+	User    string  // set on Registered, Unregistered, RegisterDone and RegisterRejected
 	From    Addr
 	Refresh time.Duration
 }
 
-// Stats count what happened since the start.
+// Stats counts what an Endpoint has done since it was created.
 type Stats struct {
-	In, Out      uint64 // datagrams
-	Malformed    uint64 // datagrams or elements that could not be read
-	Meta         uint64 // meta frames, recognised and dropped
-	Duplicates   uint64 // frames received again
-	Gaps         uint64 // frames received too early, answered by VNAK
-	Repeats      uint64 // frames sent again
-	Stray        uint64 // frames of unknown dialogs
-	Invals       uint64 // INVAL sent
-	Rejected     uint64 // NEW and REGREQ rejected without a dialog
-	Tokens       uint64 // call tokens handed out
-	Unsupported  uint64
-	Relayed      uint64 // media frames passed on
-	UnknownElems uint64
+	In, Out    uint64 // datagrams received and sent
+	Malformed  uint64 // datagrams and payloads that could not be parsed
+	Meta       uint64 // meta frames, which are recognised and dropped
+	Duplicates uint64 // frames received more than once
+	Gaps       uint64 // frames received ahead of sequence and answered by VNAK
+	Repeats    uint64 // frames retransmitted
+	Stray      uint64 // frames that match no dialog
+	Invals     uint64 // INVAL frames sent
+	// Rejected counts NEW and registration frames rejected without a dialog, and calls that failed
+	// authentication.
+	Rejected     uint64
+	Tokens       uint64 // call tokens issued
+	Unsupported  uint64 // IAX frames of a subclass that is not supported
+	Relayed      uint64 // media frames relayed
+	UnknownElems uint64 // information elements that the RFCs do not define
 }
 
-// Packet is one datagram of an Outbox.
+// Packet locates one datagram in an Outbox.
 type Packet struct {
 	To         Addr
 	start, end int
 }
 
-// Outbox gathers datagrams to send, in order.
+// Outbox collects outgoing datagrams in sending order.
 type Outbox struct {
-	buf  []byte
-	list []Packet
+	buf     []byte
+	packets []Packet
 }
 
-// Len is the number of datagrams.
-func (o *Outbox) Len() int { return len(o.list) }
+// Len returns the number of datagrams.
+func (o *Outbox) Len() int { return len(o.packets) }
 
-// At is one datagram; its bytes are valid until Reset.
+// At returns the destination and the bytes of the i-th datagram. The bytes are valid until Reset.
 func (o *Outbox) At(i int) (to Addr, b []byte) {
-	p := o.list[i]
+	p := o.packets[i]
 	return p.To, o.buf[p.start:p.end]
 }
 
-// Reset empties the outbox and keeps its memory.
-func (o *Outbox) Reset() { o.buf, o.list = o.buf[:0], o.list[:0] }
+// Reset empties the outbox and keeps its memory for reuse.
+func (o *Outbox) Reset() { o.buf, o.packets = o.buf[:0], o.packets[:0] }
 
 func (o *Outbox) add(to Addr, b []byte) {
 	start := len(o.buf)
 	o.buf = append(o.buf, b...)
-	o.list = append(o.list, Packet{to, start, len(o.buf)})
+	o.packets = append(o.packets, Packet{to, start, len(o.buf)})
 }
--- a/internal/iax2/dialog.go
+++ b/internal/iax2/dialog.go
@@ -8,114 +8,115 @@
 	"pipitring/internal/timers"
 )
 
-// state of a dialog.
+// state is the state of a dialog.
 type state uint8
 
 const (
-	calling    state = iota // we sent NEW
-	challenged              // we sent AUTHREQ or REGAUTH
-	offered                 // the user knows of the call and has not accepted it
-	accepted
-	up
-	registering // we sent REGREQ or REGREL
-	releasing   // we sent HANGUP or REJECT and wait for its ACK
-	closed      // only the call number is still taken
+	calling     state = iota // NEW sent
+	challenged               // AUTHREQ or REGAUTH sent
+	offered                  // reported to the user and not yet accepted
+	accepted                 // ACCEPT sent or received
+	answered                 // ANSWER sent or received
+	registering              // REGREQ or REGREL sent
+	releasing                // HANGUP, REJECT or the last frame of a registration sent, waiting for its ACK
+	closed                   // ended; only the call number is still reserved
 )
 
-// tokenRounds bounds how often a peer may ask for another call token.
-const tokenRounds = 3
+// maxTokenRequests is how often a peer may request another call token for one dialog.
+const maxTokenRequests = 3
 
-// sendWindow bounds the frames of one dialog that wait for an ACK: a half of the sequence numbers at most can
-// be told apart (7).
+// sendWindow is the largest number of unacknowledged frames of a dialog at which media is still relayed. Fewer
+// than half of the 256 sequence numbers may be outstanding, or old and new ones cannot be told apart (7).
 const sendWindow = 100
 
-// Dialog is one call (or registration) between this endpoint and a peer.
+// Dialog is one call or registration between this endpoint and a peer.
 type Dialog struct {
-	Ref uint64 // the user's own
+	// Ref is free for the user of the dialog; this package does not read it.
+	Ref uint64
 
 	ep            *Endpoint
 	local, remote uint16
 	peer          Addr
 	incoming      bool
-	known         bool // the user holds it: owes a Closed
-	counted       bool // against MaxPerHost
+	reportEvents  bool // the user knows the dialog and is owed a Closed event
+	hostCounted   bool // counts towards MaxPerHost
 	state         state
 	oseq, iseq    uint8
 	started       time.Duration
-	stamp         uint32 // of the last frame sent
-	opening       uint64 // fingerprint of the peer's opening frame
-	unacked       []*sent
+	lastTimestamp uint32 // timestamp of the last frame sent, in milliseconds
+	openingHash   uint64 // fingerprint of the opening frame of an incoming dialog
+	unacked       []*sentFrame
 	timer         timers.Entry[*Dialog]
-	ackOwed       bool
-	ackListed     bool
-	ackStamp      uint32
-	ackDue        time.Duration
-	acceptAt      time.Duration // by itself; 0 is not set
-	giveUpAt      time.Duration // waiting for a challenge's answer, or lingering
+	ackPending    bool          // an ACK is due to the peer
+	ackQueued     bool          // listed in Endpoint.pendingAcks
+	ackTimestamp  uint32        // timestamp of the frame to acknowledge
+	ackDue        time.Duration // when the ACK is sent on its own
+	acceptAt      time.Duration // when the call is accepted automatically; 0 if not set
+	expiresAt     time.Duration // end of the wait for a challenge's answer, or of the linger time; 0 if not set
 	pingAt        time.Duration
-	tokens        int           // rounds
-	askedAt       time.Duration // for frames before the first; 0 is never
+	tokenRequests int           // number of CALLTOKEN requests answered
+	vnakSentAt    time.Duration // when VNAK last requested frames before the first one received; 0 if never
 	challenge     string
 	request       Request
 	format        uint32
-	other         *Dialog // media goes there
-	quelched      bool    // the peer wants no media
-	reg           *registerAsk
+	bridged       *Dialog              // dialog to which media is relayed; nil if none
+	quelched      bool                 // the peer has asked for no media (QUELCH)
+	reg           *registrationRequest // nil for a call
 }
 
-// sent is a frame that waits for its ACK.
-type sent struct {
-	buf    []byte
-	oseq   uint8
-	opens  bool // NEW, REGREQ: not repeated once the dialog is being released
-	tries  int
-	gap    time.Duration
-	nextAt time.Duration
+// sentFrame is a full frame waiting for its ACK.
+type sentFrame struct {
+	buf          []byte
+	oseq         uint8
+	isOpening    bool // NEW, REGREQ or REGREL: discarded once the dialog is being released
+	retransmits  int
+	interval     time.Duration
+	retransmitAt time.Duration
 }
 
-// Peer is the address of the far end.
+// Peer returns the address of the far end.
 func (d *Dialog) Peer() Addr { return d.peer }
 
-// Number is the local call number.
+// Number returns the local call number.
 func (d *Dialog) Number() uint16 { return d.local }
 
-// Incoming tells which end opened the dialog.
+// Incoming reports whether the peer opened the dialog.
 func (d *Dialog) Incoming() bool { return d.incoming }
 
-// Request is what NEW said.
+// Request returns what the NEW of the call stated.
 func (d *Dialog) Request() Request { return d.request }
 
-// Ended tells that nothing more can be said on the dialog.
+// Ended reports whether the dialog is being released or is closed, so that nothing more can be sent on it.
 func (d *Dialog) Ended() bool { return d.state >= releasing }
 
-func (d *Dialog) learnRemote(n uint16) {
+func (d *Dialog) setRemote(n uint16) {
 	d.remote = n
 	d.ep.byPeer[peerKey{d.peer, n}] = d
 }
 
-// open sets up an incoming dialog from its first frame.
-func (d *Dialog) open(now time.Duration, f *Frame, fingerprint uint64) {
-	d.incoming, d.opening = true, fingerprint
-	d.learnRemote(f.Source)
+// openIncoming initialises an incoming dialog from its first frame.
+func (d *Dialog) openIncoming(now time.Duration, f *Frame, fingerprint uint64) {
+	d.incoming, d.openingHash = true, fingerprint
+	d.setRemote(f.Source)
 	d.iseq = f.OSeq + 1
-	d.acked(f.ISeq)
+	d.acknowledge(f.ISeq)
 	if !d.ep.cfg.Trusted(d.peer) {
-		d.counted = true
-		d.ep.hosts[d.peer.IP]++
+		d.hostCounted = true
+		d.ep.dialogsByHost[d.peer.IP]++
 	}
 }
 
 func (d *Dialog) emit(e Event) {
-	if !d.known {
+	if !d.reportEvents {
 		return
 	}
 	e.Dialog = d
 	d.ep.Events = append(d.ep.Events, e)
 }
 
-// offer hands an incoming call to the user.
+// offer reports an incoming call to the user.
 func (d *Dialog) offer(now time.Duration) {
-	d.state, d.known = offered, true
+	d.state, d.reportEvents = offered, true
 	if d.ep.cfg.AcceptDelay == 0 {
 		d.accept(now)
 	} else {
@@ -133,66 +134,67 @@
 	d.sendIAX(now, Accept, AppendUint(d.ep.ies[:0], Format, d.format))
 }
 
-// challengeCall asks the caller to prove who it is. Unknown users are challenged as well, so that names can't
-// be guessed.
+// challengeCall asks the caller to authenticate. Unknown users are challenged as well, so that user names
+// cannot be found out by trying them.
 func (d *Dialog) challengeCall(now time.Duration) {
 	d.state, d.challenge = challenged, challengeText(d.ep.cfg.Random())
-	d.giveUpAt = now + d.ep.cfg.AuthTimeout
+	d.expiresAt = now + d.ep.cfg.AuthTimeout
 	ies := AppendUint(d.ep.ies[:0], AuthMethods, authMD5)
 	ies = AppendText(ies, Challenge, d.challenge)
 	d.sendIAX(now, AuthReq, AppendText(ies, Username, d.request.User))
 }
 
-// proven checks the answer to a challenge (8.6.15).
-func (d *Dialog) proven(user string) bool {
+// responseMatches reports whether the MD5 result received is the one for the challenge sent and the user's
+// secret (8.6.15).
+func (d *Dialog) responseMatches(user string) bool {
 	if d.ep.cfg.Secret == nil {
 		return false
 	}
 	secret, ok := d.ep.cfg.Secret(user)
-	return ok && string(d.ep.elems.Bytes(MD5Result)) == md5Answer(d.challenge, secret)
+	return ok && string(d.ep.elements.Bytes(MD5Result)) == md5Response(d.challenge, secret)
 }
 
-func md5Answer(challenge, secret string) string {
+func md5Response(challenge, secret string) string {
 	sum := md5.Sum([]byte(challenge + secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// Ringing tells the caller that the far end rings.
-func (d *Dialog) Ringing(now time.Duration) { d.control(now, ControlRinging) }
+// Ringing notifies the caller that the far end is ringing.
+func (d *Dialog) Ringing(now time.Duration) { d.sendControl(now, ControlRinging) }
 
-// Proceeding tells the caller that the call is being set up.
-func (d *Dialog) Proceeding(now time.Duration) { d.control(now, ControlProceeding) }
+// Proceeding notifies the caller that the call is being set up.
+func (d *Dialog) Proceeding(now time.Duration) { d.sendControl(now, ControlProceeding) }
 
-// Accept takes an offered call before its AcceptDelay is over.
+// Accept accepts an offered call before its AcceptDelay has passed.
 func (d *Dialog) Accept(now time.Duration) { d.accept(now) }
 
-// Answer makes an offered call stand.
+// Answer answers an offered or accepted incoming call.
 func (d *Dialog) Answer(now time.Duration) {
 	if d.state != offered && d.state != accepted || !d.incoming {
 		return
 	}
 	d.accept(now)
 	d.sendFull(now, FrameControl, ControlAnswer, nil, false)
-	d.stand(now)
+	d.enterAnswered(now)
 }
 
-func (d *Dialog) stand(now time.Duration) {
-	d.state = up
+func (d *Dialog) enterAnswered(now time.Duration) {
+	d.state = answered
 	if d.ep.cfg.PingInterval > 0 {
 		d.pingAt = now + d.ep.cfg.PingInterval
 		d.schedule()
 	}
 }
 
-func (d *Dialog) control(now time.Duration, subclass uint32) {
+func (d *Dialog) sendControl(now time.Duration, subclass uint32) {
 	if d.state == offered || d.state == accepted {
 		d.accept(now)
 		d.sendFull(now, FrameControl, subclass, nil, false)
 	}
 }
 
-// Release ends the dialog with a Q.850 cause: by REJECT if it was never accepted, else by HANGUP. Closed
-// follows when the peer has confirmed it or is held to be gone.
+// Release ends the dialog with a Q.850 cause: by REJECT if the call was never accepted, otherwise by HANGUP.
+// Closed follows when the peer has acknowledged it or is unreachable.
 func (d *Dialog) Release(now time.Duration, cause uint8, text string) {
 	if d.state >= releasing {
 		return
@@ -201,15 +203,15 @@
 	if d.state == offered || d.state == challenged {
 		subclass = Reject
 	}
-	// An opening frame that nobody answered must not reach the peer after this.
+	// An opening frame without an answer must not reach the peer after the release.
 	for i := 0; i < len(d.unacked); i++ {
-		if d.unacked[i].opens {
+		if d.unacked[i].isOpening {
 			d.recycle(d.unacked[i])
 			d.unacked = append(d.unacked[:i], d.unacked[i+1:]...)
 			i--
 		}
 	}
-	d.state, d.acceptAt, d.pingAt, d.giveUpAt = releasing, 0, 0, 0
+	d.state, d.acceptAt, d.pingAt, d.expiresAt = releasing, 0, 0, 0
 	d.unbridge()
 	ies := d.ep.ies[:0]
 	if text != "" {
@@ -218,93 +220,93 @@
 	d.sendIAX(now, subclass, AppendUint(ies, CauseCode, uint32(cause)))
 }
 
-// Bridge relays media between two dialogs from now on.
-func (d *Dialog) Bridge(other *Dialog) { d.other, other.other = other, d }
+// Bridge relays media between the two dialogs from now on.
+func (d *Dialog) Bridge(other *Dialog) { d.bridged, other.bridged = other, d }
 
 func (d *Dialog) unbridge() {
-	if d.other != nil {
-		d.other.other, d.other = nil, nil
+	if d.bridged != nil {
+		d.bridged.bridged, d.bridged = nil, nil
 	}
 }
 
-// close ends the dialog's life; its call number stays taken while late frames may come.
+// close ends the dialog. Its call number stays reserved for the linger time, as late frames may still arrive.
 func (d *Dialog) close(now time.Duration) {
 	if d.state == closed {
 		return
 	}
 	d.state, d.acceptAt, d.pingAt = closed, 0, 0
 	d.unbridge()
-	d.drop(len(d.unacked))
-	d.giveUpAt = now + d.ep.cfg.Linger
+	d.dropUnacked(len(d.unacked))
+	d.expiresAt = now + d.ep.cfg.Linger
 	d.schedule()
 	d.emit(Event{Kind: Closed})
 }
 
-// lose ends a dialog whose peer is gone or knows nothing of it.
-func (d *Dialog) lose(now time.Duration, why Reason) {
+// markLost ends a dialog whose peer is unreachable or does not know it.
+func (d *Dialog) markLost(now time.Duration, reason Reason) {
 	if d.state == closed {
 		return
 	}
 	if d.state == registering {
-		d.registered(now, 0, CauseNoAnswer)
+		d.reportRegistration(now, 0, CauseNoAnswer)
 	} else if d.state != releasing {
-		d.emit(Event{Kind: Lost, Reason: why})
+		d.emit(Event{Kind: Lost, Reason: reason})
 	}
 	d.close(now)
 }
 
-// ---- Receiving.
+// Receiving frames.
 
 func (d *Dialog) receive(now time.Duration, f *Frame) {
 	if f.Is(Inval) {
-		d.lose(now, Invalid)
+		d.markLost(now, Invalid)
 		return
 	}
 	if f.Is(CallToken) {
-		d.receiveToken(now, f)
+		d.receiveCallToken(now, f)
 		return
 	}
-	d.acked(f.ISeq)
+	d.acknowledge(f.ISeq)
 	switch {
 	case f.Is(Ack):
-		d.afterAck(now)
+		d.closeIfReleased(now)
 		return
 	case f.Is(VNAK):
-		d.repeatAll(now)
+		d.retransmitAll(now)
 		return
 	}
 	ahead := int8(f.OSeq - d.iseq)
 	switch {
 	case ahead < 0:
 		d.ep.Stats.Duplicates++
-		d.ackStamp = f.Timestamp
+		d.ackTimestamp = f.Timestamp
 		d.sendAck()
-		d.afterAck(now)
+		d.closeIfReleased(now)
 		return
 	case ahead > 0:
 		d.ep.Stats.Gaps++
-		d.sendFlat(f.Timestamp, VNAK)
+		d.sendUnnumbered(f.Timestamp, VNAK)
 		return
 	}
 	d.iseq++
-	d.oweAck(now, f.Timestamp)
+	d.deferAck(now, f.Timestamp)
 	if d.state == closed {
 		if f.Is(Hangup) || f.Is(Reject) {
 			d.sendAck()
 		} else {
-			d.ackOwed = false
-			d.sendFlat(f.Timestamp, Inval)
+			d.ackPending = false
+			d.sendUnnumbered(f.Timestamp, Inval)
 		}
 		return
 	}
 	d.handle(now, f)
-	d.afterAck(now)
+	d.closeIfReleased(now)
 }
 
-// afterAck closes a dialog whose release has been confirmed.
-func (d *Dialog) afterAck(now time.Duration) {
+// closeIfReleased closes a dialog whose release has been acknowledged.
+func (d *Dialog) closeIfReleased(now time.Duration) {
 	if d.state == releasing && len(d.unacked) == 0 {
-		if d.ackOwed {
+		if d.ackPending {
 			d.sendAck()
 		}
 		d.close(now)
@@ -324,7 +326,7 @@
 }
 
 func (d *Dialog) handleIAX(now time.Duration, f *Frame) {
-	e := &d.ep.elems
+	e := &d.ep.elements
 	switch f.Subclass {
 	case Accept:
 		if d.state == calling {
@@ -336,24 +338,24 @@
 	case AuthReq:
 		d.answerChallenge(now)
 	case AuthRep:
-		d.receiveProof(now)
+		d.receiveAuthReply(now)
 	case RegReq, RegRel:
-		d.receiveRegisterProof(now, f)
+		d.receiveRegistrationResponse(now, f)
 	case RegAuth, RegAck, RegRej:
-		d.receiveRegisterAnswer(now, f)
+		d.receiveRegistrationReply(now, f)
 	case Ping:
-		d.sendStamped(now, Pong, f.Timestamp)
+		d.sendWithTimestamp(now, Pong, f.Timestamp)
 	case LagRq:
-		d.sendStamped(now, LagRp, f.Timestamp)
+		d.sendWithTimestamp(now, LagRp, f.Timestamp)
 	case Pong, LagRp, Unsupport, New, TxRej, MWI, TxCnt, TxAcc, TxReady, TxRel, Transfer, DPRep:
 	case Quelch, Unquelch:
 		d.quelched = f.Subclass == Quelch
 	case DPReq:
 		d.answerDPReq(now)
 	case TxReq:
-		d.sendIAX(now, TxRej, nil) // calls stay on their path: media follows signalling
+		d.sendIAX(now, TxRej, nil) // transfers are always rejected: media follows the signalling path
 	case Poke:
-		d.sendStamped(now, Pong, f.Timestamp)
+		d.sendWithTimestamp(now, Pong, f.Timestamp)
 	default:
 		d.ep.Stats.Unsupported++
 		d.sendIAX(now, Unsupport, AppendUint(d.ep.ies[:0], IAXUnknown, f.Subclass))
@@ -368,7 +370,7 @@
 		}
 	case ControlAnswer:
 		if !d.incoming && (d.state == calling || d.state == accepted) {
-			d.stand(now)
+			d.enterAnswered(now)
 			d.emit(Event{Kind: Answered})
 		}
 	case ControlBusy, ControlCongestion, ControlHangup:
@@ -383,11 +385,11 @@
 	}
 }
 
-// receiveRelease takes the peer's HANGUP or REJECT, also one that crosses ours.
+// receiveRelease handles HANGUP or REJECT of the peer, including one that crosses our own.
 func (d *Dialog) receiveRelease(now time.Duration, cause uint8) {
 	d.sendAck()
 	if d.state == registering {
-		d.registered(now, 0, cause)
+		d.reportRegistration(now, 0, cause)
 	} else if d.state < releasing {
 		d.emit(Event{Kind: Released, Cause: cause})
 	}
@@ -398,21 +400,21 @@
 	if d.state != calling {
 		return
 	}
-	if d.ep.elems.Uint(AuthMethods)&authMD5 == 0 || d.request.Secret == "" {
+	if d.ep.elements.Uint(AuthMethods)&authMD5 == 0 || d.request.Secret == "" {
 		d.emit(Event{Kind: Released, Cause: CauseNotSubscribed})
 		d.Release(now, CauseNotSubscribed, "no way to prove the user")
 		return
 	}
-	answer := md5Answer(d.ep.elems.Text(Challenge), d.request.Secret)
-	d.sendIAX(now, AuthRep, AppendText(d.ep.ies[:0], MD5Result, answer))
+	response := md5Response(d.ep.elements.Text(Challenge), d.request.Secret)
+	d.sendIAX(now, AuthRep, AppendText(d.ep.ies[:0], MD5Result, response))
 }
 
-func (d *Dialog) receiveProof(now time.Duration) {
+func (d *Dialog) receiveAuthReply(now time.Duration) {
 	if d.state != challenged || d.reg != nil {
 		return
 	}
-	d.giveUpAt = 0
-	if !d.proven(d.request.User) {
+	d.expiresAt = 0
+	if !d.responseMatches(d.request.User) {
 		d.ep.Stats.Rejected++
 		d.Release(now, CauseNotSubscribed, "not authorised")
 		return
@@ -421,7 +423,7 @@
 }
 
 func (d *Dialog) answerDPReq(now time.Duration) {
-	number := d.ep.elems.Text(CalledNumber)
+	number := d.ep.elements.Text(CalledNumber)
 	status := uint32(dpStatusUnknown)
 	if d.ep.cfg.Exists(number) {
 		status = dpStatusExists
@@ -431,10 +433,10 @@
 	d.sendIAX(now, DPRep, AppendUint(ies, Refresh, uint32(d.ep.cfg.MaxRefresh/time.Second)))
 }
 
-// relayMini passes a media frame on under the other dialog's call number.
+// relayMini relays a mini frame under the call number of the bridged dialog.
 func (d *Dialog) relayMini(now time.Duration, b []byte) {
-	o := d.other
-	if d.state != up || o == nil || o.state != up || o.quelched {
+	o := d.bridged
+	if d.state != answered || o == nil || o.state != answered || o.quelched {
 		return
 	}
 	ep := d.ep
@@ -444,19 +446,20 @@
 	ep.send(o.peer, ep.scratch)
 }
 
-// relayFull passes a full media frame on with its own timestamp, which the mini frames after it go by.
+// relayFull relays a full media frame with its original timestamp, since the mini frames after it continue from
+// that timestamp.
 func (d *Dialog) relayFull(now time.Duration, f *Frame) {
-	o := d.other
-	if d.state != up || o == nil || o.state != up || o.quelched || len(o.unacked) >= sendWindow {
+	o := d.bridged
+	if d.state != answered || o == nil || o.state != answered || o.quelched || len(o.unacked) >= sendWindow {
 		return
 	}
 	d.ep.Stats.Relayed++
 	o.transmit(now, &Frame{Type: f.Type, Subclass: f.Subclass, Timestamp: f.Timestamp, Payload: f.Payload}, false)
 }
 
-// ---- Sending.
+// Sending frames.
 
-// sendNew sends the opening frame; token is nil before the peer asked for one.
+// sendNew sends the opening frame of a call; token is nil until the peer has requested one.
 func (d *Dialog) sendNew(now time.Duration, token []byte) {
 	r := &d.request
 	ies := AppendUint(d.ep.ies[:0], Version, protocolVersion)
@@ -477,56 +480,58 @@
 	ies = AppendUint(ies, Format, wanted)
 	ies = AppendUint(ies, Capability, formats)
 	ies = AppendText(ies, CallTokenIE, token)
-	d.known = true
+	d.reportEvents = true
 	d.sendFull(now, FrameIAX, New, ies, true)
 }
 
-// receiveToken answers a request for a call token: the dialog opens once more, with it. A request that answers
-// an older opening frame than the last is a repeat: to open again on it would be a second call there.
-func (d *Dialog) receiveToken(now time.Duration, f *Frame) {
-	if d.state != calling && d.state != registering || d.remote != 0 || d.tokens >= tokenRounds ||
-		!d.ep.elems.Has(CallTokenIE) || f.Timestamp != d.stamp {
+// receiveCallToken answers a request for a call token by sending the opening frame again with the token. A
+// request for an earlier opening frame is a duplicate and is ignored: opening again would create a second call
+// at the peer.
+func (d *Dialog) receiveCallToken(now time.Duration, f *Frame) {
+	if d.state != calling && d.state != registering || d.remote != 0 || d.tokenRequests >= maxTokenRequests ||
+		!d.ep.elements.Has(CallTokenIE) || f.Timestamp != d.lastTimestamp {
 		return
 	}
-	d.tokens++
-	d.drop(len(d.unacked))
+	d.tokenRequests++
+	d.dropUnacked(len(d.unacked))
 	d.oseq, d.iseq = 0, 0
-	token := append([]byte(nil), d.ep.elems.Bytes(CallTokenIE)...)
+	token := append([]byte(nil), d.ep.elements.Bytes(CallTokenIE)...)
 	if d.state == registering {
-		d.sendRegister(now, token)
+		d.sendRegistration(now, token)
 	} else {
 		d.sendNew(now, token)
 	}
 }
 
-// timestamp is the dialog's time in milliseconds, later than that of every frame before.
+// timestamp returns the time since the dialog began, in milliseconds, and always more than that of the frame
+// before.
 func (d *Dialog) timestamp(now time.Duration) uint32 {
-	d.stamp = max(uint32((now-d.started)/time.Millisecond), d.stamp+1)
-	return d.stamp
+	d.lastTimestamp = max(uint32((now-d.started)/time.Millisecond), d.lastTimestamp+1)
+	return d.lastTimestamp
 }
 
 func (d *Dialog) sendIAX(now time.Duration, subclass uint32, ies []byte) {
 	d.sendFull(now, FrameIAX, subclass, ies, false)
 }
 
-func (d *Dialog) sendFull(now time.Duration, t FrameType, subclass uint32, payload []byte, opens bool) {
-	d.transmit(now, &Frame{Type: t, Subclass: subclass, Timestamp: d.timestamp(now), Payload: payload}, opens)
+func (d *Dialog) sendFull(now time.Duration, t FrameType, subclass uint32, payload []byte, opening bool) {
+	d.transmit(now, &Frame{Type: t, Subclass: subclass, Timestamp: d.timestamp(now), Payload: payload}, opening)
 }
 
-// sendStamped answers a frame under the timestamp that came with it (6.7.2, 6.7.4).
-func (d *Dialog) sendStamped(now time.Duration, subclass, stamp uint32) {
-	d.transmit(now, &Frame{Type: FrameIAX, Subclass: subclass, Timestamp: stamp}, false)
+// sendWithTimestamp answers a frame with the timestamp of that frame (6.7.2, 6.7.4).
+func (d *Dialog) sendWithTimestamp(now time.Duration, subclass, timestamp uint32) {
+	d.transmit(now, &Frame{Type: FrameIAX, Subclass: subclass, Timestamp: timestamp}, false)
 }
 
-// transmit sends a full frame and keeps it until it is acknowledged. It carries the ACK that is owed.
-func (d *Dialog) transmit(now time.Duration, f *Frame, opens bool) {
+// transmit sends a full frame and keeps it until it is acknowledged. The frame also carries any pending ACK.
+func (d *Dialog) transmit(now time.Duration, f *Frame, opening bool) {
 	f.Source, f.Dest, f.OSeq, f.ISeq = d.local, d.remote, d.oseq, d.iseq
-	s := d.ep.spare()
+	s := d.ep.newSentFrame()
 	s.buf = AppendFull(s.buf[:0], f)
-	s.oseq, s.opens, s.tries, s.gap = d.oseq, opens, 0, d.ep.cfg.RetransmitInterval
-	s.nextAt = now + s.gap
+	s.oseq, s.isOpening, s.retransmits, s.interval = d.oseq, opening, 0, d.ep.cfg.RetransmitInterval
+	s.retransmitAt = now + s.interval
 	d.oseq++
-	d.ackOwed = false
+	d.ackPending = false
 	d.unacked = append(d.unacked, s)
 	d.ep.send(d.peer, s.buf)
 	if len(d.unacked) == 1 {
@@ -534,52 +539,52 @@
 	}
 }
 
-// sendFlat sends a frame that is not numbered itself: ACK, VNAK, INVAL (7).
-func (d *Dialog) sendFlat(stamp, subclass uint32) {
-	d.ep.sendRaw(d.peer, &Frame{Source: d.local, Dest: d.remote, Timestamp: stamp, OSeq: d.oseq, ISeq: d.iseq,
+// sendUnnumbered sends a frame that takes no sequence number: ACK, VNAK or INVAL (7).
+func (d *Dialog) sendUnnumbered(timestamp, subclass uint32) {
+	d.ep.sendRaw(d.peer, &Frame{Source: d.local, Dest: d.remote, Timestamp: timestamp, OSeq: d.oseq, ISeq: d.iseq,
 		Type: FrameIAX, Subclass: subclass})
 }
 
 func (d *Dialog) sendAck() {
-	d.ackOwed = false
+	d.ackPending = false
 	if d.remote != 0 {
-		d.sendFlat(d.ackStamp, Ack)
+		d.sendUnnumbered(d.ackTimestamp, Ack)
 		return
 	}
-	d.ep.sendRaw(d.peer, &Frame{Source: d.local, Dest: placeholder, Timestamp: d.ackStamp, OSeq: d.oseq,
+	d.ep.sendRaw(d.peer, &Frame{Source: d.local, Dest: placeholderCallNumber, Timestamp: d.ackTimestamp, OSeq: d.oseq,
 		ISeq: d.iseq, Type: FrameIAX, Subclass: Ack})
 }
 
-func (d *Dialog) oweAck(now time.Duration, stamp uint32) {
-	d.ackStamp = stamp
-	if !d.ackOwed {
-		d.ackOwed, d.ackDue = true, now+d.ep.cfg.AckDelay
+func (d *Dialog) deferAck(now time.Duration, timestamp uint32) {
+	d.ackTimestamp = timestamp
+	if !d.ackPending {
+		d.ackPending, d.ackDue = true, now+d.ep.cfg.AckDelay
 	}
-	d.listAck()
+	d.queueAck()
 }
 
-func (d *Dialog) listAck() {
-	if !d.ackListed {
-		d.ackListed = true
-		d.ep.acks = append(d.ep.acks, d)
+func (d *Dialog) queueAck() {
+	if !d.ackQueued {
+		d.ackQueued = true
+		d.ep.pendingAcks = append(d.ep.pendingAcks, d)
 	}
 }
 
-// ---- Acknowledgement and time.
+// Acknowledgement and timers.
 
-// acked takes off the frames that the peer has, by its next expected number.
-func (d *Dialog) acked(iseq uint8) {
+// acknowledge drops the frames that the peer has received; iseq is the next sequence number it expects.
+func (d *Dialog) acknowledge(iseq uint8) {
 	n := 0
 	for n < len(d.unacked) && int8(d.unacked[n].oseq-iseq) < 0 {
 		n++
 	}
 	if n > 0 {
-		d.drop(n)
+		d.dropUnacked(n)
 	}
 }
 
-// drop takes the oldest n frames off.
-func (d *Dialog) drop(n int) {
+// dropUnacked drops the n oldest unacknowledged frames.
+func (d *Dialog) dropUnacked(n int) {
 	if n == 0 {
 		return
 	}
@@ -592,66 +597,66 @@
 	}
 }
 
-func (d *Dialog) recycle(s *sent) { d.ep.frames = append(d.ep.frames, s) }
+func (d *Dialog) recycle(s *sentFrame) { d.ep.freeFrames = append(d.ep.freeFrames, s) }
 
-func (ep *Endpoint) spare() *sent {
-	if n := len(ep.frames); n > 0 {
-		s := ep.frames[n-1]
-		ep.frames = ep.frames[:n-1]
+func (ep *Endpoint) newSentFrame() *sentFrame {
+	if n := len(ep.freeFrames); n > 0 {
+		s := ep.freeFrames[n-1]
+		ep.freeFrames = ep.freeFrames[:n-1]
 		return s
 	}
-	return &sent{}
+	return &sentFrame{}
 }
 
-// repeat sends a frame again. What it says of the peer's frames is brought up to date.
-func (d *Dialog) repeat(s *sent) {
+// retransmit sends a frame again, with the R bit set and with the current remote call number and ISeq.
+func (d *Dialog) retransmit(s *sentFrame) {
 	d.ep.Stats.Repeats++
 	s.buf[2] = byte(d.remote>>8) | 0x80
 	s.buf[3] = byte(d.remote)
 	s.buf[9] = d.iseq
-	d.ackOwed = false
+	d.ackPending = false
 	d.ep.send(d.peer, s.buf)
 }
 
-// repeatAll answers a VNAK: the peer lacks what it has not acknowledged.
-func (d *Dialog) repeatAll(now time.Duration) {
+// retransmitAll handles VNAK: it retransmits every frame that the peer has not acknowledged.
+func (d *Dialog) retransmitAll(now time.Duration) {
 	for _, s := range d.unacked {
-		d.repeat(s)
-		s.nextAt = now + s.gap
+		d.retransmit(s)
+		s.retransmitAt = now + s.interval
 	}
 	d.schedule()
 }
 
-// schedule sets the timer to the earliest thing to do.
+// schedule sets the timer to the earliest pending deadline.
 func (d *Dialog) schedule() {
 	at := time.Duration(-1)
-	sooner := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if t != 0 && (at < 0 || t < at) {
 			at = t
 		}
 	}
-	sooner(d.acceptAt)
-	sooner(d.giveUpAt)
-	sooner(d.pingAt)
+	consider(d.acceptAt)
+	consider(d.expiresAt)
+	consider(d.pingAt)
 	for _, s := range d.unacked {
-		sooner(s.nextAt)
+		consider(s.retransmitAt)
 	}
 	switch {
 	case at < 0:
-		d.ep.queue.Stop(&d.timer)
+		d.ep.timerQueue.Stop(&d.timer)
 	case !d.timer.Running() || d.timer.At() != at:
-		d.ep.queue.Set(&d.timer, at)
+		d.ep.timerQueue.Set(&d.timer, at)
 	}
 }
 
-// due does what the timer was set for.
-func (d *Dialog) due(now time.Duration) {
-	if d.giveUpAt != 0 && d.giveUpAt <= now {
+// onTimer performs the actions that are due.
+func (d *Dialog) onTimer(now time.Duration) {
+	if d.expiresAt != 0 && d.expiresAt <= now {
 		if d.state == closed {
-			d.ep.free(d)
+			d.ep.freeDialog(d)
 			return
 		}
-		d.giveUpAt = 0
+		d.expiresAt = 0
 		d.Release(now, CauseTimer, "no answer to the challenge")
 	}
 	if d.acceptAt != 0 && d.acceptAt <= now {
@@ -659,22 +664,22 @@
 	}
 	if d.pingAt != 0 && d.pingAt <= now {
 		d.pingAt = now + d.ep.cfg.PingInterval
-		if d.state == up {
+		if d.state == answered {
 			d.sendIAX(now, Ping, nil)
 		}
 	}
 	for _, s := range d.unacked {
-		if s.nextAt > now {
+		if s.retransmitAt > now {
 			continue
 		}
-		if s.tries >= d.ep.cfg.MaxRetransmits {
-			d.lose(now, NoReply)
+		if s.retransmits >= d.ep.cfg.MaxRetransmits {
+			d.markLost(now, NoReply)
 			return
 		}
-		s.tries++
-		s.gap = min(2*s.gap, d.ep.cfg.MaxRetransmitInterval)
-		s.nextAt = now + s.gap
-		d.repeat(s)
+		s.retransmits++
+		s.interval = min(2*s.interval, d.ep.cfg.MaxRetransmitInterval)
+		s.retransmitAt = now + s.interval
+		d.retransmit(s)
 	}
 	d.schedule()
 }
--- a/internal/iax2/dialog_test.go
+++ b/internal/iax2/dialog_test.go
@@ -17,30 +17,31 @@
 	addrB = Addr{[4]byte{127, 0, 0, 2}, 2}
 )
 
-// wire joins endpoints over links with a delay and, if faults is set, loss, repeats and reordering.
+// wire connects endpoints over a simulated network with a delay and, if faults is set, with loss, duplication
+// and reordering.
 type wire struct {
-	ends   map[Addr]*Endpoint
-	order  []Addr
-	flying []flying
-	now    time.Duration
-	faults *rand.Rand
-	loss   float64
-	drop   func(f *Frame) bool // planted losses
-	log    []string
-	events map[Addr][]Event
-	react  func(at Addr, e Event)
+	endpoints map[Addr]*Endpoint
+	order     []Addr
+	inFlight  []datagram
+	now       time.Duration
+	faults    *rand.Rand
+	loss      float64
+	drop      func(f *Frame) bool // reports whether to drop a frame
+	log       []string
+	events    map[Addr][]Event
+	onEvent   func(at Addr, e Event)
 }
 
-type flying struct {
-	at       time.Duration
+type datagram struct {
+	at       time.Duration // arrival time
 	from, to Addr
 	b        []byte
 }
 
 func newWire(a, b Config) *wire {
-	w := &wire{ends: map[Addr]*Endpoint{addrA: NewEndpoint(a), addrB: NewEndpoint(b)},
+	w := &wire{endpoints: map[Addr]*Endpoint{addrA: NewEndpoint(a), addrB: NewEndpoint(b)},
 		order: []Addr{addrA, addrB}, events: map[Addr][]Event{}}
-	w.react = func(Addr, Event) {}
+	w.onEvent = func(Addr, Event) {}
 	return w
 }
 
@@ -48,25 +49,25 @@
 	for again := true; again; {
 		again = false
 		for _, a := range w.order {
-			ep := w.ends[a]
+			ep := w.endpoints[a]
 			w.events[a] = append(w.events[a], ep.Events...)
 			events := slices.Clone(ep.Events)
 			ep.Events = ep.Events[:0]
 			for _, e := range events {
-				w.react(a, e)
+				w.onEvent(a, e)
 				again = true
 			}
 			ep.Flush(w.now)
 			for i := range ep.Out.Len() {
 				to, b := ep.Out.At(i)
-				w.fly(a, to, b)
+				w.transmit(a, to, b)
 			}
 			ep.Out.Reset()
 		}
 	}
 }
 
-func (w *wire) fly(from, to Addr, b []byte) {
+func (w *wire) transmit(from, to Addr, b []byte) {
 	var f Frame
 	if err := ParseFrame(b, &f); err != nil {
 		panic(err)
@@ -84,20 +85,20 @@
 		if w.faults != nil {
 			delay = time.Duration(1+w.faults.IntN(40)) * ms
 		}
-		w.flying = append(w.flying, flying{w.now + delay, from, to, slices.Clone(b)})
+		w.inFlight = append(w.inFlight, datagram{w.now + delay, from, to, slices.Clone(b)})
 	}
 }
 
-// run plays until the given time.
+// run simulates the network until the given time.
 func (w *wire) run(until time.Duration) {
 	w.flush()
 	for {
 		next := until + 1
-		for _, f := range w.flying {
+		for _, f := range w.inFlight {
 			next = min(next, f.at)
 		}
 		for _, a := range w.order {
-			if at, ok := w.ends[a].Next(); ok {
+			if at, ok := w.endpoints[a].Next(); ok {
 				next = min(next, max(at, w.now))
 			}
 		}
@@ -106,32 +107,32 @@
 			return
 		}
 		w.now = next
-		for i := 0; i < len(w.flying); i++ {
-			if f := w.flying[i]; f.at <= w.now {
-				w.flying = slices.Delete(w.flying, i, i+1)
+		for i := 0; i < len(w.inFlight); i++ {
+			if f := w.inFlight[i]; f.at <= w.now {
+				w.inFlight = slices.Delete(w.inFlight, i, i+1)
 				i--
-				if ep := w.ends[f.to]; ep != nil {
+				if ep := w.endpoints[f.to]; ep != nil {
 					ep.Receive(w.now, f.from, f.b)
 				}
 			}
 		}
 		for _, a := range w.order {
-			w.ends[a].Advance(w.now)
+			w.endpoints[a].Advance(w.now)
 		}
 		w.flush()
 	}
 }
 
-func (w *wire) kinds(a Addr) (k []Kind) {
+func (w *wire) eventKinds(a Addr) (k []Kind) {
 	for _, e := range w.events[a] {
 		k = append(k, e.Kind)
 	}
 	return k
 }
 
-// answering makes the far end answer each call after a delay of none.
-func (w *wire) answering() {
-	w.react = func(at Addr, e Event) {
+// answerCalls makes each endpoint answer its incoming calls without delay.
+func (w *wire) answerCalls() {
+	w.onEvent = func(at Addr, e Event) {
 		if e.Kind == Offered {
 			e.Dialog.Answer(w.now)
 		}
@@ -140,7 +141,7 @@
 
 func (w *wire) call(t *testing.T, r Request) *Dialog {
 	t.Helper()
-	d, err := w.ends[addrA].Call(w.now, addrB, r)
+	d, err := w.endpoints[addrA].Call(w.now, addrB, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,10 +150,10 @@
 
 func TestCallAnsweredAndReleased(t *testing.T) {
 	w := newWire(Config{}, Config{AcceptDelay: 100 * ms, AckDelay: 20 * ms})
-	w.answering()
+	w.answerCalls()
 	d := w.call(t, Request{Called: "5001", Calling: "77", Context: "alarm", User: "lift", Redirecting: "3"})
 	w.run(time.Second)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
 		t.Fatalf("caller saw %v\n%v", got, w.log)
 	}
 	r := w.events[addrB][0].Request
@@ -161,13 +162,13 @@
 	}
 	d.Release(w.now, CauseNormal, "")
 	w.run(10 * time.Second)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
 		t.Errorf("caller saw %v", got)
 	}
-	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
 		t.Errorf("called saw %v", got)
 	}
-	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
+	if n := w.endpoints[addrA].DialogCount() + w.endpoints[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 	if len(w.log) > 8 {
@@ -175,10 +176,10 @@
 	}
 }
 
-// A call refused before it was accepted costs NEW, REJECT and ACK.
-func TestRefusedByReject(t *testing.T) {
+// A call rejected before it was accepted takes three frames: NEW, REJECT and ACK.
+func TestRejectBeforeAccept(t *testing.T) {
 	w := newWire(Config{}, Config{AcceptDelay: 100 * ms})
-	w.react = func(at Addr, e Event) {
+	w.onEvent = func(at Addr, e Event) {
 		if e.Kind == Offered {
 			e.Dialog.Release(w.now, CauseNoCircuit, "no circuit")
 		}
@@ -194,33 +195,34 @@
 	}
 }
 
-// Each planted loss, of each frame of a call, is made good: the call stands and ends once at both ends.
+// Whichever frame of a call is lost, it is retransmitted: the call is answered and ends exactly once at both
+// ends.
 func TestEachFrameLostOnce(t *testing.T) {
 	for lost := range 9 {
 		w := newWire(Config{}, Config{})
-		w.answering()
+		w.answerCalls()
 		n := 0
 		w.drop = func(f *Frame) bool { n++; return n == lost+1 }
 		d := w.call(t, Request{Called: "1"})
 		w.run(4 * time.Second)
 		d.Release(w.now, CauseNormal, "")
 		w.run(40 * time.Second)
-		if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
+		if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
 			t.Errorf("frame %d lost: caller saw %v\n%v", lost, got, w.log)
 		}
-		if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+		if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
 			t.Errorf("frame %d lost: called saw %v\n%v", lost, got, w.log)
 		}
 	}
 }
 
-// The far end is silent: repeats at doubling gaps, then one Lost.
-func TestSilentPeer(t *testing.T) {
+// If the peer does not respond, NEW is retransmitted at doubling intervals, then the call is lost once.
+func TestUnresponsivePeer(t *testing.T) {
 	w := newWire(Config{RetransmitInterval: 500 * ms, MaxRetransmits: 3}, Config{})
 	w.drop = func(*Frame) bool { return true }
 	w.call(t, Request{Called: "1"})
 	w.run(time.Minute)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Lost, Closed}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Lost, Closed}) {
 		t.Fatalf("caller saw %v", got)
 	}
 	want := []string{"0s 1>2 NEW", "500ms 1>2 NEW", "1.5s 1>2 NEW", "3.5s 1>2 NEW"}
@@ -229,7 +231,8 @@
 	}
 }
 
-// Released before any answer came: HANGUP goes out, NEW does not go again, a late ACCEPT revives nothing.
+// If a call is released before any answer, HANGUP is sent, NEW is not sent again, and a late ACCEPT has no
+// effect.
 func TestReleasedBeforeAnyAnswer(t *testing.T) {
 	w := newWire(Config{}, Config{})
 	w.drop = func(f *Frame) bool { return f.Is(New) && w.now == 0 }
@@ -237,7 +240,7 @@
 	w.run(100 * ms)
 	d.Release(w.now, CauseNormal, "")
 	w.run(20 * time.Second)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Closed}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Closed}) {
 		t.Errorf("caller saw %v\n%v", got, w.log)
 	}
 	for _, l := range w.log[1:] {
@@ -245,20 +248,20 @@
 			t.Errorf("NEW was sent again: %v", w.log)
 		}
 	}
-	if w.ends[addrB].DialogCount() != 0 {
-		t.Error("the far end holds a dialog")
+	if w.endpoints[addrB].DialogCount() != 0 {
+		t.Error("the far end still has a dialog")
 	}
 }
 
 func TestRestartedPeerReusesNumber(t *testing.T) {
 	w := newWire(Config{}, Config{})
-	w.answering()
+	w.answerCalls()
 	w.call(t, Request{Called: "1"})
 	w.run(time.Second)
-	w.ends[addrA] = NewEndpoint(Config{}) // forgets all
+	w.endpoints[addrA] = NewEndpoint(Config{}) // restarts without any state
 	w.call(t, Request{Called: "2"})
 	w.run(2 * time.Second)
-	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Lost, Closed, Offered}) {
+	if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Lost, Closed, Offered}) {
 		t.Errorf("called saw %v\n%v", got, w.log)
 	}
 	if w.events[addrB][1].Reason != Restarted {
@@ -266,13 +269,13 @@
 	}
 }
 
-// INVAL in mid-call ends the call at once.
+// An INVAL during a call ends the call at once.
 func TestInvalMidCall(t *testing.T) {
 	w := newWire(Config{PingInterval: time.Second}, Config{})
-	w.answering()
+	w.answerCalls()
 	w.call(t, Request{Called: "1"})
 	w.run(500 * ms)
-	w.ends[addrB] = NewEndpoint(Config{})
+	w.endpoints[addrB] = NewEndpoint(Config{})
 	w.run(3 * time.Second)
 	got := w.events[addrA]
 	if len(got) != 4 || got[2].Kind != Lost || got[2].Reason != Invalid || got[3].Kind != Closed {
@@ -280,28 +283,28 @@
 	}
 }
 
-// A NEW repeated after its answer, even late, offers no second call.
+// A NEW that arrives again after it was answered, even late, offers no second call.
 func TestNewRepeatedAfterAnswer(t *testing.T) {
 	w := newWire(Config{}, Config{})
-	w.answering()
+	w.answerCalls()
 	d := w.call(t, Request{Called: "1"})
 	opening := slices.Clone(d.unacked[0].buf)
 	w.run(time.Second)
-	w.ends[addrB].Receive(w.now, addrA, opening)
+	w.endpoints[addrB].Receive(w.now, addrA, opening)
 	d.Release(w.now, CauseNormal, "")
 	w.run(2 * time.Second)
-	w.ends[addrB].Receive(w.now, addrA, opening)
+	w.endpoints[addrB].Receive(w.now, addrA, opening)
 	w.run(3 * time.Second)
-	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
 		t.Errorf("called saw %v", got)
 	}
 }
 
-// ANSWER crosses the caller's HANGUP: both ends close, and the answer is not reported.
+// If ANSWER crosses the caller's HANGUP, both ends close and the answer is not reported.
 func TestAnswerCrossesHangup(t *testing.T) {
 	w := newWire(Config{}, Config{})
 	var far *Dialog
-	w.react = func(at Addr, e Event) {
+	w.onEvent = func(at Addr, e Event) {
 		if e.Kind == Offered {
 			far = e.Dialog
 		}
@@ -311,55 +314,55 @@
 	d.Release(w.now, CauseNormal, "")
 	far.Answer(w.now)
 	w.run(10 * time.Second)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Closed}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Closed}) {
 		t.Errorf("caller saw %v", got)
 	}
-	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
+	if n := w.endpoints[addrA].DialogCount() + w.endpoints[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 }
 
 func TestCallTokens(t *testing.T) {
 	w := newWire(Config{}, Config{RequireTokens: true})
-	w.answering()
+	w.answerCalls()
 	w.call(t, Request{Called: "1"})
 	w.run(time.Second)
-	if got := w.kinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
+	if got := w.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
 		t.Fatalf("caller saw %v\n%v", got, w.log)
 	}
-	// Spoofed sources cost nothing: no dialog, no memory that grows.
-	ep := w.ends[addrB]
-	before, hosts := ep.DialogCount(), len(ep.hosts)
+	// Frames from spoofed addresses create no dialog and no state that grows.
+	ep := w.endpoints[addrB]
+	before, hosts := ep.DialogCount(), len(ep.dialogsByHost)
 	f := Frame{Source: 9, Type: FrameIAX, Subclass: New, Payload: AppendText(nil, CallTokenIE, "")}
 	for i := range 5000 {
 		ep.Receive(w.now, Addr{[4]byte{127, 1, byte(i >> 8), byte(i)}, 5}, AppendFull(nil, &f))
 	}
-	if ep.DialogCount() != before || len(ep.hosts) != hosts {
-		t.Errorf("%d dialogs and %d hosts after a flood", ep.DialogCount(), len(ep.hosts))
+	if ep.DialogCount() != before || len(ep.dialogsByHost) != hosts {
+		t.Errorf("%d dialogs and %d hosts after a flood", ep.DialogCount(), len(ep.dialogsByHost))
 	}
-	// A token of one address is worth nothing at another.
-	f.Payload = AppendText(nil, CallTokenIE, ep.tokens.mint(w.now, addrA))
+	// A token issued to one address is invalid at another.
+	f.Payload = AppendText(nil, CallTokenIE, ep.tokens.issue(w.now, addrA))
 	ep.Receive(w.now, Addr{[4]byte{127, 9, 9, 9}, 5}, AppendFull(nil, &f))
 	if ep.DialogCount() != before {
-		t.Error("a stolen token opened a dialog")
+		t.Error("a token issued to another address opened a dialog")
 	}
 }
 
-// The request for a token comes twice: the call is opened with it once.
+// If the request for a call token arrives twice, the call is opened with the token only once.
 func TestCallTokenRepeated(t *testing.T) {
 	w := newWire(Config{}, Config{RequireTokens: true})
 	w.call(t, Request{Called: "1"})
-	_, opening := w.ends[addrA].Out.At(0)
+	_, opening := w.endpoints[addrA].Out.At(0)
 	again := slices.Clone(opening)
 	w.flush()
-	w.fly(addrA, addrB, again)
+	w.transmit(addrA, addrB, again)
 	w.run(5 * time.Second)
-	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered}) {
+	if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered}) {
 		t.Errorf("called saw %v\n%v", got, w.log)
 	}
 }
 
-func TestLimitOfOneHost(t *testing.T) {
+func TestMaxPerHost(t *testing.T) {
 	ep := NewEndpoint(Config{MaxPerHost: 3})
 	for i := range uint16(10) {
 		f := Frame{Source: 100 + i, Type: FrameIAX, Subclass: New}
@@ -370,7 +373,7 @@
 	}
 	ep.Receive(0, addrB, AppendFull(nil, &Frame{Source: 5, Type: FrameIAX, Subclass: New}))
 	if ep.DialogCount() != 4 {
-		t.Error("another host was refused")
+		t.Error("another host was rejected")
 	}
 }
 
@@ -387,10 +390,10 @@
 		{"lift", "", []Kind{Released, Closed}},
 	} {
 		w := newWire(Config{}, Config{Secret: secrets})
-		w.answering()
+		w.answerCalls()
 		w.call(t, Request{Called: "1", User: c.user, Secret: c.secret})
 		w.run(time.Second)
-		if got := w.kinds(addrA); !slices.Equal(got, c.want) {
+		if got := w.eventKinds(addrA); !slices.Equal(got, c.want) {
 			t.Errorf("%s %s: caller saw %v\n%v", c.user, c.secret, got, w.log)
 		}
 	}
@@ -400,7 +403,7 @@
 	w := newWire(Config{}, Config{Secret: secrets, RequireTokens: true, MaxRefresh: 30 * time.Second})
 	register := func(secret string, refresh time.Duration) Event {
 		t.Helper()
-		if _, err := w.ends[addrA].Register(w.now, addrB, "lift", secret, refresh); err != nil {
+		if _, err := w.endpoints[addrA].Register(w.now, addrB, "lift", secret, refresh); err != nil {
 			t.Fatal(err)
 		}
 		w.run(w.now + time.Second)
@@ -417,29 +420,30 @@
 	if e := register("s3cret", time.Hour); e.Kind != RegisterDone || e.Refresh != 30*time.Second {
 		t.Errorf("right secret: %+v", e)
 	}
-	if a, ok := w.ends[addrB].Registration(w.now, "lift"); !ok || a != addrA {
+	if a, ok := w.endpoints[addrB].Registration(w.now, "lift"); !ok || a != addrA {
 		t.Errorf("registered at %v, %v", a, ok)
 	}
-	if _, ok := w.ends[addrB].Registration(w.now+31*time.Second, "lift"); ok {
-		t.Error("a registration outlived its time")
+	if _, ok := w.endpoints[addrB].Registration(w.now+31*time.Second, "lift"); ok {
+		t.Error("a registration was still valid after its refresh time")
 	}
 	if e := register("s3cret", 0); e.Kind != RegisterDone {
 		t.Errorf("release: %+v", e)
 	}
-	if _, ok := w.ends[addrB].Registration(w.now, "lift"); ok {
+	if _, ok := w.endpoints[addrB].Registration(w.now, "lift"); ok {
 		t.Error("still registered after REGREL")
 	}
 	w.run(w.now + 20*time.Second)
-	if n := w.ends[addrA].DialogCount() + w.ends[addrB].DialogCount(); n != 0 {
+	if n := w.endpoints[addrA].DialogCount() + w.endpoints[addrB].DialogCount(); n != 0 {
 		t.Errorf("%d dialogs left", n)
 	}
 }
 
-// Sequence numbers wrap in a long call: media frames are numbered like all others.
+// Sequence numbers wrap around during a long call, since full media frames are numbered as well; the call
+// continues.
 func TestSequenceWrap(t *testing.T) {
 	w := newWire(Config{}, Config{})
 	var far *Dialog
-	w.react = func(at Addr, e Event) {
+	w.onEvent = func(at Addr, e Event) {
 		if e.Kind == Offered {
 			far = e.Dialog
 			far.Answer(w.now)
@@ -451,37 +455,37 @@
 		d.sendIAX(w.now, Ping, nil)
 		w.run(w.now + 50*ms)
 	}
-	if d.state != up || far.state != up || len(d.unacked)+len(far.unacked) != 0 {
+	if d.state != answered || far.state != answered || len(d.unacked)+len(far.unacked) != 0 {
 		t.Fatalf("after the wrap: %v %v, %d and %d unacknowledged", d.state, far.state, len(d.unacked), len(far.unacked))
 	}
 	d.Release(w.now, CauseNormal, "")
 	w.run(w.now + 10*time.Second)
-	if got := w.kinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := w.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
 		t.Errorf("called saw %v", got)
 	}
 }
 
-// Call numbers wrap and none is used again early.
+// Call numbers wrap around, and none is reused before all others.
 func TestNumbersNotReusedEarly(t *testing.T) {
 	ep := NewEndpoint(Config{})
 	seen := map[uint16]int{}
 	for i := range 2 * MaxCallNumber {
 		d := ep.newDialog(0, addrA)
 		if last, ok := seen[d.local]; ok && i-last < MaxCallNumber-2 {
-			t.Fatalf("number %d again after %d others", d.local, i-last)
+			t.Fatalf("number %d was reused after %d others", d.local, i-last)
 		}
 		seen[d.local] = i
-		ep.free(d)
+		ep.freeDialog(d)
 	}
-	if seen[0] != 0 || seen[placeholder] != 0 {
+	if seen[0] != 0 || seen[placeholderCallNumber] != 0 {
 		t.Error("a reserved number was handed out")
 	}
 }
 
 func TestMediaIsRelayed(t *testing.T) {
 	w := newWire(Config{}, Config{})
-	w.answering()
-	phone := w.ends[addrA]
+	w.answerCalls()
+	phone := w.endpoints[addrA]
 	in := w.call(t, Request{Called: "1"})
 	out := w.call(t, Request{Called: "2"})
 	w.run(time.Second)
@@ -506,8 +510,8 @@
 	}
 }
 
-// Under loss, repeats and reordering, whatever either user does and whenever: each dialog closes exactly once,
-// nothing is answered twice, and nothing is left.
+// Under loss, duplication and reordering, whatever the users do at any time, each dialog closes exactly once,
+// none is answered twice, and no state is left.
 func TestFaultyWire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -522,7 +526,7 @@
 		later := func(max int, do func()) {
 			todos = append(todos, todo{w.now + time.Duration(w.faults.IntN(max))*ms, do})
 		}
-		w.react = func(at Addr, e Event) {
+		w.onEvent = func(at Addr, e Event) {
 			switch e.Kind {
 			case Offered:
 				later(400, func() { e.Dialog.Answer(w.now) })
@@ -535,7 +539,7 @@
 		const calls = 20
 		for range calls {
 			later(1000, func() {
-				d, err := w.ends[addrA].Call(w.now, addrB, Request{Called: "1"})
+				d, err := w.endpoints[addrA].Call(w.now, addrB, Request{Called: "1"})
 				if err != nil {
 					panic(err)
 				}
@@ -577,10 +581,10 @@
 				t.Fatalf("%d of %d calls closed", len(ends), calls)
 			}
 		}
-		for a, ep := range w.ends {
-			if ep.DialogCount() != 0 || len(ep.byPeer) != 0 || len(ep.hosts) != 0 || ep.queue.Len() != 0 {
-				t.Fatalf("%v: left: %d dialogs, %d peers, %d hosts, %d timers", a, ep.DialogCount(), len(ep.byPeer),
-					len(ep.hosts), ep.queue.Len())
+		for a, ep := range w.endpoints {
+			if ep.DialogCount() != 0 || len(ep.byPeer) != 0 || len(ep.dialogsByHost) != 0 || ep.timerQueue.Len() != 0 {
+				t.Fatalf("%v: state left: %d dialogs, %d peers, %d hosts, %d timers", a, ep.DialogCount(), len(ep.byPeer),
+					len(ep.dialogsByHost), ep.timerQueue.Len())
 			}
 		}
 	})
@@ -599,11 +603,11 @@
 	}
 }
 
-// One whole call between two endpoints, both ends counted.
+// BenchmarkWholeCall measures one complete call between two endpoints, with the work of both.
 func BenchmarkWholeCall(b *testing.B) {
 	w := newWire(Config{Linger: ms}, Config{Linger: ms})
 	b.ReportAllocs()
-	a, z := w.ends[addrA], w.ends[addrB]
+	a, z := w.endpoints[addrA], w.endpoints[addrB]
 	now, datagrams := time.Duration(0), 0
 	pass := func() {
 		for a.Out.Len()+z.Out.Len() > 0 {
--- a/internal/iax2/element.go
+++ b/internal/iax2/element.go
@@ -10,62 +10,62 @@
 // Element is the code of an information element (RFC 5456, 8.6; CALLTOKEN: RFC 5457).
 type Element uint8
 
-// Information elements.
+// Codes of information elements, the values of some of them, and limits.
 const (
-	CalledNumber    Element = 0x01
-	CallingNumber   Element = 0x02
-	CallingANI      Element = 0x03
-	CallingName     Element = 0x04
-	CalledContext   Element = 0x05
-	Username        Element = 0x06
-	Password        Element = 0x07
-	Capability      Element = 0x08
-	Format          Element = 0x09
-	Language        Element = 0x0a
-	Version         Element = 0x0b
-	ADSICPE         Element = 0x0c
-	DNID            Element = 0x0d
-	AuthMethods     Element = 0x0e
-	Challenge       Element = 0x0f
-	MD5Result       Element = 0x10
-	RSAResult       Element = 0x11
-	ApparentAddr    Element = 0x12
-	Refresh         Element = 0x13
-	DPStatus        Element = 0x14
-	CallNo          Element = 0x15
-	CauseText       Element = 0x16
-	IAXUnknown      Element = 0x17
-	MsgCount        Element = 0x18
-	AutoAnswer      Element = 0x19
-	MusicOnHold     Element = 0x1a
-	TransferID      Element = 0x1b
-	RDNIS           Element = 0x1c
-	DateTime        Element = 0x1f
-	CallingPres     Element = 0x26
-	CallingTON      Element = 0x27
-	CallingTNS      Element = 0x28
-	SamplingRate    Element = 0x29
-	CauseCode       Element = 0x2a
-	Encryption      Element = 0x2b
-	EncryptionKey   Element = 0x2c
-	CodecPrefs      Element = 0x2d
-	RRJitter        Element = 0x2e
-	RRLoss          Element = 0x2f
-	RRPackets       Element = 0x30
-	RRDelay         Element = 0x31
-	RRDropped       Element = 0x32
-	RROutOfOrder    Element = 0x33
-	OSPToken        Element = 0x34
-	CallTokenIE     Element = 0x36
-	elementCount            = 0x37
-	longestElement          = 255
-	authMD5                 = 0x0002
-	protocolVersion         = 2
-	dpStatusExists          = 0x0001
-	dpStatusUnknown         = 0x0004 // no such number
+	CalledNumber     Element = 0x01
+	CallingNumber    Element = 0x02
+	CallingANI       Element = 0x03
+	CallingName      Element = 0x04
+	CalledContext    Element = 0x05
+	Username         Element = 0x06
+	Password         Element = 0x07
+	Capability       Element = 0x08
+	Format           Element = 0x09
+	Language         Element = 0x0a
+	Version          Element = 0x0b
+	ADSICPE          Element = 0x0c
+	DNID             Element = 0x0d
+	AuthMethods      Element = 0x0e
+	Challenge        Element = 0x0f
+	MD5Result        Element = 0x10
+	RSAResult        Element = 0x11
+	ApparentAddr     Element = 0x12
+	Refresh          Element = 0x13
+	DPStatus         Element = 0x14
+	CallNo           Element = 0x15
+	CauseText        Element = 0x16
+	IAXUnknown       Element = 0x17
+	MsgCount         Element = 0x18
+	AutoAnswer       Element = 0x19
+	MusicOnHold      Element = 0x1a
+	TransferID       Element = 0x1b
+	RDNIS            Element = 0x1c
+	DateTime         Element = 0x1f
+	CallingPres      Element = 0x26
+	CallingTON       Element = 0x27
+	CallingTNS       Element = 0x28
+	SamplingRate     Element = 0x29
+	CauseCode        Element = 0x2a
+	Encryption       Element = 0x2b
+	EncryptionKey    Element = 0x2c
+	CodecPrefs       Element = 0x2d
+	RRJitter         Element = 0x2e
+	RRLoss           Element = 0x2f
+	RRPackets        Element = 0x30
+	RRDelay          Element = 0x31
+	RRDropped        Element = 0x32
+	RROutOfOrder     Element = 0x33
+	OSPToken         Element = 0x34
+	CallTokenIE      Element = 0x36
+	elementCount             = 0x37
+	maxElementLength         = 255
+	authMD5                  = 0x0002
+	protocolVersion          = 2
+	dpStatusExists           = 0x0001
+	dpStatusUnknown          = 0x0004 // number does not exist
 )
 
-// elementKind tells the form of an element's data.
+// elementKind is the data format of an information element.
 type elementKind uint8
 
 const (
@@ -79,7 +79,7 @@
 	kindAddr
 )
 
-// elementKinds holds the form of each element that the RFCs define.
+// elementKinds holds the data format of each element that the RFCs define.
 var elementKinds = [elementCount]elementKind{
 	CalledNumber: kindText, CallingNumber: kindText, CallingANI: kindText, CallingName: kindText,
 	CalledContext: kindText, Username: kindText, Password: kindText, Capability: kindU32, Format: kindU32,
@@ -93,7 +93,7 @@
 	CallTokenIE: kindBytes,
 }
 
-// size is the length that the form fixes; -1 if it is free.
+// size returns the fixed data length in bytes, or -1 if the length is variable.
 func (k elementKind) size() int {
 	switch k {
 	case kindEmpty:
@@ -110,33 +110,34 @@
 	return -1
 }
 
-// Elements are the information elements of one frame. Values refer to the datagram's bytes; of an element
-// that comes twice the first counts.
+// Elements holds the information elements of one frame. Values refer to the bytes of the datagram. If an
+// element occurs more than once, the first occurrence counts.
 type Elements struct {
-	has     uint64
-	value   [elementCount][]byte
-	Unknown []RawElement // skipped, kept for tracing
+	present uint64
+	values  [elementCount][]byte
+	Unknown []RawElement // elements not defined by the RFCs, kept for tracing
 }
 
-// RawElement is an element that no RFC defines.
+// RawElement is an element that neither RFC defines.
 type RawElement struct {
 	Code  uint8
 	Value []byte
 }
 
-// ElementError tells which element of a frame is malformed.
+// ElementError reports an information element whose length does not fit its format.
 type ElementError struct {
 	Code   Element
 	Length int
 }
 
 func (e *ElementError) Error() string {
-	return fmt.Sprintf("iax2: information element 0x%02x has %d bytes", uint8(e.Code), e.Length)
+	return fmt.Sprintf("iax2: information element 0x%02x has an invalid length of %d bytes", uint8(e.Code), e.Length)
 }
 
-// Parse reads the payload of an IAX frame.
+// Parse reads the payload of an IAX frame. It returns ErrLength or an *ElementError if the payload is
+// malformed.
 func (e *Elements) Parse(b []byte) error {
-	e.has, e.Unknown = 0, e.Unknown[:0]
+	e.present, e.Unknown = 0, e.Unknown[:0]
 	for len(b) > 0 {
 		if len(b) < 2 || len(b) < 2+int(b[1]) {
 			return ErrLength
@@ -151,28 +152,28 @@
 			return &ElementError{code, len(value)}
 		}
 		if !e.Has(code) {
-			e.has |= 1 << code
-			e.value[code] = value
+			e.present |= 1 << code
+			e.values[code] = value
 		}
 	}
 	return nil
 }
 
-// Has tells whether an element is there.
-func (e *Elements) Has(code Element) bool { return e.has&(1<<code) != 0 }
+// Has reports whether the element is present.
+func (e *Elements) Has(code Element) bool { return e.present&(1<<code) != 0 }
 
-// Bytes is an element's data; nil if it is not there.
+// Bytes returns the data of an element, or nil if it is absent.
 func (e *Elements) Bytes(code Element) []byte {
 	if !e.Has(code) {
 		return nil
 	}
-	return e.value[code]
+	return e.values[code]
 }
 
-// Text is a text element; "" if it is not there.
+// Text returns the value of a text element, or "" if it is absent.
 func (e *Elements) Text(code Element) string { return string(e.Bytes(code)) }
 
-// Uint is the value of a number element; 0 if it is not there.
+// Uint returns the value of a numeric element, or 0 if it is absent.
 func (e *Elements) Uint(code Element) uint32 {
 	v := uint32(0)
 	for _, b := range e.Bytes(code) {
@@ -181,7 +182,8 @@
 	return v
 }
 
-// Addr is the apparent address (8.6.17), in the layout of a sockaddr_in.
+// Addr returns the apparent address (8.6.17), which is encoded as a sockaddr_in; ok is false if it is absent or
+// not IPv4.
 func (e *Elements) Addr() (netip.AddrPort, bool) {
 	b := e.Bytes(ApparentAddr)
 	if len(b) != 16 || binary.LittleEndian.Uint16(b) != 2 {
@@ -190,7 +192,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[2:])), true
 }
 
-// Time is the DATETIME element (8.6.28), to two seconds.
+// Time returns the DATETIME element (8.6.28), which has a resolution of two seconds; ok is false if it is
+// absent.
 func (e *Elements) Time() (time.Time, bool) {
 	if !e.Has(DateTime) {
 		return time.Time{}, false
@@ -200,16 +203,17 @@
 		int(v>>5&0x3f), int(v&0x1f)*2, 0, time.UTC), true
 }
 
-// AppendText appends a text or byte element, cut to what its length field can hold.
+// AppendText appends a text or byte element, truncated to 255 bytes, the most that its length field can
+// express.
 func AppendText[T string | []byte](b []byte, code Element, value T) []byte {
-	if len(value) > longestElement {
-		value = value[:longestElement]
+	if len(value) > maxElementLength {
+		value = value[:maxElementLength]
 	}
 	b = append(b, byte(code), byte(len(value)))
 	return append(b, value...)
 }
 
-// AppendUint appends a number element in the width that the RFC gives it.
+// AppendUint appends a numeric element in the width defined by the RFC.
 func AppendUint(b []byte, code Element, value uint32) []byte {
 	n := elementKinds[code].size()
 	b = append(b, byte(code), byte(n))
@@ -222,7 +226,7 @@
 // AppendEmpty appends an element without data.
 func AppendEmpty(b []byte, code Element) []byte { return append(b, byte(code), 0) }
 
-// AppendAddr appends an apparent address.
+// AppendAddr appends an apparent address element.
 func AppendAddr(b []byte, a Addr) []byte {
 	b = append(b, byte(ApparentAddr), 16, 2, 0)
 	b = binary.BigEndian.AppendUint16(b, a.Port)
@@ -230,7 +234,7 @@
 	return append(b, 0, 0, 0, 0, 0, 0, 0, 0)
 }
 
-// AppendTime appends a DATETIME.
+// AppendTime appends a DATETIME element.
 func AppendTime(b []byte, t time.Time) []byte {
 	t = t.UTC()
 	return AppendUint(b, DateTime, uint32(t.Year()-2000)&0x7f<<25|uint32(t.Month())<<21|uint32(t.Day())<<16|
--- a/internal/iax2/frame.go
+++ b/internal/iax2/frame.go
@@ -1,7 +1,7 @@
-// Package iax2 is the Inter-Asterisk eXchange protocol, version 2, after RFC 5456 (call tokens: RFC 5457).
+// Package iax2 implements the Inter-Asterisk eXchange protocol, version 2 (RFC 5456; call tokens: RFC 5457).
 //
-// It has no I/O: an Endpoint is told the time and the datagrams that came in, and leaves in its Outbox the
-// datagrams that are to go out and in its Events what the calls did. One Endpoint speaks for one UDP socket.
+// The package performs no I/O. An Endpoint receives the current time and incoming datagrams; it puts outgoing
+// datagrams into its Outbox and reports changes of calls as Events. One Endpoint serves one UDP socket.
 package iax2
 
 import (
@@ -14,16 +14,16 @@
 // Port is the registered UDP port of IAX2.
 const Port = 4569
 
-// MaxCallNumber is the largest of the 15-bit call numbers; 0 is none.
+// MaxCallNumber is the largest 15-bit call number; 0 means no call number.
 const MaxCallNumber = 1<<15 - 1
 
-// Addr is an IPv4 transport address, comparable and without pointers.
+// Addr is an IPv4 transport address that is comparable and contains no pointers.
 type Addr struct {
 	IP   [4]byte
 	Port uint16
 }
 
-// AddrFrom converts from the standard form; ok is false if the address is not IPv4.
+// AddrFrom converts a netip.AddrPort; ok is false if the address is not IPv4.
 func AddrFrom(a netip.AddrPort) (addr Addr, ok bool) {
 	ip := a.Addr().Unmap()
 	if !ip.Is4() {
@@ -32,7 +32,7 @@
 	return Addr{ip.As4(), a.Port()}, true
 }
 
-// AddrPort converts to the standard form.
+// AddrPort converts the address to a netip.AddrPort.
 func (a Addr) AddrPort() netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4(a.IP), a.Port) }
 
 func (a Addr) String() string { return a.AddrPort().String() }
@@ -110,96 +110,96 @@
 	CallToken = 0x28
 )
 
-var iaxNames = map[uint32]string{New: "NEW", Ping: "PING", Pong: "PONG", Ack: "ACK", Hangup: "HANGUP",
+var iaxFrameNames = map[uint32]string{New: "NEW", Ping: "PING", Pong: "PONG", Ack: "ACK", Hangup: "HANGUP",
 	Reject: "REJECT", Accept: "ACCEPT", AuthReq: "AUTHREQ", AuthRep: "AUTHREP", Inval: "INVAL", LagRq: "LAGRQ",
 	LagRp: "LAGRP", RegReq: "REGREQ", RegAuth: "REGAUTH", RegAck: "REGACK", RegRej: "REGREJ", RegRel: "REGREL",
 	VNAK: "VNAK", DPReq: "DPREQ", DPRep: "DPREP", Dial: "DIAL", TxReq: "TXREQ", TxCnt: "TXCNT", TxAcc: "TXACC",
 	TxReady: "TXREADY", TxRel: "TXREL", TxRej: "TXREJ", Quelch: "QUELCH", Unquelch: "UNQUELCH", Poke: "POKE",
 	MWI: "MWI", Unsupport: "UNSUPPORT", Transfer: "TRANSFER", CallToken: "CALLTOKEN"}
 
-var controlNames = map[uint32]string{ControlHangup: "control HANGUP", ControlRinging: "RINGING",
+var controlFrameNames = map[uint32]string{ControlHangup: "control HANGUP", ControlRinging: "RINGING",
 	ControlAnswer: "ANSWER", ControlBusy: "BUSY", ControlCongestion: "CONGESTION", ControlProgress: "PROGRESS",
 	ControlProceeding: "PROCEEDING"}
 
-// Layout tells the three layouts of a datagram apart (8.1).
+// Layout is the layout of a datagram: full, mini or meta frame (8.1).
 type Layout uint8
 
-// Shapes of datagrams.
+// Layouts of datagrams.
 const (
 	Full Layout = iota
 	Mini
-	Meta // recognised, not carried: its content is not a call's signalling
+	Meta // recognised but not processed, as it carries no call signalling
 )
 
-// Frame is one parsed datagram. Payload refers to the datagram's bytes.
+// Frame is one parsed datagram. Payload refers to the bytes of the datagram.
 type Frame struct {
 	Layout        Layout
-	Source        uint16 // the sender's call number
-	Dest          uint16 // the receiver's, 0 before it is known
-	Retransmitted bool   // sent again
-	Timestamp     uint32 // milliseconds of the dialog; 16 bits in mini frames
+	Source        uint16 // call number of the sender
+	Dest          uint16 // call number of the receiver; 0 until it is known
+	Retransmitted bool   // R bit: the frame is a retransmission
+	Timestamp     uint32 // milliseconds since the dialog began; 16 bits in mini frames
 	OSeq          uint8
 	ISeq          uint8
 	Type          FrameType
 	Subclass      uint32
-	Payload       []byte // information elements of IAX frames, else media
+	Payload       []byte // information elements of an IAX frame, otherwise media
 }
 
-// Name is the frame's name as the RFC has it.
+// Name returns the name of the frame in the RFC.
 func (f *Frame) Name() string {
 	switch {
 	case f.Layout == Mini:
 		return "mini"
 	case f.Layout == Meta:
 		return "meta"
-	case f.Type == FrameIAX && iaxNames[f.Subclass] != "":
-		return iaxNames[f.Subclass]
-	case f.Type == FrameControl && controlNames[f.Subclass] != "":
-		return controlNames[f.Subclass]
+	case f.Type == FrameIAX && iaxFrameNames[f.Subclass] != "":
+		return iaxFrameNames[f.Subclass]
+	case f.Type == FrameControl && controlFrameNames[f.Subclass] != "":
+		return controlFrameNames[f.Subclass]
 	}
 	return fmt.Sprintf("type %d subclass %d", f.Type, f.Subclass)
 }
 
-// Is tells whether the frame is an IAX frame of this subclass.
+// Is reports whether the frame is an IAX frame of this subclass.
 func (f *Frame) Is(subclass uint32) bool {
 	return f.Layout == Full && f.Type == FrameIAX && f.Subclass == subclass
 }
 
-// IsControl tells whether the frame is a control frame of this subclass.
+// IsControl reports whether the frame is a control frame of this subclass.
 func (f *Frame) IsControl(subclass uint32) bool {
 	return f.Layout == Full && f.Type == FrameControl && f.Subclass == subclass
 }
 
-// Errors of parsing.
+// Errors returned by ParseFrame and Elements.Parse.
 var (
-	ErrShort  = errors.New("iax2: datagram too short")
+	ErrShort  = errors.New("iax2: datagram shorter than its frame header")
 	ErrZero   = errors.New("iax2: source call number is zero")
-	ErrLength = errors.New("iax2: information element longer than the frame")
+	ErrLength = errors.New("iax2: information element extends beyond the frame")
 )
 
 const (
-	fullHeader = 12
-	miniHeader = 4
+	fullHeaderSize = 12
+	miniHeaderSize = 4
 )
 
-// ParseFrame reads one datagram into f.
+// ParseFrame reads one datagram into f. It returns ErrShort or ErrZero if the datagram is malformed.
 func ParseFrame(b []byte, f *Frame) error {
 	*f = Frame{}
-	if len(b) < miniHeader {
+	if len(b) < miniHeaderSize {
 		return ErrShort
 	}
-	first := binary.BigEndian.Uint16(b)
-	f.Source = first & MaxCallNumber
-	if first&0x8000 == 0 {
+	word := binary.BigEndian.Uint16(b)
+	f.Source = word & MaxCallNumber
+	if word&0x8000 == 0 {
 		f.Timestamp = uint32(binary.BigEndian.Uint16(b[2:]))
-		f.Payload = b[miniHeader:]
+		f.Payload = b[miniHeaderSize:]
 		f.Layout = Mini
 		if f.Source == 0 {
 			f.Layout = Meta
 		}
 		return nil
 	}
-	if len(b) < fullHeader {
+	if len(b) < fullHeaderSize {
 		return ErrShort
 	}
 	if f.Source == 0 {
@@ -211,25 +211,25 @@
 	f.OSeq, f.ISeq, f.Type = b[8], b[9], FrameType(b[10])
 	f.Subclass = uint32(b[11] & 0x7f)
 	if b[11]&0x80 != 0 {
-		f.Subclass = 1 << (b[11] & 0x1f) // C bit: a power of two (8.1.1)
+		f.Subclass = 1 << (b[11] & 0x1f) // C bit: the value is a power of two (8.1.1)
 	}
-	f.Payload = b[fullHeader:]
+	f.Payload = b[fullHeaderSize:]
 	return nil
 }
 
-// packSubclass writes a subclass in one byte: itself below 128, else as a power of two.
-func packSubclass(s uint32) byte {
+// encodeSubclass encodes a subclass in one byte: directly if it is below 128, otherwise as a power of two.
+func encodeSubclass(s uint32) byte {
 	if s < 0x80 {
 		return byte(s)
 	}
-	p := byte(0)
+	exponent := byte(0)
 	for s >>= 1; s != 0; s >>= 1 {
-		p++
+		exponent++
 	}
-	return 0x80 | p
+	return 0x80 | exponent
 }
 
-// AppendFull appends a full frame's header and payload.
+// AppendFull appends the header and the payload of a full frame.
 func AppendFull(b []byte, f *Frame) []byte {
 	dest := f.Dest & MaxCallNumber
 	if f.Retransmitted {
@@ -238,7 +238,7 @@
 	b = binary.BigEndian.AppendUint16(b, f.Source|0x8000)
 	b = binary.BigEndian.AppendUint16(b, dest)
 	b = binary.BigEndian.AppendUint32(b, f.Timestamp)
-	b = append(b, f.OSeq, f.ISeq, byte(f.Type), packSubclass(f.Subclass))
+	b = append(b, f.OSeq, f.ISeq, byte(f.Type), encodeSubclass(f.Subclass))
 	return append(b, f.Payload...)
 }
 
--- a/internal/iax2/frame_test.go
+++ b/internal/iax2/frame_test.go
@@ -49,12 +49,12 @@
 	var e Elements
 	for _, b := range [][]byte{{1}, {1, 5, 'x'}, {byte(Format), 3, 0, 0, 0}, {byte(Version), 0}} {
 		if e.Parse(b) == nil {
-			t.Errorf("elements %x were taken", b)
+			t.Errorf("malformed elements %x were accepted", b)
 		}
 	}
 }
 
-// Every element of the RFCs survives encoding and decoding; unknown ones are kept.
+// Every element defined by the RFCs survives encoding and decoding, and unknown elements are kept.
 func TestElementsRoundTrip(t *testing.T) {
 	var b []byte
 	for code := Element(0); code < elementCount; code++ {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Any bytes at all: an endpoint stays within its bounds and what it sends is well-formed.
+// For any input, an endpoint stays within its limits and sends only well-formed frames.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0x80, 5, 0, 0, 0, 0, 0, 1, 0, 0, 6, 1, 0x0b, 2, 0, 2, 1, 2, '4', '2'})
 	f.Add([]byte{0x80, 5, 0, 2, 0, 0, 0, 1, 0, 0, 6, 5, 42, 1, 16})
--- a/internal/iax2/register.go
+++ b/internal/iax2/register.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// registration is a user that is reachable at an address for a while (6.1).
+// registration is the address at which a user can be reached, and when it expires (6.1).
 type registration struct {
 	from  Addr
 	until time.Duration
 }
 
-// registerAsk is what a registration dialog is about, at either end.
-type registerAsk struct {
-	user    string
-	secret  string
-	refresh time.Duration
-	release bool // REGREL
-	proof   string
+// registrationRequest holds the data of a registration dialog at either end.
+type registrationRequest struct {
+	user      string
+	secret    string
+	refresh   time.Duration
+	release   bool // REGREL: remove the registration
+	md5Result string
 }
 
-// Registration is where a registered user is reached.
+// Registration returns the address at which a user is registered; ok is false if the user is not registered or
+// the registration has expired.
 func (ep *Endpoint) Registration(now time.Duration, user string) (Addr, bool) {
-	r := ep.users[user]
+	r := ep.registrations[user]
 	if r == nil || r.until <= now {
 		return Addr{}, false
 	}
 	return r.from, true
 }
 
-// sweepRegistrations drops those that were not refreshed, once a second: Registration looks at the time itself.
+// sweepRegistrations removes expired registrations, once a second. Registration checks the expiry time itself,
+// so a late removal is harmless.
 func (ep *Endpoint) sweepRegistrations(now time.Duration) {
 	if now < ep.sweepAt {
 		return
 	}
 	ep.sweepAt = now + time.Second
-	for user, r := range ep.users {
+	for user, r := range ep.registrations {
 		if r.until <= now {
-			delete(ep.users, user)
+			delete(ep.registrations, user)
 		}
 	}
 }
 
-// receiveRegister opens a registration dialog: the user is challenged first.
-func (ep *Endpoint) receiveRegister(now time.Duration, from Addr, f *Frame, b []byte) {
+// receiveRegistration opens a registration dialog and challenges the user.
+func (ep *Endpoint) receiveRegistration(now time.Duration, from Addr, f *Frame, b []byte) {
 	if ep.cfg.Secret == nil {
-		ep.refuse(from, f, RegRej, CauseNotSubscribed, "registrations are not taken here")
+		ep.rejectOpening(from, f, RegRej, CauseNotSubscribed, "registrations are not taken here")
 		return
 	}
 	if !ep.admit(now, from, f, RegRej) {
@@ -53,71 +55,72 @@
 	}
 	d := ep.newDialog(now, from)
 	if d == nil {
-		ep.refuse(from, f, RegRej, CauseCongestion, "no call number free")
+		ep.rejectOpening(from, f, RegRej, CauseCongestion, "no call number free")
 		return
 	}
-	d.open(now, f, ep.fingerprint(b))
-	d.reg = &registerAsk{user: ep.elems.Text(Username)}
-	d.askRegisterProof(now)
+	d.openIncoming(now, f, ep.fingerprint(b))
+	d.reg = &registrationRequest{user: ep.elements.Text(Username)}
+	d.challengeRegistration(now)
 }
 
-func (d *Dialog) askRegisterProof(now time.Duration) {
+func (d *Dialog) challengeRegistration(now time.Duration) {
 	d.state, d.challenge = challenged, challengeText(d.ep.cfg.Random())
-	d.giveUpAt = now + d.ep.cfg.AuthTimeout
+	d.expiresAt = now + d.ep.cfg.AuthTimeout
 	ies := AppendUint(d.ep.ies[:0], AuthMethods, authMD5)
 	ies = AppendText(ies, Challenge, d.challenge)
 	d.sendIAX(now, RegAuth, AppendText(ies, Username, d.reg.user))
 }
 
-// receiveRegisterProof takes REGREQ or REGREL with the answer to the challenge.
-func (d *Dialog) receiveRegisterProof(now time.Duration, f *Frame) {
+// receiveRegistrationResponse handles REGREQ or REGREL with the answer to the challenge.
+func (d *Dialog) receiveRegistrationResponse(now time.Duration, f *Frame) {
 	if d.state != challenged || d.reg == nil {
 		return
 	}
-	user := d.ep.elems.Text(Username)
-	if user != d.reg.user || !d.proven(user) {
-		d.finishRegister(now, RegRej, AppendUint(AppendText(d.ep.ies[:0], CauseText, "not authorised"),
+	user := d.ep.elements.Text(Username)
+	if user != d.reg.user || !d.responseMatches(user) {
+		d.finishRegistration(now, RegRej, AppendUint(AppendText(d.ep.ies[:0], CauseText, "not authorised"),
 			CauseCode, CauseNotSubscribed))
 		return
 	}
 	if f.Is(RegRel) {
-		delete(d.ep.users, user)
-		d.tell(Event{Kind: Unregistered, User: user, From: d.peer})
-		d.finishRegister(now, RegAck, AppendText(d.ep.ies[:0], Username, user))
+		delete(d.ep.registrations, user)
+		d.appendEvent(Event{Kind: Unregistered, User: user, From: d.peer})
+		d.finishRegistration(now, RegAck, AppendText(d.ep.ies[:0], Username, user))
 		return
 	}
-	refresh := min(time.Duration(d.ep.elems.Uint(Refresh))*time.Second, d.ep.cfg.MaxRefresh)
+	refresh := min(time.Duration(d.ep.elements.Uint(Refresh))*time.Second, d.ep.cfg.MaxRefresh)
 	refresh = cmp.Or(refresh, d.ep.cfg.MaxRefresh)
-	d.ep.users[user] = &registration{d.peer, now + refresh}
-	d.tell(Event{Kind: Registered, User: user, From: d.peer, Refresh: refresh})
+	d.ep.registrations[user] = &registration{d.peer, now + refresh}
+	d.appendEvent(Event{Kind: Registered, User: user, From: d.peer, Refresh: refresh})
 	ies := AppendText(d.ep.ies[:0], Username, user)
 	ies = AppendUint(ies, Refresh, uint32(refresh/time.Second))
-	d.finishRegister(now, RegAck, AppendAddr(ies, d.peer))
+	d.finishRegistration(now, RegAck, AppendAddr(ies, d.peer))
 }
 
-// tell reports an event of a dialog that the user holds no part of.
-func (d *Dialog) tell(e Event) { d.ep.Events = append(d.ep.Events, e) }
+// appendEvent reports an event of a dialog that the user does not know.
+func (d *Dialog) appendEvent(e Event) { d.ep.Events = append(d.ep.Events, e) }
 
-// finishRegister sends the last frame of a registration; its ACK closes the dialog.
-func (d *Dialog) finishRegister(now time.Duration, subclass uint32, ies []byte) {
-	d.state, d.giveUpAt = releasing, 0
+// finishRegistration sends the last frame of a registration; its ACK closes the dialog.
+func (d *Dialog) finishRegistration(now time.Duration, subclass uint32, ies []byte) {
+	d.state, d.expiresAt = releasing, 0
 	d.sendIAX(now, subclass, ies)
 }
 
-// Register asks a peer to register a user for refresh, or, with refresh 0, to forget it. RegisterDone or
-// RegisterRefused follows.
+// Register asks a peer to register a user for the time refresh, in whole seconds, or to remove the registration
+// if refresh is 0. RegisterDone or RegisterRejected follows. It returns ErrNoCallNumber if MaxDialogs dialogs
+// are open.
 func (ep *Endpoint) Register(now time.Duration, to Addr, user, secret string, refresh time.Duration) (*Dialog, error) {
 	d := ep.newDialog(now, to)
 	if d == nil {
 		return nil, ErrNoCallNumber
 	}
 	d.state = registering
-	d.reg = &registerAsk{user: user, secret: secret, refresh: refresh, release: refresh == 0}
-	d.sendRegister(now, nil)
+	d.reg = &registrationRequest{user: user, secret: secret, refresh: refresh, release: refresh == 0}
+	d.sendRegistration(now, nil)
 	return d, nil
 }
 
-func (d *Dialog) sendRegister(now time.Duration, token []byte) {
+func (d *Dialog) sendRegistration(now time.Duration, token []byte) {
 	r, subclass := d.reg, uint32(RegReq)
 	ies := AppendText(d.ep.ies[:0], Username, r.user)
 	if r.release {
@@ -125,43 +128,43 @@
 	} else {
 		ies = AppendUint(ies, Refresh, uint32(r.refresh/time.Second))
 	}
-	if r.proof != "" {
-		ies = AppendText(ies, MD5Result, r.proof)
+	if r.md5Result != "" {
+		ies = AppendText(ies, MD5Result, r.md5Result)
 	}
 	ies = AppendText(ies, CallTokenIE, token)
 	d.sendFull(now, FrameIAX, subclass, ies, d.remote == 0)
 }
 
-func (d *Dialog) receiveRegisterAnswer(now time.Duration, f *Frame) {
+func (d *Dialog) receiveRegistrationReply(now time.Duration, f *Frame) {
 	if d.state != registering {
 		return
 	}
-	e := &d.ep.elems
+	e := &d.ep.elements
 	switch {
-	case f.Is(RegAuth) && d.reg.proof == "":
-		d.reg.proof = md5Answer(e.Text(Challenge), d.reg.secret)
-		d.sendRegister(now, nil)
+	case f.Is(RegAuth) && d.reg.md5Result == "":
+		d.reg.md5Result = md5Response(e.Text(Challenge), d.reg.secret)
+		d.sendRegistration(now, nil)
 	case f.Is(RegAuth):
 		d.sendAck()
-		d.registered(now, 0, CauseNotSubscribed)
+		d.reportRegistration(now, 0, CauseNotSubscribed)
 		d.close(now)
 	default:
 		d.sendAck()
 		if f.Is(RegRej) {
-			d.registered(now, 0, uint8(e.Uint(CauseCode)))
+			d.reportRegistration(now, 0, uint8(e.Uint(CauseCode)))
 		} else {
-			d.registered(now, time.Duration(e.Uint(Refresh))*time.Second, 0)
+			d.reportRegistration(now, time.Duration(e.Uint(Refresh))*time.Second, 0)
 		}
 		d.close(now)
 	}
 }
 
-// registered reports the end of our own registration; cause 0 is success.
-func (d *Dialog) registered(now time.Duration, refresh time.Duration, cause uint8) {
+// reportRegistration reports the result of our own registration; cause 0 means success.
+func (d *Dialog) reportRegistration(now time.Duration, refresh time.Duration, cause uint8) {
 	kind := RegisterDone
 	if cause != 0 {
 		kind = RegisterRejected
 	}
-	d.tell(Event{Kind: kind, Dialog: d, User: d.reg.user, Refresh: refresh, Cause: cause})
-	d.state = releasing // its end is told: nothing else is
+	d.appendEvent(Event{Kind: kind, Dialog: d, User: d.reg.user, Refresh: refresh, Cause: cause})
+	d.state = releasing // the result is reported once: no other event follows
 }
