--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -8,16 +8,17 @@
 	"pipitring/internal/timers"
 )
 
-// Timers of Q.764, annex A. Zero values take the Recommendation's, at the lower end of its ranges.
+// Timers holds the timers of Q.764, annex A. A zero value selects the lower end of the range in the
+// Recommendation.
 type Timers struct {
-	T1  time.Duration // REL again; 15 s
-	T5  time.Duration // then the circuit is reset; 5 min
-	T7  time.Duration // for ACM; 20 s
-	T9  time.Duration // for ANM; 90 s
-	T12 time.Duration // BLO, UBL, CGB, CGU again; 15 s
-	T13 time.Duration // then maintenance is told, and again each T13; 5 min
-	T16 time.Duration // RSC, GRS again; 15 s
-	T17 time.Duration // then maintenance is told, and again each T17; 5 min
+	T1  time.Duration // interval at which REL is repeated; 15 s
+	T5  time.Duration // from the first REL until the circuit is reset; 5 min
+	T7  time.Duration // wait for ACM; 20 s
+	T9  time.Duration // wait for ANM; 90 s
+	T12 time.Duration // interval at which BLO and UBL are repeated (also T14); 15 s
+	T13 time.Duration // until maintenance is alerted, then the interval of BLO, UBL and alerts (also T15); 5 min
+	T16 time.Duration // interval at which RSC and GRS are repeated (also T22); 15 s
+	T17 time.Duration // until maintenance is alerted, then the interval of RSC and GRS (also T23); 5 min
 }
 
 func (t Timers) withDefaults() Timers {
@@ -32,86 +33,94 @@
 	return t
 }
 
-// Config sets one end of a group.
+// Config describes one end of a circuit group.
 type Config struct {
-	First                      CIC
-	Circuits                   int
-	OwnPointCode, FarPointCode uint32 // point codes
+	First                      CIC    // lowest CIC of the group
+	Circuits                   int    // number of circuits, with consecutive CICs
+	OwnPointCode, FarPointCode uint32 // of this end and of the far end
 	Timers                     Timers
 }
 
-// state of a circuit.
+// state is the state of a circuit.
 type state uint8
 
 const (
 	idle      state = iota
 	waitACM         // IAM sent
-	waitANM         // ACM came
-	offered         // IAM came
+	waitANM         // ACM received
+	offered         // IAM received
 	alerting        // ACM sent
-	up              // ANM sent or received
+	answered        // ANM or CON sent or received
 	releasing       // REL sent
-	resetting       // RSC sent
+	resetting       // RSC or GRS sent
 )
 
-// Call is a call's time on a circuit, as the user holds it.
+// Call is the use of a circuit by one call.
 type Call struct {
-	Ref  uint64 // the user's own
-	c    *circuit
-	over bool // its end has been told, or decided by the user
+	Ref     uint64 // free for the user of the call; this package does not read it
+	circuit *circuit
+	ended   bool // the user has been notified of its end, or has released it
 }
 
-// CIC is the circuit that the call is on.
-func (k *Call) CIC() CIC { return k.c.cic }
+// CIC returns the circuit of the call.
+func (k *Call) CIC() CIC { return k.circuit.cic }
 
-// circuit is one circuit, seen from one end.
+// circuit is the state of one circuit as seen from this end.
 type circuit struct {
-	cic      CIC
-	state    state
-	call     *Call // nil while the user has no call on it
-	outgoing bool
-	cause    uint8 // of the REL that is repeated
-	timer    timers.Entry[*circuit]
-	giveUpAt time.Duration // T5 or T17's alarm
-	alarmed  bool
-	localBlk bool // blocked by us: the far end sends nothing new here
-	farBlk   bool // blocked by the far end
-	blkAsk   Type // BLO or UBL that waits for its answer; 0 is none
-	blkTimer timers.Entry[*circuit]
-	blkUntil time.Duration
+	cic          CIC
+	state        state
+	call         *Call // nil if the user has no call on it
+	outgoing     bool
+	releaseCause uint8 // cause of the REL, for its repetitions
+	timer        timers.Entry[*circuit]
+	escalateAt   time.Duration // when T5 or T17 expires
+	alarmed      bool
+	localBlocked bool // blocked by this end: the far end sends no new calls on it
+	farBlocked   bool // blocked by the far end
+	pendingBlock Type // BLO or UBL that awaits its answer; 0 if none
+	blockTimer   timers.Entry[*circuit]
+	blockAlarmAt time.Duration
 }
 
-// EventKind tells what an Event reports.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// Kinds of Event. Every call that the user knows ends with one Closed.
+// Kinds of Event. Every call known to the user ends with exactly one Closed.
 const (
-	Offered  EventKind = iota + 1 // IAM came: Request is set
-	Accepted                      // ACM came, or CPG
-	Answered                      // ANM or CON came
-	Released                      // the far end released: Cause is set
-	Glare                         // both ends seized the circuit, and this call gives way
-	Lost                          // no ACM or ANM in time, or the circuit was reset
-	Closed                        // the circuit holds nothing of the call any more
-	Alarm                         // maintenance has to look at CIC: Text tells why
+	// Offered reports that an IAM was received; Request is set.
+	Offered EventKind = iota + 1
+	// Accepted reports that ACM was received.
+	Accepted
+	// Answered reports that ANM or CON was received.
+	Answered
+	// Released reports that the far end released the call; Cause is set.
+	Released
+	// Glare reports a dual seizure in which the call of this end gives way.
+	Glare
+	// Lost reports that ACM or ANM did not arrive in time, or that the circuit was reset or withdrawn.
+	Lost
+	// Closed reports that the call has left its circuit.
+	Closed
+	// Alarm alerts maintenance about the circuit CIC; Text states the reason.
+	Alarm
 )
 
-// Event is one thing that happened in a group.
+// Event reports one change in a group.
 type Event struct {
 	Kind    EventKind
 	Call    *Call
 	CIC     CIC
 	Cause   uint8
-	Reset   bool // of Lost: the far end knows nothing of the call
+	Reset   bool // on Lost: the far end no longer knows the call
 	Request Request
 	Text    string
 }
 
-// Request is what an IAM says of a call.
+// Request holds what an IAM states about a call.
 type Request struct {
 	Called  string
 	Calling string
-	Hops    int    // how often it may be passed on still; -1 is not told
+	Hops    int    // hop counter: how many more exchanges may forward the call; -1 if absent
 	User    string // user-to-user information
 }
 
@@ -121,10 +130,12 @@
 	Data []byte
 }
 
-// SLS is the signalling link selection of a circuit's messages: by the CIC, so that they stay in order (Q.704).
+// SLS returns the signalling link selection. It is derived from the CIC, so that the messages of one circuit
+// stay in order (Q.704).
 func (o *OutMessage) SLS() uint8 { return uint8(o.CIC & 0xf) }
 
-// Stats count since the group began.
+// Stats counts what a group has done since it was created: messages received, sent, malformed, of unknown type
+// and for circuits that this end does not have; dual seizures; repeated messages; and alarms.
 type Stats struct {
 	In, Out, Malformed, Unknown, Unequipped, Glares, Repeats, Alarms uint64
 }
@@ -135,56 +146,57 @@
 	Events []Event
 	Stats  Stats
 
-	cfg      Config
-	circuits []*circuit
-	order    []*circuit // in which calls seize: those that this end controls first
-	queue    timers.Queue[*circuit]
-	blocks   timers.Queue[*circuit]
-	groupAsk Type // GRS, CGB or CGU of the whole group that waits for its answer
-	groupAt  time.Duration
-	groupEnd time.Duration
-	msg      Message
+	cfg           Config
+	circuits      []*circuit
+	seizeOrder    []*circuit // in seizing order: circuits controlled by this end first
+	timerQueue    timers.Queue[*circuit]
+	blockTimers   timers.Queue[*circuit]
+	pendingGroup  Type // group message that awaits its answer, always GRS; 0 if none
+	groupRepeatAt time.Duration
+	groupAlarmAt  time.Duration
+	msg           Message
 }
 
-// NewGroup returns a group whose circuits are idle.
+// NewGroup returns a group whose circuits are all idle.
 func NewGroup(c Config) *Group {
 	c.Timers = c.Timers.withDefaults()
 	g := &Group{cfg: c}
 	for i := range c.Circuits {
 		k := &circuit{cic: c.First + CIC(i)}
-		k.timer.Value, k.blkTimer.Value = k, k
+		k.timer.Value, k.blockTimer.Value = k, k
 		g.circuits = append(g.circuits, k)
 	}
-	g.order = slices.Clone(g.circuits)
-	slices.SortStableFunc(g.order, func(a, b *circuit) int { return cmp.Compare(g.rank(a), g.rank(b)) })
+	g.seizeOrder = slices.Clone(g.circuits)
+	slices.SortStableFunc(g.seizeOrder, func(a, b *circuit) int { return cmp.Compare(g.seizeRank(a), g.seizeRank(b)) })
 	return g
 }
 
-// controls tells whether this end wins a dual seizure of a circuit: the end with the higher point code controls the
-// even circuits (Q.764, 2.9.1.4).
+// controls reports whether this end wins a dual seizure of the circuit: the end with the higher point code
+// controls the even circuits (Q.764, 2.9.1.4).
 func (g *Group) controls(c *circuit) bool {
 	return (c.cic%2 == 0) == (g.cfg.OwnPointCode > g.cfg.FarPointCode)
 }
 
-// rank orders seizing: own circuits rising, then the others falling, so that the ends meet as late as can be.
-func (g *Group) rank(c *circuit) int {
+// seizeRank orders circuits for seizing: those controlled by this end in rising order, then the others in
+// falling order. The two ends thus seize from opposite sides, which makes dual seizures as rare as possible.
+func (g *Group) seizeRank(c *circuit) int {
 	if g.controls(c) {
 		return int(c.cic)
 	}
 	return 2*int(MaxCIC) - int(c.cic)
 }
 
-// Idle is the number of circuits that a call may seize.
+// Idle returns the number of circuits that a call may seize.
 func (g *Group) Idle() (n int) {
 	for _, c := range g.circuits {
-		if c.free() {
+		if c.available() {
 			n++
 		}
 	}
 	return n
 }
 
-// Busy is the number of circuits that are not idle, blocked ones not counted.
+// Busy returns the number of circuits that are not idle. Circuits that are only blocked are not counted.
 func (g *Group) Busy() (n int) {
 	for _, c := range g.circuits {
 		if c.state != idle {
@@ -194,21 +206,23 @@
 	return n
 }
 
-func (c *circuit) free() bool { return c.state == idle && !c.farBlk && !c.localBlk && c.blkAsk == 0 }
+func (c *circuit) available() bool {
+	return c.state == idle && !c.farBlocked && !c.localBlocked && c.pendingBlock == 0
+}
 
-// Next is when Advance has something to do.
+// Next returns the time at which Advance is next due; ok is false if nothing is pending.
 func (g *Group) Next() (at time.Duration, ok bool) {
-	at, ok = g.queue.Next()
-	if b, bok := g.blocks.Next(); bok && (!ok || b < at) {
+	at, ok = g.timerQueue.Next()
+	if b, bok := g.blockTimers.Next(); bok && (!ok || b < at) {
 		at, ok = b, true
 	}
-	if g.groupAsk != 0 && (!ok || g.groupAt < at) {
-		at, ok = g.groupAt, true
+	if g.pendingGroup != 0 && (!ok || g.groupRepeatAt < at) {
+		at, ok = g.groupRepeatAt, true
 	}
 	return at, ok
 }
 
-func (g *Group) find(cic CIC) *circuit {
+func (g *Group) findCircuit(cic CIC) *circuit {
 	if i := int(cic) - int(g.cfg.First); i >= 0 && i < len(g.circuits) {
 		return g.circuits[i]
 	}
@@ -222,23 +236,24 @@
 
 func (g *Group) emit(e Event) { g.Events = append(g.Events, e) }
 
-func (g *Group) alarm(c *circuit, text string) {
+func (g *Group) raiseAlarm(c *circuit, text string) {
 	g.Stats.Alarms++
 	g.emit(Event{Kind: Alarm, CIC: c.cic, Text: text})
 }
 
-// Seize sends an IAM on an idle circuit; nil if there is none or a number cannot be sent.
+// Seize sends an IAM on an idle circuit. It returns nil if no circuit is available or the called number cannot
+// be encoded.
 func (g *Group) Seize(now time.Duration, r Request) *Call {
 	called, err := AppendNumber(nil, r.Called)
 	if err != nil {
 		return nil
 	}
-	i := slices.IndexFunc(g.order, (*circuit).free)
+	i := slices.IndexFunc(g.seizeOrder, (*circuit).available)
 	if i < 0 {
 		return nil
 	}
-	c := g.order[i]
-	c.state, c.outgoing, c.call = waitACM, true, &Call{c: c}
+	c := g.seizeOrder[i]
+	c.state, c.outgoing, c.call = waitACM, true, &Call{circuit: c}
 	params := []Parameter{{CalledNumber, called}, {ForwardCall, []byte{0x60, 0}}, {CallingCategory, []byte{10}}}
 	if calling, err := AppendNumber(nil, r.Calling); err == nil && r.Calling != "" {
 		params = append(params, Parameter{CallingNumber, calling})
@@ -250,128 +265,128 @@
 		params = append(params, Parameter{UserToUser, append([]byte{0}, r.User...)})
 	}
 	g.send(c.cic, IAM, params...)
-	g.queue.Set(&c.timer, now+g.cfg.Timers.T7)
+	g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T7)
 	return c.call
 }
 
 // Accept sends ACM for an offered call.
 func (g *Group) Accept(now time.Duration, k *Call) {
-	if c := k.c; c.call == k && c.state == offered {
+	if c := k.circuit; c.call == k && c.state == offered {
 		c.state = alerting
 		g.send(c.cic, ACM, Parameter{BackwardCall, []byte{0x16, 0x04}})
 	}
 }
 
-// Answer makes an offered call stand.
+// Answer answers an offered call: by ANM, or by CON if no ACM was sent.
 func (g *Group) Answer(now time.Duration, k *Call) {
-	c := k.c
+	c := k.circuit
 	if c.call != k {
 		return
 	}
 	switch c.state {
-	case offered: // ACM and ANM in one
+	case offered: // CON stands for ACM and ANM
 		g.send(c.cic, CON, Parameter{BackwardCall, []byte{0x16, 0x04}})
 	case alerting:
 		g.send(c.cic, ANM)
 	default:
 		return
 	}
-	c.state = up
-	g.queue.Stop(&c.timer)
+	c.state = answered
+	g.timerQueue.Stop(&c.timer)
 }
 
-// Release ends a call. Closed follows when the circuit is idle again.
+// Release releases a call. Closed follows when the circuit is idle again.
 func (g *Group) Release(now time.Duration, k *Call, cause uint8) {
-	c := k.c
-	if c.call != k || k.over && c.state >= releasing {
+	c := k.circuit
+	if c.call != k || k.ended && c.state >= releasing {
 		return
 	}
-	k.over = true
-	g.release(now, c, cause)
+	k.ended = true
+	g.releaseCircuit(now, c, cause)
 }
 
-func (g *Group) release(now time.Duration, c *circuit, cause uint8) {
+func (g *Group) releaseCircuit(now time.Duration, c *circuit, cause uint8) {
 	if c.state == idle || c.state >= releasing {
 		return
 	}
-	c.state, c.cause = releasing, cause
-	c.giveUpAt = now + g.cfg.Timers.T5
+	c.state, c.releaseCause = releasing, cause
+	c.escalateAt = now + g.cfg.Timers.T5
 	g.send(c.cic, REL, Cause(cause))
-	g.queue.Set(&c.timer, now+g.cfg.Timers.T1)
+	g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T1)
 }
 
-// clear makes a circuit idle and tells its call's end.
-func (g *Group) clear(c *circuit) {
-	g.queue.Stop(&c.timer)
+// setIdle makes a circuit idle and reports the end of its call.
+func (g *Group) setIdle(c *circuit) {
+	g.timerQueue.Stop(&c.timer)
 	c.state, c.outgoing, c.alarmed = idle, false, false
 	if k := c.call; k != nil {
 		c.call = nil
-		k.over = true
+		k.ended = true
 		g.emit(Event{Kind: Closed, Call: k, CIC: c.cic})
 	}
 }
 
-// end tells the user why its call ends, once.
-func (g *Group) end(c *circuit, e Event) {
-	if k := c.call; k != nil && !k.over {
-		k.over = true
+// endCall reports to the user why a call ends, at most once per call.
+func (g *Group) endCall(c *circuit, e Event) {
+	if k := c.call; k != nil && !k.ended {
+		k.ended = true
 		e.Call, e.CIC = k, c.cic
 		g.emit(e)
 	}
 }
 
-// reset sends RSC until it is answered: the state of the circuit at the far end is not known.
-func (g *Group) reset(now time.Duration, c *circuit) {
+// resetCircuit sends RSC until it is answered, as the state of the circuit at the far end is unknown.
+func (g *Group) resetCircuit(now time.Duration, c *circuit) {
 	c.state = resetting
-	c.giveUpAt = now + g.cfg.Timers.T17
+	c.escalateAt = now + g.cfg.Timers.T17
 	g.send(c.cic, RSC)
-	g.queue.Set(&c.timer, now+g.cfg.Timers.T16)
+	g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T16)
 }
 
-// Advance does what is due.
+// Advance performs what is due by now.
 func (g *Group) Advance(now time.Duration) {
-	for e := g.queue.Due(now); e != nil; e = g.queue.Due(now) {
-		g.due(now, e.Value)
+	for e := g.timerQueue.Due(now); e != nil; e = g.timerQueue.Due(now) {
+		g.onTimer(now, e.Value)
 	}
-	for e := g.blocks.Due(now); e != nil; e = g.blocks.Due(now) {
-		g.blockDue(now, e.Value)
+	for e := g.blockTimers.Due(now); e != nil; e = g.blockTimers.Due(now) {
+		g.onBlockTimer(now, e.Value)
 	}
-	if g.groupAsk != 0 && g.groupAt <= now {
-		g.askGroup(now)
+	if g.pendingGroup != 0 && g.groupRepeatAt <= now {
+		g.sendGroupResets(now)
 	}
 }
 
-func (g *Group) due(now time.Duration, c *circuit) {
+func (g *Group) onTimer(now time.Duration, c *circuit) {
 	t := &g.cfg.Timers
 	switch c.state {
 	case waitACM, waitANM: // T7, T9
-		g.end(c, Event{Kind: Lost})
-		g.release(now, c, causeTimer)
-	case releasing: // T1, and T5 in the end
-		if now >= c.giveUpAt {
-			g.alarm(c, "no RLC: the circuit is reset (T5)")
-			g.reset(now, c)
+		g.endCall(c, Event{Kind: Lost})
+		g.releaseCircuit(now, c, causeTimer)
+	case releasing: // T1, finally T5
+		if now >= c.escalateAt {
+			g.raiseAlarm(c, "no RLC received before T5 expired; resetting the circuit")
+			g.resetCircuit(now, c)
 			return
 		}
 		g.Stats.Repeats++
-		g.send(c.cic, REL, Cause(c.cause))
-		g.queue.Set(&c.timer, min(now+t.T1, c.giveUpAt))
-	case resetting: // T16, and T17 in the end
-		again := t.T16
-		if now >= c.giveUpAt {
+		g.send(c.cic, REL, Cause(c.releaseCause))
+		g.timerQueue.Set(&c.timer, min(now+t.T1, c.escalateAt))
+	case resetting: // T16, finally T17
+		interval := t.T16
+		if now >= c.escalateAt {
 			if !c.alarmed {
 				c.alarmed = true
-				g.alarm(c, "no answer to RSC (T17)")
+				g.raiseAlarm(c, "no RLC received in answer to RSC before T17 expired; RSC is repeated")
 			}
-			again = t.T17
+			interval = t.T17
 		}
 		g.Stats.Repeats++
 		g.send(c.cic, RSC)
-		g.queue.Set(&c.timer, now+again)
+		g.timerQueue.Set(&c.timer, now+interval)
 	}
 }
 
-// causes that this package gives (Q.850).
+// Q.850 causes sent by this package.
 const (
 	causeNormal   = 16
 	causeTempFail = 41
@@ -380,28 +395,29 @@
 	causeProtocol = 111
 )
 
-// RetransmitPending repeats at once what waits for an answer: the messages may have been lost while no link was up. Their timers
-// begin anew: a REL that T1 repeats while the RLC to this one is on its way would end the circuit's next call.
+// RetransmitPending repeats REL, RSC and GRS that await an answer, as they may have been lost while no
+// association was active. It restarts their timers: if T1 repeated a REL while the RLC to this one was on its
+// way, that REL would end the next call on the circuit.
 func (g *Group) RetransmitPending(now time.Duration) {
 	for _, c := range g.circuits {
 		switch {
 		case c.state == releasing:
 			g.Stats.Repeats++
-			g.send(c.cic, REL, Cause(c.cause))
-			g.queue.Set(&c.timer, min(now+g.cfg.Timers.T1, max(now, c.giveUpAt)))
+			g.send(c.cic, REL, Cause(c.releaseCause))
+			g.timerQueue.Set(&c.timer, min(now+g.cfg.Timers.T1, max(now, c.escalateAt)))
 		case c.state == resetting && c.timer.Running():
 			g.Stats.Repeats++
 			g.send(c.cic, RSC)
-			g.queue.Set(&c.timer, now+g.cfg.Timers.T16)
+			g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T16)
 		}
 	}
-	if g.groupAsk != 0 {
-		g.askGroup(now)
+	if g.pendingGroup != 0 {
+		g.sendGroupResets(now)
 	}
 }
 
-// RunningTimers is the number of running timers.
-func (g *Group) RunningTimers() int { return g.queue.Len() + g.blocks.Len() }
+// RunningTimers returns the number of running timers.
+func (g *Group) RunningTimers() int { return g.timerQueue.Len() + g.blockTimers.Len() }
 
-// FarPointCode is the point code of the other end.
+// FarPointCode returns the point code of the far end.
 func (g *Group) FarPointCode() uint32 { return g.cfg.FarPointCode }
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -19,21 +19,21 @@
 		}
 	}
 	if _, err := AppendNumber(nil, "12x"); err == nil {
-		t.Error("12x was taken")
+		t.Error("number 12x was accepted")
 	}
 	for _, b := range [][]byte{nil, {0x83}, {0x83, 0x10}, {0x03, 0x10, 0xa1}} {
 		if n, ok := ParseNumber(b); ok {
-			t.Errorf("%x was read as %q", b, n)
+			t.Errorf("malformed number %x was parsed as %q", b, n)
 		}
 	}
 }
 
-// Every message with every parameter that its layout names, and optional ones, survives encoding and decoding.
+// Every message with all parameters of its layout, and with optional ones, survives encoding and decoding.
 func TestMessagesRoundTrip(t *testing.T) {
 	for ty, l := range layouts {
 		var params []Parameter
 		for i, f := range l.fixed {
-			params = append(params, Parameter{f.name, bytes.Repeat([]byte{byte(i + 1)}, f.size)})
+			params = append(params, Parameter{f.code, bytes.Repeat([]byte{byte(i + 1)}, f.size)})
 		}
 		for i, p := range l.variable {
 			params = append(params, Parameter{p, bytes.Repeat([]byte{byte(i + 9)}, i+2)})
@@ -51,7 +51,7 @@
 				t.Errorf("%v: parameter %x: %x, want %x", ty, p.Code, m.Param(p.Code), p.Data)
 			}
 		}
-		for cut := range len(b) { // no cut is read past its end
+		for cut := range len(b) { // a truncated message is not read past its end
 			_ = Parse(b[:cut], &m)
 		}
 	}
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	if n, _ := ParseRange(&m); n != 0 {
-		t.Error("too few status bits were taken")
+		t.Error("too few status bits were accepted")
 	}
 }
 
@@ -93,25 +93,25 @@
 	})
 }
 
-// pair is both ends of a group, with a delay of one step and losses as told.
-type pair struct {
-	now    time.Duration
-	ends   [2]*Group
-	flying [2][][]byte // toward each end
-	lose   func(to int, m *Message) bool
-	events [2][]Event
-	log    []string
+// groupPair simulates both ends of a circuit group. Messages take one step to arrive and may be dropped.
+type groupPair struct {
+	now      time.Duration
+	ends     [2]*Group
+	inFlight [2][][]byte // messages under way to each end
+	drop     func(to int, m *Message) bool
+	events   [2][]Event
+	log      []string
 }
 
-func newPair(circuits int) *pair {
-	p := &pair{lose: func(int, *Message) bool { return false }}
+func newGroupPair(circuits int) *groupPair {
+	p := &groupPair{drop: func(int, *Message) bool { return false }}
 	p.ends[0] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 10, FarPointCode: 20})
 	p.ends[1] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 20, FarPointCode: 10})
 	return p
 }
 
-// collect takes what both ends sent.
-func (p *pair) collect() {
+// collect takes the messages and events of both ends.
+func (p *groupPair) collect() {
 	for i, g := range p.ends {
 		for _, o := range g.Out {
 			var m Message
@@ -119,8 +119,8 @@
 				panic(err)
 			}
 			p.log = append(p.log, fmt.Sprintf("%v %d>%d %v %d", p.now, i, 1-i, m.Type, m.CIC))
-			if !p.lose(1-i, &m) {
-				p.flying[1-i] = append(p.flying[1-i], o.Data)
+			if !p.drop(1-i, &m) {
+				p.inFlight[1-i] = append(p.inFlight[1-i], o.Data)
 			}
 		}
 		g.Out = g.Out[:0]
@@ -129,29 +129,29 @@
 	}
 }
 
-// step delivers what flies.
-func (p *pair) step() {
+// deliver delivers the messages under way.
+func (p *groupPair) deliver() {
 	p.collect()
-	fly := p.flying
-	p.flying = [2][][]byte{}
+	arriving := p.inFlight
+	p.inFlight = [2][][]byte{}
 	for i, g := range p.ends {
-		for _, b := range fly[i] {
+		for _, b := range arriving[i] {
 			g.Receive(p.now, b)
 		}
 	}
 	p.collect()
 }
 
-func (p *pair) settle() {
-	for p.collect(); len(p.flying[0])+len(p.flying[1]) > 0; p.step() {
+func (p *groupPair) deliverAll() {
+	for p.collect(); len(p.inFlight[0])+len(p.inFlight[1]) > 0; p.deliver() {
 	}
 }
 
-// pass moves the clock on, with what is due and what flies.
-func (p *pair) pass(d time.Duration) {
+// advance runs timers and delivers messages until d has passed.
+func (p *groupPair) advance(d time.Duration) {
 	until := p.now + d
 	for {
-		p.settle()
+		p.deliverAll()
 		next := until + 1
 		for _, g := range p.ends {
 			if at, ok := g.Next(); ok {
@@ -169,7 +169,7 @@
 	}
 }
 
-func (p *pair) kinds(end int) (k []EventKind) {
+func (p *groupPair) eventKinds(end int) (k []EventKind) {
 	for _, e := range p.events[end] {
 		if e.Kind != Alarm {
 			k = append(k, e.Kind)
@@ -178,25 +178,25 @@
 	return k
 }
 
-func (p *pair) idle(t interface{ Errorf(string, ...any) }) {
+func (p *groupPair) checkIdle(t interface{ Errorf(string, ...any) }) {
 	for i, g := range p.ends {
-		if g.Busy() != 0 || g.queue.Len() != 0 {
-			t.Errorf("end %d: %d circuits busy, %d timers", i, g.Busy(), g.queue.Len())
+		if g.Busy() != 0 || g.timerQueue.Len() != 0 {
+			t.Errorf("end %d: %d circuits busy, %d timers", i, g.Busy(), g.timerQueue.Len())
 		}
 	}
 }
 
-func (p *pair) seize(t *testing.T) *Call {
+func (p *groupPair) seizeCall(t *testing.T) *Call {
 	t.Helper()
 	k := p.ends[0].Seize(p.now, Request{Called: "123", Calling: "9", Hops: 2, User: "alarm"})
 	if k == nil {
-		t.Fatal("no circuit")
+		t.Fatal("no idle circuit")
 	}
-	p.settle()
+	p.deliverAll()
 	return k
 }
 
-func (p *pair) offeredCall(t *testing.T) *Call {
+func (p *groupPair) offeredCall(t *testing.T) *Call {
 	t.Helper()
 	for _, e := range slices.Backward(p.events[1]) {
 		if e.Kind == Offered {
@@ -208,43 +208,43 @@
 }
 
 func TestWholeCall(t *testing.T) {
-	p := newPair(4)
-	k := p.seize(t)
+	p := newGroupPair(4)
+	k := p.seizeCall(t)
 	in := p.offeredCall(t)
 	if r := p.events[1][0].Request; r.Called != "123" || r.Calling != "9" || r.Hops != 2 || r.User != "alarm" {
 		t.Errorf("request %+v", r)
 	}
 	p.ends[1].Accept(p.now, in)
 	p.ends[1].Answer(p.now, in)
-	p.settle()
+	p.deliverAll()
 	p.ends[0].Release(p.now, k, 16)
-	p.settle()
-	if got := p.kinds(0); !slices.Equal(got, []EventKind{Accepted, Answered, Closed}) {
+	p.deliverAll()
+	if got := p.eventKinds(0); !slices.Equal(got, []EventKind{Accepted, Answered, Closed}) {
 		t.Errorf("caller: %v", got)
 	}
-	if got := p.kinds(1); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
+	if got := p.eventKinds(1); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
 		t.Errorf("called: %v", got)
 	}
-	p.idle(t)
+	p.checkIdle(t)
 }
 
-// ANM and REL cross; REL crosses REL; and every message of a call is lost once: the ends agree in the end.
+// If ANM crosses REL, or REL crosses REL, both ends return to idle and the call ends once.
 func TestCrossings(t *testing.T) {
 	for _, cross := range []string{"ANM", "REL"} {
-		p := newPair(2)
-		k := p.seize(t)
+		p := newGroupPair(2)
+		k := p.seizeCall(t)
 		in := p.offeredCall(t)
 		p.ends[1].Accept(p.now, in)
-		p.settle()
+		p.deliverAll()
 		if cross == "REL" {
 			p.ends[1].Release(p.now, in, 17)
 		} else {
 			p.ends[1].Answer(p.now, in)
 		}
 		p.ends[0].Release(p.now, k, 16)
-		p.settle()
-		p.idle(t)
-		if got := p.kinds(0); got[len(got)-1] != Closed || slices.Contains(got, Answered) {
+		p.deliverAll()
+		p.checkIdle(t)
+		if got := p.eventKinds(0); got[len(got)-1] != Closed || slices.Contains(got, Answered) {
 			t.Errorf("%s crosses: caller %v\n%v", cross, got, p.log)
 		}
 	}
@@ -252,23 +252,23 @@
 
 func TestEachMessageLostOnce(t *testing.T) {
 	for lost := range 5 {
-		p := newPair(2)
+		p := newGroupPair(2)
 		n := 0
-		p.lose = func(int, *Message) bool { n++; return n == lost+1 }
-		k := p.seize(t)
+		p.drop = func(int, *Message) bool { n++; return n == lost+1 }
+		k := p.seizeCall(t)
 		if lost > 0 {
 			in := p.offeredCall(t)
 			p.ends[1].Accept(p.now, in)
 			p.ends[1].Answer(p.now, in)
-			p.settle()
+			p.deliverAll()
 		}
-		p.pass(2 * time.Minute) // T7 or T9
+		p.advance(2 * time.Minute) // until T7 or T9 expires
 		p.ends[0].Release(p.now, k, 16)
-		p.pass(20 * time.Minute)
-		p.idle(t)
+		p.advance(20 * time.Minute)
+		p.checkIdle(t)
 		for end := range 2 {
 			ends := 0
-			for _, e := range p.kinds(end) {
+			for _, e := range p.eventKinds(end) {
 				if e == Closed {
 					ends++
 				}
@@ -280,142 +280,144 @@
 	}
 }
 
-// RLC never comes: REL again each T1, after T5 RSC, then an alarm each T17, until the far end answers.
+// If RLC does not arrive, REL is repeated at intervals of T1, then RSC after T5, with an alarm at T5 and one at
+// T17, until the far end answers.
 func TestNoRLC(t *testing.T) {
-	p := newPair(1)
-	k := p.seize(t)
-	p.lose = func(to int, m *Message) bool { return to == 0 }
+	p := newGroupPair(1)
+	k := p.seizeCall(t)
+	p.drop = func(to int, m *Message) bool { return to == 0 }
 	p.ends[0].Release(p.now, k, 16)
-	p.pass(4 * time.Minute)
+	p.advance(4 * time.Minute)
 	if n := p.ends[0].Stats.Repeats; n != 16 {
-		t.Errorf("REL again %d times in 4 minutes", n)
+		t.Errorf("REL was repeated %d times in 4 minutes", n)
 	}
-	p.pass(8 * time.Minute)
+	p.advance(8 * time.Minute)
 	if p.ends[0].Stats.Alarms != 2 {
 		t.Errorf("%d alarms", p.ends[0].Stats.Alarms)
 	}
-	p.lose = func(int, *Message) bool { return false }
-	p.pass(10 * time.Minute)
-	p.idle(t)
-	if got := p.kinds(0); !slices.Equal(got, []EventKind{Closed}) {
+	p.drop = func(int, *Message) bool { return false }
+	p.advance(10 * time.Minute)
+	p.checkIdle(t)
+	if got := p.eventKinds(0); !slices.Equal(got, []EventKind{Closed}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// ACM never comes (T7), ANM never comes (T9): one Lost, and the circuit idle.
+// If ACM (T7) or ANM (T9) does not arrive, the call is lost once and the circuit becomes idle.
 func TestNoACMNoANM(t *testing.T) {
 	for _, accept := range []bool{false, true} {
-		p := newPair(1)
-		p.seize(t)
+		p := newGroupPair(1)
+		p.seizeCall(t)
 		if accept {
 			p.ends[1].Accept(p.now, p.offeredCall(t))
 		}
-		p.pass(2 * time.Minute)
+		p.advance(2 * time.Minute)
 		want := []EventKind{Lost, Closed}
 		if accept {
 			want = append([]EventKind{Accepted}, want...)
 		}
-		if got := p.kinds(0); !slices.Equal(got, want) {
+		if got := p.eventKinds(0); !slices.Equal(got, want) {
 			t.Errorf("accepted %v: %v", accept, got)
 		}
-		p.idle(t)
+		p.checkIdle(t)
 	}
 }
 
-// Both ends seize all circuits in the same moment: on each one call goes on and one gives way.
+// If both ends seize all circuits at once, one call continues on each circuit and the other gives way.
 func TestGlareOnEveryCircuit(t *testing.T) {
-	p := newPair(10)
+	p := newGroupPair(10)
 	for range 10 {
 		for _, g := range p.ends {
 			if g.Seize(p.now, Request{Called: "1", Hops: -1}) == nil {
-				t.Fatal("no circuit")
+				t.Fatal("no idle circuit")
 			}
 		}
 	}
-	p.settle()
+	p.deliverAll()
 	for end := range 2 {
 		count := map[EventKind]int{}
-		for _, k := range p.kinds(end) {
+		for _, k := range p.eventKinds(end) {
 			count[k]++
 		}
 		if count[Glare] != 5 || count[Closed] != 5 || count[Offered] != 5 {
 			t.Errorf("end %d: %v", end, count)
 		}
 	}
-	p.pass(10 * time.Minute)
-	p.idle(t)
+	p.advance(10 * time.Minute)
+	p.checkIdle(t)
 }
 
-// The ends search from different sides: up to half the group no two calls meet.
+// The ends seize circuits from opposite sides, so that no dual seizure occurs while the group is at most half
+// full.
 func TestSeizingFromBothSides(t *testing.T) {
-	p := newPair(10)
+	p := newGroupPair(10)
 	for range 5 {
 		for _, g := range p.ends {
 			g.Seize(p.now, Request{Called: "1", Hops: -1})
 		}
 	}
-	p.settle()
+	p.deliverAll()
 	if n := p.ends[0].Stats.Glares + p.ends[1].Stats.Glares; n != 0 {
 		t.Errorf("%d glares on a half full group", n)
 	}
 }
 
 func TestBlocking(t *testing.T) {
-	p := newPair(2)
-	k := p.seize(t) // on circuit 1, which end 0 controls, or 2
+	p := newGroupPair(2)
+	k := p.seizeCall(t) // on circuit 1 or 2, depending on which one end 0 controls
 	p.ends[1].Block(p.now, 1, true)
 	p.ends[1].Block(p.now, 2, true)
-	p.settle()
+	p.deliverAll()
 	if p.ends[0].Seize(p.now, Request{Called: "1"}) != nil {
 		t.Error("a blocked circuit was seized")
 	}
 	in := p.offeredCall(t)
-	p.ends[1].Answer(p.now, in) // a set-up that was out when BLO came goes on
-	p.settle()
-	if got := p.kinds(0); !slices.Equal(got, []EventKind{Answered}) {
+	p.ends[1].Answer(p.now, in) // a set-up in progress when BLO arrives continues
+	p.deliverAll()
+	if got := p.eventKinds(0); !slices.Equal(got, []EventKind{Answered}) {
 		t.Errorf("%v", got)
 	}
 	p.ends[0].Release(p.now, k, 16)
 	p.ends[1].Block(p.now, 1, false)
 	p.ends[1].Block(p.now, 2, false)
-	p.settle()
+	p.deliverAll()
 	if p.ends[0].Idle() != 2 {
 		t.Errorf("%d idle after unblocking", p.ends[0].Idle())
 	}
-	p.lose = func(int, *Message) bool { return true }
+	p.drop = func(int, *Message) bool { return true }
 	p.ends[0].Block(p.now, 1, true)
-	p.pass(time.Minute)
+	p.advance(time.Minute)
 	if p.ends[0].Stats.Repeats != 4 {
-		t.Errorf("BLO again %d times in a minute", p.ends[0].Stats.Repeats)
+		t.Errorf("BLO was repeated %d times in a minute", p.ends[0].Stats.Repeats)
 	}
 }
 
-// GRS on a group with standing calls: they are lost at both ends, once, and all circuits idle.
+// GRS on a group with standing calls ends them once at both ends, and all circuits become idle.
 func TestGroupReset(t *testing.T) {
-	p := newPair(40)
+	p := newGroupPair(40)
 	for range 3 {
-		p.seize(t)
+		p.seizeCall(t)
 		p.ends[1].Answer(p.now, p.offeredCall(t))
 	}
-	p.settle()
+	p.deliverAll()
 	p.ends[1].Block(p.now, 9, true)
-	p.settle()
+	p.deliverAll()
 	p.events = [2][]Event{}
 	p.ends[0].ResetAll(p.now)
-	p.pass(time.Minute)
+	p.advance(time.Minute)
 	for end := range 2 {
-		if got := p.kinds(end); len(got) != 6 || got[0] != Lost {
+		if got := p.eventKinds(end); len(got) != 6 || got[0] != Lost {
 			t.Errorf("end %d: %v", end, got)
 		}
 	}
-	p.idle(t)
+	p.checkIdle(t)
 	if p.ends[0].Idle() != 39 {
-		t.Errorf("%d idle: the blocked one has to stay blocked", p.ends[0].Idle())
+		t.Errorf("%d idle circuits: the blocked one must stay blocked", p.ends[0].Idle())
 	}
 }
 
 func TestUnknownCircuitAndMessage(t *testing.T) {
-	p := newPair(2)
+	p := newGroupPair(2)
 	p.ends[0].Receive(0, Append(nil, 99, IAM, Parameter{CalledNumber, []byte{3, 16}}))
 	p.ends[0].Receive(0, []byte{1, 0, 0xfd, 1, 2})
 	p.ends[0].Receive(0, []byte{1})
@@ -423,24 +425,24 @@
 	if want := []string{"0s 0>1 UCIC 99", "0s 0>1 CFN 1"}; !slices.Equal(p.log, want) {
 		t.Errorf("answered %v", p.log)
 	}
-	// The far end lacks a circuit of ours: the call on it ends, and it is not used again.
-	q := newPair(2)
+	// If the far end lacks a circuit, the call on it ends and the circuit is not used again.
+	q := newGroupPair(2)
 	q.ends[1] = NewGroup(Config{First: 1, Circuits: 0, OwnPointCode: 20, FarPointCode: 10})
-	q.seize(t)
-	if got := q.kinds(0); !slices.Equal(got, []EventKind{Lost, Closed}) || q.ends[0].Idle() != 1 {
+	q.seizeCall(t)
+	if got := q.eventKinds(0); !slices.Equal(got, []EventKind{Lost, Closed}) || q.ends[0].Idle() != 1 {
 		t.Errorf("%v, %d idle", got, q.ends[0].Idle())
 	}
 }
 
-// From any sequence of calls, releases, blockings, resets, losses and time, every circuit comes back to idle or
+// After any sequence of calls, releases, blockings, resets, losses and delays, every circuit returns to idle or
 // blocked, and each call ends once.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPair(3)
+		p := newGroupPair(3)
 		calls := [2][]*Call{}
 		seen := [2]int{}
 		losing := true
-		p.lose = func(int, *Message) bool { return losing && rapid.IntRange(0, 4).Draw(t, "lose") == 0 }
+		p.drop = func(int, *Message) bool { return losing && rapid.IntRange(0, 4).Draw(t, "lose") == 0 }
 		learn := func() {
 			for end := range 2 {
 				for _, e := range p.events[end][seen[end]:] {
@@ -474,22 +476,22 @@
 			case what == 6 && rapid.IntRange(0, 5).Draw(t, "restart") == 0:
 				g.ResetAll(p.now)
 			default:
-				p.pass(time.Duration(rapid.IntRange(0, 100).Draw(t, "s")) * time.Second)
+				p.advance(time.Duration(rapid.IntRange(0, 100).Draw(t, "s")) * time.Second)
 			}
-			p.step()
+			p.deliver()
 			learn()
 		}
 		losing = false
-		p.pass(10 * time.Minute) // whatever waits for an answer gets one
+		p.advance(10 * time.Minute) // lets every pending request be answered
 		learn()
 		for end := range 2 {
 			for _, k := range calls[end] {
 				p.ends[end].Release(p.now, k, 16)
 			}
 		}
-		p.pass(2 * time.Hour)
+		p.advance(2 * time.Hour)
 		learn()
-		p.idle(t)
+		p.checkIdle(t)
 		for end := range 2 {
 			closes, ends := map[*Call]int{}, map[*Call]int{}
 			for _, e := range p.events[end] {
@@ -500,7 +502,7 @@
 					ends[e.Call]++
 				case Answered:
 					if closes[e.Call]+ends[e.Call] > 0 {
-						t.Fatal("answered after its end")
+						t.Fatal("a call was answered after its end")
 					}
 				}
 			}
--- a/internal/isup/message.go
+++ b/internal/isup/message.go
@@ -1,6 +1,6 @@
-// Package isup is the ISDN user part: messages after Q.763 and the circuit procedures of Q.764, for both ends of a
-// group of circuits. It has no I/O: a Group is told the time and the messages that came in, and leaves messages to
-// send and what its calls did.
+// Package isup implements the ISDN user part: the messages of Q.763 and the circuit procedures of Q.764, for
+// either end of a group of circuits. It performs no I/O: a Group receives the current time and incoming
+// messages, and collects outgoing messages and the events of its calls.
 package isup
 
 import (
@@ -53,10 +53,10 @@
 	return fmt.Sprintf("type 0x%02x", uint8(t))
 }
 
-// ParamCode names a parameter (Q.763, table 5).
+// ParamCode is a parameter code (Q.763, table 5).
 type ParamCode uint8
 
-// Parameters.
+// Parameter codes.
 const (
 	MediumRequirement ParamCode = 0x02
 	CalledNumber      ParamCode = 0x04
@@ -76,8 +76,8 @@
 	HopCounter        ParamCode = 0x3d
 )
 
-// layout is a message's form: mandatory parameters of fixed length, mandatory ones of variable length, and whether
-// optional ones may follow.
+// layout describes the format of a message: its mandatory parameters of fixed length, its mandatory parameters
+// of variable length, and whether optional parameters may follow.
 type layout struct {
 	fixed    []fixedParam
 	variable []ParamCode
@@ -85,7 +85,7 @@
 }
 
 type fixedParam struct {
-	name ParamCode
+	code ParamCode
 	size int
 }
 
@@ -107,42 +107,43 @@
 	CGUA: {[]fixedParam{{SupervisionType, 1}}, []ParamCode{RangeAndStatus}, false},
 }
 
-// CIC is a circuit identification code: 12 bits.
+// CIC is a circuit identification code of 12 bits.
 type CIC uint16
 
 // MaxCIC is the largest CIC.
 const MaxCIC CIC = 1<<12 - 1
 
-// Message is one parsed message. Values refer to the bytes that were parsed.
+// Message is one parsed message. Its parameters refer to the parsed bytes.
 type Message struct {
 	CIC    CIC
 	Type   Type
-	params []value
+	params []parsedParam
 }
 
-type value struct {
-	name ParamCode
+type parsedParam struct {
+	code ParamCode
 	data []byte
 }
 
-// Errors of parsing. ErrUnknown comes with CIC and Type set, for the answer by CFN.
+// Errors returned by Parse. With ErrUnknown, CIC and Type are set, so that the message can be answered by CFN.
 var (
 	ErrShort   = errors.New("isup: message too short")
-	ErrUnknown = errors.New("isup: message type is not known")
-	ErrPointer = errors.New("isup: a pointer leads out of the message")
+	ErrUnknown = errors.New("isup: unknown message type")
+	ErrPointer = errors.New("isup: parameter pointer leads outside the message")
 )
 
-// Param finds a parameter; nil if it is not there.
+// Param returns the data of a parameter, or nil if it is absent.
 func (m *Message) Param(p ParamCode) []byte {
 	for _, v := range m.params {
-		if v.name == p {
+		if v.code == p {
 			return v.data
 		}
 	}
 	return nil
 }
 
-// Parse reads one message. Optional parameters that are not known are kept and mean nothing (Q.764, 2.9.5).
+// Parse reads one message into m. Unknown optional parameters are kept but have no effect (Q.764, 2.9.5). It
+// returns ErrShort, ErrUnknown or ErrPointer if the message cannot be read.
 func Parse(b []byte, m *Message) error {
 	*m = Message{params: m.params[:0]}
 	if len(b) < 3 {
@@ -158,24 +159,25 @@
 		if len(b) < f.size {
 			return ErrShort
 		}
-		m.params = append(m.params, value{f.name, b[:f.size]})
+		m.params = append(m.params, parsedParam{f.code, b[:f.size]})
 		b = b[f.size:]
 	}
-	for i, name := range l.variable {
-		data, err := pointed(b, i)
+	for i, code := range l.variable {
+		data, err := variableParam(b, i)
 		if err != nil {
 			return err
 		}
-		m.params = append(m.params, value{name, data})
+		m.params = append(m.params, parsedParam{code, data})
 	}
 	if !l.optional || len(b) <= len(l.variable) {
-		return nil // the pointer to optional parameters may be left out by older ends where none follow
+		return nil // older exchanges may omit the pointer if no optional parameters follow
 	}
 	return m.parseOptional(b, len(l.variable))
 }
 
-// pointed is the parameter of variable length that the i-th pointer leads to: its length, then its data.
-func pointed(b []byte, i int) ([]byte, error) {
+// variableParam returns the data of the parameter of variable length at the i-th pointer. The pointer leads to
+// a length byte, which the data follows.
+func variableParam(b []byte, i int) ([]byte, error) {
 	if i >= len(b) {
 		return nil, ErrShort
 	}
@@ -201,7 +203,7 @@
 		if at+2 > len(b) || at+2+int(b[at+1]) > len(b) {
 			return ErrPointer
 		}
-		m.params = append(m.params, value{ParamCode(b[at]), b[at+2 : at+2+int(b[at+1])]})
+		m.params = append(m.params, parsedParam{ParamCode(b[at]), b[at+2 : at+2+int(b[at+1])]})
 		at += 2 + int(b[at+1])
 	}
 }
@@ -212,8 +214,8 @@
 	Data []byte
 }
 
-// Append appends a message; parameters that its layout asks for and that are not given are zeros or empty, others
-// are optional ones in the order given.
+// Append appends a message. Mandatory parameters that are not given are sent as zeros or with length 0; all
+// others are sent as optional parameters, in the given order.
 func Append(b []byte, cic CIC, t Type, params ...Parameter) []byte {
 	l := layouts[t]
 	b = binary.LittleEndian.AppendUint16(b, uint16(cic&MaxCIC))
@@ -229,7 +231,7 @@
 		return nil
 	}
 	for _, f := range l.fixed {
-		data := take(f.name)
+		data := take(f.code)
 		for i := range f.size {
 			if i < len(data) {
 				b = append(b, data[i])
@@ -245,8 +247,8 @@
 	if l.optional {
 		b = append(b, 0)
 	}
-	for i, name := range l.variable {
-		data := take(name)
+	for i, code := range l.variable {
+		data := take(code)
 		b[pointers+i] = byte(len(b) - pointers - i)
 		b = append(b, byte(len(data)))
 		b = append(b, data...)
@@ -265,23 +267,25 @@
 	return b
 }
 
-// digits that a number may hold, by their code (Q.763, 3.9): 11 and 12 stand for star and hash here.
+// digitCodes holds the digits of a number, indexed by their code (Q.763, 3.9). Codes 11 and 12 represent * and
+// # here; code 10 is unused.
 const digitCodes = "0123456789.*#"
 
-// numberHead is the nature of address (3, national) and the numbering plan (1, ISDN).
+// The first two bytes of a number: odd/even indicator and nature of address, then the numbering plan.
 const (
 	natureNational = 3
 	planISDN       = 1 << 4
 	oddDigits      = 0x80
 )
 
-// AppendNumber appends a called or calling party number.
+// AppendNumber appends a called or calling party number. It returns an error if number contains a character
+// other than 0 to 9, * and #.
 func AppendNumber(b []byte, number string) ([]byte, error) {
-	head := byte(natureNational)
+	nature := byte(natureNational)
 	if len(number)%2 == 1 {
-		head |= oddDigits
+		nature |= oddDigits
 	}
-	b = append(b, head, planISDN)
+	b = append(b, nature, planISDN)
 	for i := range len(number) {
 		code := -1
 		for c := range len(digitCodes) {
@@ -290,7 +294,7 @@
 			}
 		}
 		if code < 0 {
-			return nil, fmt.Errorf("isup: %q in number %q is no digit", number[i], number)
+			return nil, fmt.Errorf("isup: character %q in number %q is not a valid digit", number[i], number)
 		}
 		if i%2 == 0 {
 			b = append(b, byte(code))
@@ -316,7 +320,7 @@
 	out := make([]byte, 0, n)
 	for i := range n {
 		code := b[2+i/2] >> (4 * (i % 2)) & 0xf
-		if code == 15 { // end of pulsing
+		if code == 15 { // end-of-pulsing signal (ST)
 			break
 		}
 		if int(code) >= len(digitCodes) || code == 10 {
@@ -327,21 +331,25 @@
 	return string(out), true
 }
 
-// causeHead is coding standard CCITT, location private network serving the remote user.
-const causeHead, causeExt = 0x85, 0x80
+// causeLocation is the first byte of cause indicators: extension bit, coding standard CCITT, location "private
+// network serving the remote user". extensionBit marks the last byte of a field.
+const causeLocation, extensionBit = 0x85, 0x80
 
-// Cause makes cause indicators.
-func Cause(c uint8) Parameter { return Parameter{CauseIndicators, []byte{causeHead, causeExt | c}} }
+// Cause returns cause indicators with the given Q.850 cause.
+func Cause(c uint8) Parameter {
+	return Parameter{CauseIndicators, []byte{causeLocation, extensionBit | c}}
+}
 
-// ParseCause reads cause indicators; 0 if there are none.
+// ParseCause returns the Q.850 cause in the cause indicators of a message; 0 if there are none.
 func ParseCause(m *Message) uint8 {
 	if b := m.Param(CauseIndicators); len(b) >= 2 {
-		return b[1] &^ causeExt
+		return b[1] &^ extensionBit
 	}
 	return 0
 }
 
-// Range makes range and status for n circuits from the message's CIC on; status has a bit for each, or is nil.
+// Range returns a range and status parameter for n circuits, beginning with the CIC of the message. status
+// holds one bit for each circuit; if it is nil, no status is sent.
 func Range(n int, status []bool) Parameter {
 	data := []byte{byte(n - 1)}
 	if status != nil {
@@ -355,7 +363,8 @@
 	return Parameter{RangeAndStatus, data}
 }
 
-// ParseRange reads range and status; n is 0 if it is malformed. status is nil if none is given.
+// ParseRange reads the range and status parameter; n is 0 if it is missing or malformed, and status is nil if
+// none is given.
 func ParseRange(m *Message) (n int, status []bool) {
 	b := m.Param(RangeAndStatus)
 	if len(b) == 0 {
--- a/internal/isup/receive.go
+++ b/internal/isup/receive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Receive takes one message of the far end.
+// Receive handles one message from the far end.
 func (g *Group) Receive(now time.Duration, b []byte) {
 	g.Stats.In++
 	m := &g.msg
 	err := Parse(b, m)
-	c := g.find(m.CIC)
+	c := g.findCircuit(m.CIC)
 	switch {
-	case err == ErrUnknown: // Q.764, 2.9.5.2: not understood, told by CFN
+	case err == ErrUnknown: // Q.764, 2.9.5.2: a message that is not understood is answered by CFN
 		g.Stats.Unknown++
 		if c != nil {
 			g.send(m.CIC, CFN, Cause(causeNoType))
@@ -23,7 +23,7 @@
 		return
 	case c == nil:
 		g.Stats.Unequipped++
-		if m.Type != UCIC { // 2.12: a circuit that this end lacks
+		if m.Type != UCIC { // 2.12: this end does not have the circuit
 			g.send(m.CIC, UCIC)
 		}
 		return
@@ -47,32 +47,32 @@
 		g.receiveBlocking(c, m.Type)
 	case UCIC:
 		g.receiveUCIC(c)
-	case CCR, COT: // continuity checks are not done on these circuits (7.1)
+	case CCR, COT: // continuity checks are not used on these circuits (7.1)
 		g.send(c.cic, CFN, Cause(causeNoType))
 	case SUS, RES, CFN:
 	}
 }
 
-// receiveIAM offers a call. On a circuit that we have seized as well the end that does not control it gives way.
+// receiveIAM offers a call. In a dual seizure, the call of the end that does not control the circuit gives way.
 func (g *Group) receiveIAM(now time.Duration, c *circuit, m *Message) {
 	switch c.state {
 	case idle:
 	case waitACM:
 		g.Stats.Glares++
 		if g.controls(c) {
-			return // the far end's call gives way: its IAM is disregarded (2.9.1.4)
+			return // the call of the far end gives way, and its IAM is ignored (2.9.1.4)
 		}
-		g.queue.Stop(&c.timer)
-		g.end(c, Event{Kind: Glare})
-		g.clear(c)
+		g.timerQueue.Stop(&c.timer)
+		g.endCall(c, Event{Kind: Glare})
+		g.setIdle(c)
 	default:
-		return // the same IAM again, or one that a release of ours is on the way to meet
+		return // a duplicate IAM, or one that crosses a release by this end
 	}
 	r := Request{Hops: -1}
 	var ok bool
 	if r.Called, ok = ParseNumber(m.Param(CalledNumber)); !ok || r.Called == "" {
 		c.state = offered
-		g.release(now, c, causeProtocol)
+		g.releaseCircuit(now, c, causeProtocol)
 		return
 	}
 	r.Calling, _ = ParseNumber(m.Param(CallingNumber))
@@ -82,227 +82,230 @@
 	if u := m.Param(UserToUser); len(u) > 1 {
 		r.User = string(u[1:])
 	}
-	c.farBlk = false // an IAM on a circuit that its end had blocked ends the blocking (2.8.2.1)
-	c.state, c.outgoing, c.call = offered, false, &Call{c: c}
-	if c.localBlk { // we blocked it, and the far end seems not to know
+	c.farBlocked = false // an IAM on a circuit blocked by its sender ends the blocking (2.8.2.1)
+	c.state, c.outgoing, c.call = offered, false, &Call{circuit: c}
+	if c.localBlocked { // the far end seems to have missed the blocking
 		g.send(c.cic, BLO)
 	}
 	g.emit(Event{Kind: Offered, Call: c.call, CIC: c.cic, Request: r})
 }
 
-// receiveBackward takes what the called end says of a call that we sent. Out of turn it means that the ends differ,
-// and an idle circuit is reset (2.9.5.1).
+// receiveBackward handles the messages that the called end sends for a call from this end. On an idle circuit
+// they show that the ends disagree about its state, and the circuit is reset (2.9.5.1).
 func (g *Group) receiveBackward(now time.Duration, c *circuit, m *Message) {
 	switch {
 	case c.state == idle:
-		g.reset(now, c)
+		g.resetCircuit(now, c)
 	case !c.outgoing || c.state != waitACM && c.state != waitANM:
 	case m.Type == ANM || m.Type == CON:
-		c.state = up
-		g.queue.Stop(&c.timer)
+		c.state = answered
+		g.timerQueue.Stop(&c.timer)
 		g.emit(Event{Kind: Answered, Call: c.call, CIC: c.cic})
 	case c.state == waitACM && m.Type == ACM:
 		c.state = waitANM
-		g.queue.Set(&c.timer, now+g.cfg.Timers.T9)
+		g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T9)
 		g.emit(Event{Kind: Accepted, Call: c.call, CIC: c.cic})
 	}
 }
 
-// receiveREL answers RLC in every state; one that crosses ours ends the circuit's call, and our REL is answered by
-// the far end in turn.
+// receiveREL answers every REL by RLC. If it crosses our own REL, the circuit becomes idle when the far end
+// answers that one.
 func (g *Group) receiveREL(now time.Duration, c *circuit, m *Message) {
 	g.send(c.cic, RLC)
 	switch c.state {
 	case idle, resetting:
-	case releasing: // both at once (2.3.1): the circuit is free when RLC has come
+	case releasing: // both ends release at once (2.3.1): idle after RLC
 	default:
-		g.end(c, Event{Kind: Released, Cause: ParseCause(m)})
-		g.clear(c)
+		g.endCall(c, Event{Kind: Released, Cause: ParseCause(m)})
+		g.setIdle(c)
 	}
 }
 
 func (g *Group) receiveRLC(now time.Duration, c *circuit) {
 	switch c.state {
 	case releasing, resetting:
-		g.clear(c)
-	case idle: // a late repeat
-	default: // not asked for: the ends differ (2.9.5.1 c)
-		g.end(c, Event{Kind: Lost, Reset: true})
-		g.release(now, c, causeTempFail)
+		g.setIdle(c)
+	case idle: // a late duplicate
+	default: // unexpected RLC: the ends disagree about the circuit's state (2.9.5.1 c)
+		g.endCall(c, Event{Kind: Lost, Reset: true})
+		g.releaseCircuit(now, c, causeTempFail)
 	}
 }
 
-// receiveRSC frees the circuit at once (2.9.3.1). A blocking of ours is told anew, since the far end has lost it.
+// receiveRSC frees the circuit at once (2.9.3.1). If this end blocks the circuit, it sends BLO again, as the
+// far end has lost the blocking.
 func (g *Group) receiveRSC(now time.Duration, c *circuit) {
-	g.restart(c)
+	g.resetByPeer(c)
 	g.send(c.cic, RLC)
 }
 
-func (g *Group) restart(c *circuit) {
-	g.end(c, Event{Kind: Lost, Reset: true})
-	g.clear(c)
-	c.farBlk = false
-	if c.localBlk {
+func (g *Group) resetByPeer(c *circuit) {
+	g.endCall(c, Event{Kind: Lost, Reset: true})
+	g.setIdle(c)
+	c.farBlocked = false
+	if c.localBlocked {
 		g.send(c.cic, BLO)
 	}
 }
 
 func (g *Group) receiveUCIC(c *circuit) {
-	if c.state == waitACM { // 2.12: the call is tried on another circuit, this one is taken out
-		g.end(c, Event{Kind: Lost, Reset: true})
-		g.clear(c)
+	if c.state == waitACM { // 2.12: the call is retried on another circuit, and this one is not seized again
+		g.endCall(c, Event{Kind: Lost, Reset: true})
+		g.setIdle(c)
 	}
-	c.farBlk = true
-	g.alarm(c, "the far end has no such circuit (UCIC)")
+	c.farBlocked = true
+	g.raiseAlarm(c, "far end does not have this circuit (UCIC); circuit taken out of service")
 }
 
-// Block takes a circuit out of service for new calls; a call on it goes on (2.8.2).
+// Block takes a circuit out of service for new calls if on is set, and returns it to service otherwise. A call
+// in progress is not affected (2.8.2).
 func (g *Group) Block(now time.Duration, cic CIC, on bool) {
-	c := g.find(cic)
-	if c == nil || c.localBlk == on && c.blkAsk == 0 {
+	c := g.findCircuit(cic)
+	if c == nil || c.localBlocked == on && c.pendingBlock == 0 {
 		return
 	}
-	c.localBlk, c.blkAsk = on, UBL
+	c.localBlocked, c.pendingBlock = on, UBL
 	if on {
-		c.blkAsk = BLO
+		c.pendingBlock = BLO
 	}
-	c.blkUntil = now + g.cfg.Timers.T13
-	g.send(cic, c.blkAsk)
-	g.blocks.Set(&c.blkTimer, now+g.cfg.Timers.T12)
+	c.blockAlarmAt = now + g.cfg.Timers.T13
+	g.send(cic, c.pendingBlock)
+	g.blockTimers.Set(&c.blockTimer, now+g.cfg.Timers.T12)
 }
 
-func (g *Group) blockDue(now time.Duration, c *circuit) {
-	again := g.cfg.Timers.T12
-	if now >= c.blkUntil {
-		g.alarm(c, "no answer to "+c.blkAsk.String()+" (T13, T15)")
-		again = g.cfg.Timers.T13
+func (g *Group) onBlockTimer(now time.Duration, c *circuit) {
+	interval := g.cfg.Timers.T12
+	if now >= c.blockAlarmAt {
+		g.raiseAlarm(c, "no answer to "+c.pendingBlock.String()+" before T13 or T15 expired; the message is repeated")
+		interval = g.cfg.Timers.T13
 	}
 	g.Stats.Repeats++
-	g.send(c.cic, c.blkAsk)
-	g.blocks.Set(&c.blkTimer, now+again)
+	g.send(c.cic, c.pendingBlock)
+	g.blockTimers.Set(&c.blockTimer, now+interval)
 }
 
 func (g *Group) receiveBlocking(c *circuit, t Type) {
 	switch t {
 	case BLO:
-		c.farBlk = true
+		c.farBlocked = true
 		g.send(c.cic, BLA)
 	case UBL:
-		c.farBlk = false
+		c.farBlocked = false
 		g.send(c.cic, UBA)
 	case BLA, UBA:
-		if c.blkAsk == BLO && t == BLA || c.blkAsk == UBL && t == UBA {
-			c.blkAsk = 0
-			g.blocks.Stop(&c.blkTimer)
-		} else if t == BLA && !c.localBlk { // 2.8.2.3: not asked for
+		if c.pendingBlock == BLO && t == BLA || c.pendingBlock == UBL && t == UBA {
+			c.pendingBlock = 0
+			g.blockTimers.Stop(&c.blockTimer)
+		} else if t == BLA && !c.localBlocked { // 2.8.2.3: BLA without BLO
 			g.send(c.cic, UBL)
 		}
 	}
 }
 
-// ResetAll resets the whole group, as after a start without memory: calls on it are lost.
+// ResetAll resets every circuit of the group, as after a restart without saved state. All calls on it are lost.
 func (g *Group) ResetAll(now time.Duration) {
 	for _, c := range g.circuits {
-		g.end(c, Event{Kind: Lost, Reset: true})
-		g.queue.Stop(&c.timer)
+		g.endCall(c, Event{Kind: Lost, Reset: true})
+		g.timerQueue.Stop(&c.timer)
 		c.state = resetting
 	}
-	g.groupAsk, g.groupEnd = GRS, now+g.cfg.Timers.T17
-	g.askGroup(now)
+	g.pendingGroup, g.groupAlarmAt = GRS, now+g.cfg.Timers.T17
+	g.sendGroupResets(now)
 }
 
-// spanLimit is the most circuits that one GRS may name (Q.763, 3.43).
-const spanLimit = 32
+// maxResetRange is the largest number of circuits in one GRS (Q.763, 3.43).
+const maxResetRange = 32
 
-// askGroup sends GRS for the circuits that still wait for their answer.
-func (g *Group) askGroup(now time.Duration) {
+// sendGroupResets sends GRS for the circuits that still await its answer.
+func (g *Group) sendGroupResets(now time.Duration) {
 	waiting := false
-	for from := 0; from < len(g.circuits); from += spanLimit {
-		n := min(spanLimit, len(g.circuits)-from)
+	for from := 0; from < len(g.circuits); from += maxResetRange {
+		n := min(maxResetRange, len(g.circuits)-from)
 		for _, c := range g.circuits[from : from+n] {
 			if c.state == resetting && !c.timer.Running() {
 				waiting = true
-				g.sendReset(g.circuits[from].cic, n)
+				g.sendRangeReset(g.circuits[from].cic, n)
 				break
 			}
 		}
 	}
 	if !waiting {
-		g.groupAsk = 0
+		g.pendingGroup = 0
 		return
 	}
-	g.groupAt = now + g.cfg.Timers.T16
-	if now >= g.groupEnd && len(g.circuits) > 0 {
-		g.alarm(g.circuits[0], "no answer to GRS (T23)")
-		g.groupAt = now + g.cfg.Timers.T17
-		g.groupEnd = g.groupAt
+	g.groupRepeatAt = now + g.cfg.Timers.T16
+	if now >= g.groupAlarmAt && len(g.circuits) > 0 {
+		g.raiseAlarm(g.circuits[0], "no GRA received in answer to GRS before T23 expired; GRS is repeated")
+		g.groupRepeatAt = now + g.cfg.Timers.T17
+		g.groupAlarmAt = g.groupRepeatAt
 	}
 }
 
-func (g *Group) sendReset(from CIC, n int) {
-	if n == 1 { // a range of one is not allowed in GRS
+func (g *Group) sendRangeReset(from CIC, n int) {
+	if n == 1 { // GRS does not allow a range of one circuit
 		g.send(from, RSC)
 		return
 	}
 	g.send(from, GRS, Range(n, nil))
 }
 
-// receiveGroup takes the messages that name a range of circuits.
+// receiveGroup handles the messages that refer to a range of circuits.
 func (g *Group) receiveGroup(now time.Duration, m *Message) {
 	n, status := ParseRange(m)
 	if n == 0 {
 		g.Stats.Malformed++
 		return
 	}
-	each := func(f func(i int, c *circuit)) {
+	forEach := func(f func(i int, c *circuit)) {
 		for i := range n {
-			if c := g.find(m.CIC + CIC(i)); c != nil {
+			if c := g.findCircuit(m.CIC + CIC(i)); c != nil {
 				f(i, c)
 			}
 		}
 	}
-	named := func(i int) bool { return i < len(status) && status[i] }
-	kind := Parameter{SupervisionType, m.Param(SupervisionType)}
+	marked := func(i int) bool { return i < len(status) && status[i] }
+	supervision := Parameter{SupervisionType, m.Param(SupervisionType)}
 	switch m.Type {
 	case GRS:
 		blocked := make([]bool, n)
-		each(func(i int, c *circuit) {
-			g.end(c, Event{Kind: Lost, Reset: true})
-			g.clear(c)
-			c.farBlk = false
-			blocked[i] = c.localBlk
+		forEach(func(i int, c *circuit) {
+			g.endCall(c, Event{Kind: Lost, Reset: true})
+			g.setIdle(c)
+			c.farBlocked = false
+			blocked[i] = c.localBlocked
 		})
 		g.send(m.CIC, GRA, Range(n, blocked))
 	case GRA:
-		each(func(i int, c *circuit) {
+		forEach(func(i int, c *circuit) {
 			if c.state == resetting && !c.timer.Running() {
-				g.clear(c)
+				g.setIdle(c)
 			}
-			c.farBlk = named(i)
+			c.farBlocked = marked(i)
 		})
 	case CGB, CGU:
 		on := m.Type == CGB
-		hard := len(kind.Data) > 0 && kind.Data[0]&3 == 1 // hardware failure: calls on it are over
-		each(func(i int, c *circuit) {
-			if !named(i) {
+		// Calls on the circuits end if they are blocked because of a hardware failure.
+		hardwareFailure := len(supervision.Data) > 0 && supervision.Data[0]&3 == 1
+		forEach(func(i int, c *circuit) {
+			if !marked(i) {
 				return
 			}
-			c.farBlk = on
-			if on && hard && c.state != idle {
-				g.end(c, Event{Kind: Lost, Reset: true})
-				g.release(now, c, causeTempFail)
+			c.farBlocked = on
+			if on && hardwareFailure && c.state != idle {
+				g.endCall(c, Event{Kind: Lost, Reset: true})
+				g.releaseCircuit(now, c, causeTempFail)
 			}
 		})
 		answer := CGUA
 		if on {
 			answer = CGBA
 		}
-		g.send(m.CIC, answer, kind, Range(n, status))
+		g.send(m.CIC, answer, supervision, Range(n, status))
 	case CQM:
 		states := make([]byte, n)
-		each(func(i int, c *circuit) { states[i] = c.report() })
+		forEach(func(i int, c *circuit) { states[i] = c.stateIndicator() })
 		for i := range n {
-			if g.find(m.CIC+CIC(i)) == nil {
+			if g.findCircuit(m.CIC+CIC(i)) == nil {
 				states[i] = 0x03 // unequipped
 			}
 		}
@@ -310,13 +313,13 @@
 	}
 }
 
-// report is the circuit state indicator (Q.763, 3.14).
-func (c *circuit) report() byte {
+// stateIndicator returns the circuit state indicator (Q.763, 3.14).
+func (c *circuit) stateIndicator() byte {
 	var b byte
-	if c.localBlk {
+	if c.localBlocked {
 		b |= 1
 	}
-	if c.farBlk {
+	if c.farBlocked {
 		b |= 2
 	}
 	switch {
