--- a/internal/m3ua/link.go
+++ b/internal/m3ua/link.go
@@ -5,15 +5,24 @@
 	"time"
 )
 
-// Config sets one end of an association. Zero values take the defaults given here.
+// Config describes one end of an association. A zero value selects the default given with the field.
 type Config struct {
-	Context           uint32        // routing context; 0 is none
-	Mode              uint32        // traffic mode; TrafficOverride
-	ASP               uint32        // identifier of the own ASP; 0 is not told
-	AckTimeout        time.Duration // T(ack): for the answer to ASPUP and the like, then it is sent again; 2 s
-	Retries           int           // before the association is given up; 4
-	HeartbeatInterval time.Duration // without anything heard; 5 s. Twice as long without an answer and the peer is gone
-	MaxUnsentBytes    int           // bytes that wait for a peer that does not read; 256 KiB
+	// Context is the routing context; 0 sends none.
+	Context uint32
+	// Mode is the traffic mode; default TrafficOverride.
+	Mode uint32
+	// ASP is the identifier of the own ASP; 0 sends none.
+	ASP uint32
+	// AckTimeout is T(ack), the time after which a request without an acknowledgement, such as ASPUP, is
+	// repeated; default 2 s.
+	AckTimeout time.Duration
+	// Retries is the number of repetitions after which the association fails; default 4.
+	Retries int
+	// HeartbeatInterval is the time without received data after which BEAT is sent; default 5 s. After twice
+	// this time without received data the association fails.
+	HeartbeatInterval time.Duration
+	// MaxUnsentBytes limits the outgoing bytes that wait for a peer that does not read; default 256 KiB.
+	MaxUnsentBytes int
 }
 
 func (c Config) withDefaults() Config {
@@ -25,100 +34,109 @@
 	return c
 }
 
-// State of an ASP, at either end (4.3.1).
+// State is the state of an ASP, at either end (4.3.1).
 type State uint8
 
 // States of an ASP.
 const (
-	Down State = iota
-	Inactive
-	Active
+	Down     State = iota // not acknowledged by the peer (ASP-DOWN)
+	Inactive              // acknowledged, without traffic (ASP-INACTIVE)
+	Active                // in service (ASP-ACTIVE)
 )
 
-// EventKind tells what an Event reports.
+// EventKind is the type of an Event.
 type EventKind uint8
 
 // Kinds of Event.
 const (
-	Activated       EventKind = iota + 1 // the ASP is active: traffic may be sent
-	Deactivated                          // the ASP is no longer active, the association stands
-	Received                             // Data came
-	AssociationDown                      // the association has to be closed: Err tells why
-	Unavailable                          // the peer told that a point code cannot be reached: PC is set
+	// Activated reports that the ASP is active and traffic may be sent.
+	Activated EventKind = iota + 1
+	// Deactivated reports that the ASP is no longer active. The association may continue.
+	Deactivated
+	// Received reports a user message; Data is set.
+	Received
+	// AssociationDown reports that the association has ended and its connection must be closed; Err states the
+	// reason.
+	AssociationDown
+	// Unavailable reports that a destination cannot be reached by way of the peer; PC is set.
+	Unavailable
+	// Available reports that a destination can be reached again; PC is set.
 	Available
 )
 
-// Event is one thing that happened on a link.
+// Event reports one change of a link.
 type Event struct {
 	Kind EventKind
-	Data Data // its payload is valid until the next call
+	Data Data // set on Received
 	PC   uint32
 	Err  error
 }
 
-// Link is one end of one association between two signalling processes (IPSP, double-ended exchange is not used: who
-// connected sends ASPUP and ASPAC, 4.3).
+// Link is one end of an association between two signalling processes. The IPSP double exchange is not used: the
+// end that opened the connection sends ASPUP and ASPAC (4.3).
 type Link struct {
-	Out    []byte // to be written to the connection, by the user, who resets it
+	Out    []byte // bytes for the connection; the user writes them and resets the slice
 	Events []Event
 	Stats  Stats
 
-	cfg      Config
-	opener   bool
-	state    State
-	stream   Stream
-	msg      Message
-	want     Type // answer awaited, of ASPUP, ASPAC, ASPIA or ASPDN
-	asked    Type
-	askAt    time.Duration // when it is sent again; 0 is nothing awaited
-	tries    int
-	heard    time.Duration // when anything came last
-	beatAt   time.Duration
-	dead     bool
-	stopping bool
-	peer     uint32 // ASP identifier that the other end told
+	cfg         Config
+	initiator   bool
+	state       State
+	stream      Stream
+	msg         Message
+	awaited     Type          // acknowledgement that answers the pending request
+	request     Type          // pending request: ASPUP, ASPAC, ASPIA or ASPDN
+	repeatAt    time.Duration // when the pending request is repeated; 0 if none is pending
+	retries     int
+	receivedAt  time.Duration // when data was last received
+	heartbeatAt time.Duration
+	closed      bool
+	stopping    bool
+	peerASP     uint32 // ASP identifier received from the peer
 }
 
-// Stats count since the link began.
+// Stats counts what a link has done since it was created: messages received and sent, ERR messages sent, and
+// messages of unknown type.
 type Stats struct {
 	In, Out, Errors, Unknown uint64
 }
 
-// NewLink begins an association over a connection that has just been made; opener is the end that connected.
-func NewLink(now time.Duration, opener bool, c Config) *Link {
-	l := &Link{cfg: c.withDefaults(), opener: opener, heard: now}
-	l.beatAt = now + l.cfg.HeartbeatInterval
-	if opener {
-		l.ask(now, ASPUP, ASPUPAck)
+// NewLink starts an association over a newly opened connection; initiator is set at the end that opened it.
+func NewLink(now time.Duration, initiator bool, c Config) *Link {
+	l := &Link{cfg: c.withDefaults(), initiator: initiator, receivedAt: now}
+	l.heartbeatAt = now + l.cfg.HeartbeatInterval
+	if initiator {
+		l.sendRequest(now, ASPUP, ASPUPAck)
 	}
 	return l
 }
 
-// State is that of the ASP.
+// State returns the state of the ASP.
 func (l *Link) State() State { return l.state }
 
-// PeerASP is the ASP identifier that the end which connected told with ASPUP; 0 if none.
-func (l *Link) PeerASP() uint32 { return l.peer }
+// PeerASP returns the ASP identifier that the peer sent with ASPUP; 0 if it sent none.
+func (l *Link) PeerASP() uint32 { return l.peerASP }
 
-// Next is when Advance has something to do.
+// Next returns the time at which Advance is next due; ok is false if the association has ended.
 func (l *Link) Next() (at time.Duration, ok bool) {
-	if l.dead {
+	if l.closed {
 		return 0, false
 	}
-	at = l.beatAt
-	if l.askAt != 0 {
-		at = min(at, l.askAt)
+	at = l.heartbeatAt
+	if l.repeatAt != 0 {
+		at = min(at, l.repeatAt)
 	}
 	return at, true
 }
 
-// Send sends one user message; false if the ASP is not active or the peer does not read.
+// Send sends one user message. It returns false if the ASP is not active or if MaxUnsentBytes would be
+// exceeded, which ends the association.
 func (l *Link) Send(d Data) bool {
-	if l.state != Active || l.dead {
+	if l.state != Active || l.closed {
 		return false
 	}
-	if len(l.Out)+dataHeader+len(d.Payload) > l.cfg.MaxUnsentBytes {
-		l.breakOff(errNotRead)
+	if len(l.Out)+dataHeaderSize+len(d.Payload) > l.cfg.MaxUnsentBytes {
+		l.endAssociation(errSendBufferFull)
 		return false
 	}
 	l.Stats.Out++
@@ -126,76 +144,77 @@
 	return true
 }
 
-// Stop asks the peer to take the ASP out of service: traffic ends, the association stands.
+// Stop takes the ASP out of service: it sends ASPIA and then ASPDN, and the association ends when the peer has
+// acknowledged both.
 func (l *Link) Stop(now time.Duration) {
 	if l.state == Active && !l.stopping {
 		l.stopping = true
-		l.ask(now, ASPIA, ASPIAAck)
+		l.sendRequest(now, ASPIA, ASPIAAck)
 	}
 }
 
-// Receive takes bytes from the connection.
+// Receive handles bytes from the connection.
 func (l *Link) Receive(now time.Duration, b []byte) {
-	if l.dead {
+	if l.closed {
 		return
 	}
-	l.heard, l.beatAt = now, now+l.cfg.HeartbeatInterval
+	l.receivedAt, l.heartbeatAt = now, now+l.cfg.HeartbeatInterval
 	err := l.stream.Feed(b, func(m []byte) error {
-		if !l.dead {
-			l.message(now, m)
+		if !l.closed {
+			l.handleMessage(now, m)
 		}
 		return nil
 	})
 	if err != nil {
-		l.error(ErrProtocol)
-		l.breakOff(err)
+		l.sendError(ErrProtocol)
+		l.endAssociation(err)
 	}
 }
 
-// Advance does what is due: repeats, heartbeats, giving up.
+// Advance performs what is due by now: repetitions, heartbeats and time-outs.
 func (l *Link) Advance(now time.Duration) {
-	if l.dead {
+	if l.closed {
 		return
 	}
-	if l.askAt != 0 && l.askAt <= now {
-		if l.tries >= l.cfg.Retries {
-			l.breakOff(errNoAck)
+	if l.repeatAt != 0 && l.repeatAt <= now {
+		if l.retries >= l.cfg.Retries {
+			l.endAssociation(errNoAck)
 			return
 		}
-		l.tries++
-		l.askAt = now + l.cfg.AckTimeout
-		l.send(l.asked, l.askParams(l.asked)...)
+		l.retries++
+		l.repeatAt = now + l.cfg.AckTimeout
+		l.send(l.request, l.requestParams(l.request)...)
 	}
-	if l.beatAt <= now {
-		if now-l.heard >= 2*l.cfg.HeartbeatInterval {
-			l.breakOff(errSilent)
+	if l.heartbeatAt <= now {
+		if now-l.receivedAt >= 2*l.cfg.HeartbeatInterval {
+			l.endAssociation(errHeartbeatTimeout)
 			return
 		}
-		l.beatAt = now + l.cfg.HeartbeatInterval
+		l.heartbeatAt = now + l.cfg.HeartbeatInterval
 		l.send(BEAT)
 	}
 }
 
 func (l *Link) send(t Type, params ...Param) {
 	if len(l.Out) > l.cfg.MaxUnsentBytes {
-		l.breakOff(errNotRead)
+		l.endAssociation(errSendBufferFull)
 		return
 	}
 	l.Stats.Out++
 	l.Out = Append(l.Out, t, params...)
 }
 
-func (l *Link) error(code uint32) {
+func (l *Link) sendError(code uint32) {
 	l.Stats.Errors++
 	l.send(ERR, Uint32Param(TagErrorCode, code))
 }
 
-func (l *Link) ask(now time.Duration, t, answer Type) {
-	l.asked, l.want, l.tries, l.askAt = t, answer, 0, now+l.cfg.AckTimeout
-	l.send(t, l.askParams(t)...)
+func (l *Link) sendRequest(now time.Duration, t, ack Type) {
+	l.request, l.awaited, l.retries, l.repeatAt = t, ack, 0, now+l.cfg.AckTimeout
+	l.send(t, l.requestParams(t)...)
 }
 
-func (l *Link) askParams(t Type) (p []Param) {
+func (l *Link) requestParams(t Type) (p []Param) {
 	switch t {
 	case ASPUP:
 		if l.cfg.ASP != 0 {
@@ -214,28 +233,28 @@
 
 func (l *Link) emit(e Event) { l.Events = append(l.Events, e) }
 
-func (l *Link) breakOff(err error) {
-	if l.dead {
+func (l *Link) endAssociation(err error) {
+	if l.closed {
 		return
 	}
-	l.set(Down)
-	l.dead, l.askAt = true, 0
+	l.setState(Down)
+	l.closed, l.repeatAt = true, 0
 	l.emit(Event{Kind: AssociationDown, Err: err})
 }
 
-// set changes the ASP's state and tells what that means for traffic.
-func (l *Link) set(s State) {
-	was := l.state
+// setState changes the state of the ASP and reports when traffic may start or must stop.
+func (l *Link) setState(s State) {
+	previous := l.state
 	l.state = s
 	switch {
-	case was != Active && s == Active:
+	case previous != Active && s == Active:
 		l.emit(Event{Kind: Activated})
-	case was == Active && s != Active:
+	case previous == Active && s != Active:
 		l.emit(Event{Kind: Deactivated})
 	}
 }
 
-func (l *Link) message(now time.Duration, b []byte) {
+func (l *Link) handleMessage(now time.Duration, b []byte) {
 	l.Stats.In++
 	m := &l.msg
 	if err := Parse(b, m); err != nil {
@@ -243,108 +262,108 @@
 		if err == ErrVersion {
 			code = ErrInvalidVersion
 		}
-		l.error(code)
+		l.sendError(code)
 		return
 	}
-	if l.askAt != 0 && m.Type == l.want {
-		l.askAt = 0
-		l.answered(now)
+	if l.repeatAt != 0 && m.Type == l.awaited {
+		l.repeatAt = 0
+		l.handleAck(now)
 		return
 	}
 	switch m.Type {
 	case DATA:
-		l.data(m)
+		l.handleData(m)
 	case BEAT:
 		l.send(BEATAck, m.Params...)
 	case ASPUP, ASPAC, ASPIA, ASPDN:
-		l.asks(m)
+		l.handleRequest(m)
 	case DUNA, DAVA, DUPU, SCON, DRST:
-		l.reachable(m)
-	case DAUD: // we know of no route but our own: what is asked about is reached if it is us
+		l.handleDestinationStatus(m)
+	case DAUD: // this process is the only destination here, so each audited one is reported as available
 		l.send(DAVA, m.Params...)
 	case BEATAck, NTFY, ERR, ASPUPAck, ASPACAck, ASPIAAck, ASPDNAck:
 	default:
 		l.Stats.Unknown++
 		if m.Type.Class > ClassASPTM {
-			l.error(ErrUnsupportedClass)
+			l.sendError(ErrUnsupportedClass)
 		} else {
-			l.error(ErrUnsupportedType)
+			l.sendError(ErrUnsupportedType)
 		}
 	}
 }
 
-// answered goes on after the peer took what was asked.
-func (l *Link) answered(now time.Duration) {
-	switch l.want {
+// handleAck continues after the peer has acknowledged the pending request.
+func (l *Link) handleAck(now time.Duration) {
+	switch l.awaited {
 	case ASPUPAck:
-		l.set(Inactive)
-		l.ask(now, ASPAC, ASPACAck)
+		l.setState(Inactive)
+		l.sendRequest(now, ASPAC, ASPACAck)
 	case ASPACAck:
-		l.set(Active)
+		l.setState(Active)
 	case ASPIAAck:
-		l.set(Inactive)
-		l.ask(now, ASPDN, ASPDNAck)
+		l.setState(Inactive)
+		l.sendRequest(now, ASPDN, ASPDNAck)
 	case ASPDNAck:
-		l.breakOff(errStopped)
+		l.endAssociation(errStopped)
 	}
 }
 
-// asks takes what the peer that connected asks of its ASP.
-func (l *Link) asks(m *Message) {
-	if l.opener {
-		l.error(ErrUnexpected)
+// handleRequest handles a request from the peer that opened the connection.
+func (l *Link) handleRequest(m *Message) {
+	if l.initiator {
+		l.sendError(ErrUnexpected)
 		return
 	}
 	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.Context != 0 && rc != l.cfg.Context {
-		l.error(ErrInvalidRoutingCtx)
+		l.sendError(ErrInvalidRoutingCtx)
 		return
 	}
 	switch m.Type {
 	case ASPUP:
-		l.peer, _ = m.Uint(TagASPIdentifier)
-		l.set(Inactive) // also from active: the peer began anew (4.3.4.1)
+		l.peerASP, _ = m.Uint(TagASPIdentifier)
+		l.setState(Inactive) // applies to an active ASP as well: the peer has restarted (4.3.4.1)
 		l.send(ASPUPAck)
 		l.send(NTFY, Uint32Param(TagStatus, StatusASInactive))
 	case ASPAC:
 		if l.state == Down {
-			l.error(ErrUnexpected)
+			l.sendError(ErrUnexpected)
 			return
 		}
 		if mode, ok := m.Uint(TagTrafficMode); ok && mode != l.cfg.Mode {
-			l.error(ErrTrafficMode)
+			l.sendError(ErrTrafficMode)
 			return
 		}
 		l.send(ASPACAck, m.Params...)
 		l.send(NTFY, Uint32Param(TagStatus, StatusASActive))
-		l.set(Active)
+		l.setState(Active)
 	case ASPIA:
 		l.send(ASPIAAck)
-		l.set(min(l.state, Inactive))
+		l.setState(min(l.state, Inactive))
 	case ASPDN:
 		l.send(ASPDNAck)
-		l.set(Down)
+		l.setState(Down)
 	}
 }
 
-func (l *Link) data(m *Message) {
+func (l *Link) handleData(m *Message) {
 	if l.state != Active {
-		l.error(ErrUnexpected)
+		l.sendError(ErrUnexpected)
 		return
 	}
 	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.Context != 0 && rc != l.cfg.Context {
-		l.error(ErrInvalidRoutingCtx)
+		l.sendError(ErrInvalidRoutingCtx)
 		return
 	}
 	d, err := ParseData(m)
 	if err != nil {
-		l.error(ErrMissingParameter)
+		l.sendError(ErrMissingParameter)
 		return
 	}
-	d.Payload = append([]byte(nil), d.Payload...) // the stream's memory moves on before events are taken
+	d.Payload = append([]byte(nil), d.Payload...) // the stream reuses its buffer before the event is taken
 	l.emit(Event{Kind: Received, Data: d})
 }
 
-func (l *Link) reachable(m *Message) {
+func (l *Link) handleDestinationStatus(m *Message) {
 	pcs := m.Param(TagAffectedPC)
 	for ; len(pcs) >= 4; pcs = pcs[4:] {
 		pc := uint32(pcs[1])<<16 | uint32(pcs[2])<<8 | uint32(pcs[3])
@@ -357,14 +376,14 @@
 	}
 }
 
-// linkError is why a link broke.
+// linkError is the reason why an association ended.
 type linkError string
 
 func (e linkError) Error() string { return "m3ua: " + string(e) }
 
 const (
-	errNoAck   linkError = "the peer does not answer"
-	errSilent  linkError = "nothing heard over two heartbeats"
-	errNotRead linkError = "the peer does not read"
-	errStopped linkError = "taken out of service"
+	errNoAck            linkError = "no acknowledgement from the peer after the last retry"
+	errHeartbeatTimeout linkError = "nothing received from the peer for two heartbeat intervals"
+	errSendBufferFull   linkError = "send buffer full: the peer does not read"
+	errStopped          linkError = "ASP taken out of service"
 )
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -14,7 +14,7 @@
 func TestDataRoundTrip(t *testing.T) {
 	for n := range 9 {
 		want := Data{OPC: 0x0102, DPC: 0xffffff, SI: ISUPIndicator, NI: 2, MP: 1, SLS: 9, Payload: bytes.Repeat([]byte{7}, n)}
-		b := AppendData([]byte("xyz"), 5, want)[3:] // whatever stands before
+		b := AppendData([]byte("xyz"), 5, want)[3:] // a message may be appended to other data
 		var m Message
 		if err := Parse(b, &m); err != nil || m.Type != DATA || len(b)%4 != 0 {
 			t.Fatalf("%d bytes of payload: %v, %v, %d", n, err, m.Type, len(b))
@@ -47,7 +47,7 @@
 	}
 }
 
-// However the stream is split, the same messages come out, in order.
+// However the stream is split, Feed returns the same messages in the same order.
 func TestStreamAnySplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []byte
@@ -67,7 +67,7 @@
 			all = all[n:]
 		}
 		if len(got) != len(want) || s.Held() != 0 {
-			t.Fatalf("%d messages of %d, %d bytes held", len(got), len(want), s.Held())
+			t.Fatalf("%d messages of %d, %d bytes buffered", len(got), len(want), s.Held())
 		}
 		for i := range got {
 			if !bytes.Equal(got[i], want[i]) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// pass carries bytes between two links until both are quiet.
-func pass(now time.Duration, a, b *Link) {
+// deliver carries bytes between two links until neither has any left to send.
+func deliver(now time.Duration, a, b *Link) {
 	for len(a.Out)+len(b.Out) > 0 {
 		ab, ba := bytes.Clone(a.Out), bytes.Clone(b.Out)
 		a.Out, b.Out = a.Out[:0], b.Out[:0]
@@ -105,7 +105,7 @@
 	}
 }
 
-func kinds(l *Link) (k []EventKind) {
+func takeEventKinds(l *Link) (k []EventKind) {
 	for _, e := range l.Events {
 		k = append(k, e.Kind)
 	}
@@ -118,75 +118,77 @@
 	if a.Send(Data{}) {
 		t.Error("sent before the ASP was active")
 	}
-	pass(0, a, b)
-	if a.State() != Active || b.State() != Active || len(kinds(a)) != 1 || len(kinds(b)) != 1 {
+	deliver(0, a, b)
+	if a.State() != Active || b.State() != Active || len(takeEventKinds(a)) != 1 || len(takeEventKinds(b)) != 1 {
 		t.Fatalf("states %v %v", a.State(), b.State())
 	}
 	a.Send(Data{SI: ISUPIndicator, Payload: []byte("IAM")})
-	pass(0, a, b)
+	deliver(0, a, b)
 	if len(b.Events) != 1 || string(b.Events[0].Data.Payload) != "IAM" {
 		t.Fatalf("received %+v", b.Events)
 	}
-	kinds(b)
+	takeEventKinds(b)
 	a.Stop(0)
-	pass(0, a, b)
-	if got := kinds(b); len(got) != 1 || got[0] != Deactivated || b.State() != Down {
+	deliver(0, a, b)
+	if got := takeEventKinds(b); len(got) != 1 || got[0] != Deactivated || b.State() != Down {
 		t.Errorf("the other end: %v, state %v", got, b.State())
 	}
-	if got := kinds(a); len(got) != 2 || got[1] != AssociationDown {
+	if got := takeEventKinds(a); len(got) != 2 || got[1] != AssociationDown {
 		t.Errorf("stopped: %v", got)
 	}
 }
 
-// The peer answers nothing: ASPUP again at intervals, then the link is broken, once.
+// If the peer does not answer, ASPUP is repeated at intervals, then the association ends once.
 func TestNoAnswer(t *testing.T) {
 	l := NewLink(0, true, Config{AckTimeout: time.Second, Retries: 2, HeartbeatInterval: time.Hour})
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * ms {
 		l.Advance(now)
 	}
-	if got := kinds(l); len(got) != 1 || got[0] != AssociationDown || l.Stats.Out != 3 {
+	if got := takeEventKinds(l); len(got) != 1 || got[0] != AssociationDown || l.Stats.Out != 3 {
 		t.Errorf("%v after %d messages", got, l.Stats.Out)
 	}
 	if _, ok := l.Next(); ok {
-		t.Error("a broken link has a timer")
+		t.Error("an ended association still has a timer")
 	}
 }
 
-func TestSilentPeer(t *testing.T) {
+func TestHeartbeatTimeout(t *testing.T) {
 	a, b := NewLink(0, true, Config{HeartbeatInterval: time.Second}), NewLink(0, false, Config{HeartbeatInterval: time.Second})
-	pass(0, a, b)
-	kinds(a)
-	for now := time.Duration(0); now <= 5*time.Second; now += 100 * ms { // both alive: beats keep it up
+	deliver(0, a, b)
+	takeEventKinds(a)
+	// Both ends respond: heartbeats keep the association up.
+	for now := time.Duration(0); now <= 5*time.Second; now += 100 * ms {
 		a.Advance(now)
 		b.Advance(now)
-		pass(now, a, b)
+		deliver(now, a, b)
 	}
 	if a.State() != Active {
-		t.Fatal("a link with a living peer broke")
+		t.Fatal("an association with a responding peer ended")
 	}
 	for now := 5 * time.Second; now <= 9*time.Second; now += 100 * ms {
 		a.Advance(now)
 	}
-	if got := kinds(a); len(got) != 2 || got[0] != Deactivated || got[1] != AssociationDown {
+	if got := takeEventKinds(a); len(got) != 2 || got[0] != Deactivated || got[1] != AssociationDown {
 		t.Errorf("%v", got)
 	}
 }
 
-// A peer that never reads costs a bounded queue, and the link then.
+// A peer that never reads can fill the send buffer only to its limit; then the association ends.
 func TestPeerThatNeverReads(t *testing.T) {
 	a, b := NewLink(0, true, Config{MaxUnsentBytes: 10000}), NewLink(0, false, Config{})
-	pass(0, a, b)
-	kinds(a)
+	deliver(0, a, b)
+	takeEventKinds(a)
 	sent := 0
 	for a.Send(Data{Payload: make([]byte, 100)}) {
 		sent++
 	}
-	if len(a.Out) > 10000 || sent < 50 || kinds(a)[1] != AssociationDown {
-		t.Errorf("%d bytes wait after %d messages", len(a.Out), sent)
+	if len(a.Out) > 10000 || sent < 50 || takeEventKinds(a)[1] != AssociationDown {
+		t.Errorf("%d bytes unsent after %d messages", len(a.Out), sent)
 	}
 }
 
-// One byte at a time, and a message cut off at every byte by a new connection: the state never goes wrong.
+// Bytes that arrive one at a time, up to any point of a message sequence, do not break the association, and a
+// new connection afterwards starts in a valid state.
 func TestCutAtEveryByte(t *testing.T) {
 	var whole []byte
 	for _, ty := range []Type{ASPUP, ASPAC, DATA, BEAT, DAUD, NTFY, ERR, ASPIA, ASPDN} {
@@ -206,7 +208,7 @@
 		fresh := NewLink(0, false, Config{})
 		fresh.Receive(0, Append(nil, ASPUP))
 		if fresh.State() != Inactive {
-			t.Fatalf("cut at %d: a new connection is %v", cut, fresh.State())
+			t.Fatalf("cut at %d: a new connection is in state %v", cut, fresh.State())
 		}
 	}
 }
@@ -242,13 +244,13 @@
 	}
 }
 
-type asp struct {
+type fakeASP struct {
 	state State
 	got   []Data
 }
 
-func (a *asp) State() State { return a.state }
-func (a *asp) Send(d Data) bool {
+func (a *fakeASP) State() State { return a.state }
+func (a *fakeASP) Send(d Data) bool {
 	if a.state != Active {
 		return false
 	}
@@ -256,23 +258,23 @@
 	return true
 }
 
-func TestFailOver(t *testing.T) {
-	one, two := &asp{state: Active}, &asp{state: Active}
+func TestTrafficModes(t *testing.T) {
+	one, two := &fakeASP{state: Active}, &fakeASP{state: Active}
 	s := ApplicationServer{Mode: TrafficOverride}
 	if s.Send(Data{}) {
-		t.Error("sent by nobody")
+		t.Error("sent without an active ASP")
 	}
 	s.Add(one)
-	s.Add(two) // overrides
+	s.Add(two) // overrides the first ASP
 	s.Send(Data{SLS: 1})
-	two.state = Down // not told yet: the message goes by the other all the same
+	two.state = Down // the server has not been notified yet: the message is sent by the other ASP
 	s.Send(Data{SLS: 2})
 	s.Remove(two)
 	s.Send(Data{SLS: 3})
 	if len(two.got) != 1 || len(one.got) != 2 {
 		t.Errorf("override: %d and %d", len(one.got), len(two.got))
 	}
-	one, two = &asp{state: Active}, &asp{state: Active}
+	one, two = &fakeASP{state: Active}, &fakeASP{state: Active}
 	s = ApplicationServer{Mode: TrafficShare, asps: []ASP{one, two}}
 	for sls := range uint8(16) {
 		s.Send(Data{SLS: sls})
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -1,6 +1,6 @@
-// Package m3ua is the MTP3 user adaptation layer of RFC 4666, carried here over TCP: each message is cut from the
-// stream by its own length field. It has no I/O: a Link is told the time and what came in, and leaves bytes to send
-// and what happened.
+// Package m3ua implements the MTP3 user adaptation layer (RFC 4666), carried over TCP: messages are delimited
+// by their length field. It performs no I/O: a Link receives the current time and incoming bytes, and collects
+// outgoing bytes and events.
 package m3ua
 
 import (
@@ -21,13 +21,13 @@
 	ClassASPTM Class = 4
 )
 
-// Type names a message: its class and its number in it.
+// Type identifies a message by its class and its number within the class.
 type Type struct {
 	Class  Class
 	Number uint8
 }
 
-// Messages.
+// Message types.
 var (
 	ERR      = Type{ClassMGMT, 0}
 	NTFY     = Type{ClassMGMT, 1}
@@ -61,10 +61,10 @@
 	return fmt.Sprintf("class %d type %d", t.Class, t.Number)
 }
 
-// Tag names a parameter (3.2).
+// Tag identifies a parameter (3.2).
 type Tag uint16
 
-// Parameters.
+// Parameter tags, sizes in bytes and traffic modes.
 const (
 	TagInfo           Tag    = 0x0004
 	TagRoutingContext Tag    = 0x0006
@@ -81,10 +81,10 @@
 	TagNetworkAppear  Tag    = 0x0200
 	TagProtocolData   Tag    = 0x0210
 	headerSize               = 8
-	paramHeader              = 4
-	dataHeader               = 12
-	version                  = 1
-	MaxMessage               = 4096 // bytes of one message that is taken: ISUP needs under 400
+	paramHeaderSize          = 4
+	dataHeaderSize           = 12
+	protocolVersion          = 1
+	MaxMessage               = 4096 // largest accepted message in bytes; ISUP needs less than 400
 	TrafficOverride   uint32 = 1
 	TrafficShare      uint32 = 2
 )
@@ -103,7 +103,7 @@
 	ErrInvalidRoutingCtx uint32 = 0x19
 )
 
-// Status of NTFY: type 1 is a change of the AS's state (3.8.2).
+// Status values of NTFY. Type 1 in the upper half reports a change of AS state (3.8.2).
 const (
 	StatusASInactive uint32 = 1<<16 | 2
 	StatusASActive   uint32 = 1<<16 | 3
@@ -112,7 +112,7 @@
 	StatusASPFailure uint32 = 2<<16 | 3
 )
 
-// Param is one parameter; its value refers to the message's bytes.
+// Param is one parameter. Its value refers to the bytes of the message.
 type Param struct {
 	Tag   Tag
 	Value []byte
@@ -124,38 +124,39 @@
 	Params []Param
 }
 
-// Errors of parsing.
+// Errors returned by Parse, ParseData and Stream.Feed.
 var (
-	ErrLength  = errors.New("m3ua: message length is wrong")
-	ErrVersion = errors.New("m3ua: protocol version is not 1")
-	ErrParam   = errors.New("m3ua: parameter length is wrong")
+	ErrLength  = errors.New("m3ua: invalid message length")
+	ErrVersion = errors.New("m3ua: unsupported protocol version: not 1")
+	ErrParam   = errors.New("m3ua: invalid parameter length")
 )
 
-// Parse reads one whole message into m; Params' memory is used again.
+// Parse reads one complete message into m and reuses the memory of m.Params. It returns ErrLength, ErrVersion
+// or ErrParam if the message is malformed.
 func Parse(b []byte, m *Message) error {
 	m.Params = m.Params[:0]
 	if len(b) < headerSize || binary.BigEndian.Uint32(b[4:]) != uint32(len(b)) {
 		return ErrLength
 	}
-	if b[0] != version {
+	if b[0] != protocolVersion {
 		return ErrVersion
 	}
 	m.Type = Type{Class(b[2]), b[3]}
 	for b = b[headerSize:]; len(b) > 0; {
-		if len(b) < paramHeader {
+		if len(b) < paramHeaderSize {
 			return ErrParam
 		}
 		n := int(binary.BigEndian.Uint16(b[2:]))
-		if n < paramHeader || n > len(b) {
+		if n < paramHeaderSize || n > len(b) {
 			return ErrParam
 		}
-		m.Params = append(m.Params, Param{Tag(binary.BigEndian.Uint16(b)), b[paramHeader:n]})
+		m.Params = append(m.Params, Param{Tag(binary.BigEndian.Uint16(b)), b[paramHeaderSize:n]})
 		b = b[min(len(b), (n+3)&^3):]
 	}
 	return nil
 }
 
-// Param finds a parameter's value; nil if it is not there.
+// Param returns the value of a parameter, or nil if it is absent.
 func (m *Message) Param(t Tag) []byte {
 	for _, p := range m.Params {
 		if p.Tag == t {
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// Uint is a parameter of four bytes; ok is false if it is missing or of another length.
+// Uint returns a parameter of four bytes; ok is false if it is absent or has another length.
 func (m *Message) Uint(t Tag) (v uint32, ok bool) {
 	b := m.Param(t)
 	if len(b) != 4 {
@@ -177,10 +178,10 @@
 // Append appends a message.
 func Append(b []byte, t Type, params ...Param) []byte {
 	start := len(b)
-	b = append(b, version, 0, byte(t.Class), t.Number, 0, 0, 0, 0)
+	b = append(b, protocolVersion, 0, byte(t.Class), t.Number, 0, 0, 0, 0)
 	for _, p := range params {
 		b = binary.BigEndian.AppendUint16(b, uint16(p.Tag))
-		b = binary.BigEndian.AppendUint16(b, uint16(paramHeader+len(p.Value)))
+		b = binary.BigEndian.AppendUint16(b, uint16(paramHeaderSize+len(p.Value)))
 		b = append(b, p.Value...)
 		for len(b)%4 != start%4 {
 			b = append(b, 0)
@@ -190,13 +191,13 @@
 	return b
 }
 
-// Uint32Param is a parameter of four bytes.
+// Uint32Param returns a parameter with a value of four bytes.
 func Uint32Param(t Tag, v uint32) Param { return Param{t, binary.BigEndian.AppendUint32(nil, v)} }
 
-// Data is the protocol data of DATA (3.3.1): one MTP3 user message.
+// Data is the protocol data of a DATA message (3.3.1): one MTP3 user message.
 type Data struct {
 	OPC, DPC uint32
-	SI       uint8 // 5 is ISUP
+	SI       uint8 // service indicator
 	NI       uint8
 	MP       uint8
 	SLS      uint8
@@ -206,26 +207,26 @@
 // ISUPIndicator is the service indicator of ISUP.
 const ISUPIndicator = 5
 
-// ParseData reads a DATA message's protocol data.
+// ParseData reads the protocol data of a DATA message. It returns ErrParam if it is absent or too short.
 func ParseData(m *Message) (d Data, err error) {
 	b := m.Param(TagProtocolData)
-	if len(b) < dataHeader {
+	if len(b) < dataHeaderSize {
 		return d, ErrParam
 	}
-	return Data{binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), b[8], b[9], b[10], b[11], b[dataHeader:]}, nil
+	return Data{binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), b[8], b[9], b[10], b[11], b[dataHeaderSize:]}, nil
 }
 
-// AppendData appends a DATA message; context 0 is none.
+// AppendData appends a DATA message; context 0 sends no routing context.
 func AppendData(b []byte, context uint32, d Data) []byte {
 	start := len(b)
-	b = append(b, version, 0, byte(ClassData), DATA.Number, 0, 0, 0, 0)
+	b = append(b, protocolVersion, 0, byte(ClassData), DATA.Number, 0, 0, 0, 0)
 	if context != 0 {
 		b = binary.BigEndian.AppendUint16(b, uint16(TagRoutingContext))
-		b = binary.BigEndian.AppendUint16(b, paramHeader+4)
+		b = binary.BigEndian.AppendUint16(b, paramHeaderSize+4)
 		b = binary.BigEndian.AppendUint32(b, context)
 	}
 	b = binary.BigEndian.AppendUint16(b, uint16(TagProtocolData))
-	b = binary.BigEndian.AppendUint16(b, uint16(paramHeader+dataHeader+len(d.Payload)))
+	b = binary.BigEndian.AppendUint16(b, uint16(paramHeaderSize+dataHeaderSize+len(d.Payload)))
 	b = binary.BigEndian.AppendUint32(b, d.OPC)
 	b = binary.BigEndian.AppendUint32(b, d.DPC)
 	b = append(b, d.SI, d.NI, d.MP, d.SLS)
@@ -237,40 +238,41 @@
 	return b
 }
 
-// Stream cuts messages from a byte stream by their length fields.
+// Stream splits a byte stream into messages by their length fields.
 type Stream struct {
-	held []byte
-	bad  error
+	buffered []byte
+	err      error
 }
 
-// Feed takes bytes and calls f for each whole message, whose bytes are valid during the call. A length that cannot
-// be ends the stream for good: where the next message begins is not known any more.
+// Feed adds bytes to the stream and calls f for each complete message, whose bytes are valid during the call
+// only. An invalid length or an error of f ends the stream for good, since the start of the next message is
+// then unknown; every later call returns the same error.
 func (s *Stream) Feed(b []byte, f func(message []byte) error) error {
-	if s.bad != nil {
-		return s.bad
+	if s.err != nil {
+		return s.err
 	}
-	if len(s.held) > 0 {
-		s.held = append(s.held, b...)
-		b = s.held
+	if len(s.buffered) > 0 {
+		s.buffered = append(s.buffered, b...)
+		b = s.buffered
 	}
 	for len(b) >= headerSize {
 		n := binary.BigEndian.Uint32(b[4:])
 		if n < headerSize || n > MaxMessage || n%4 != 0 {
-			s.bad = fmt.Errorf("%w: %d bytes", ErrLength, n)
-			return s.bad
+			s.err = fmt.Errorf("%w: %d bytes", ErrLength, n)
+			return s.err
 		}
 		if uint32(len(b)) < n {
 			break
 		}
 		if err := f(b[:n]); err != nil {
-			s.bad = err
+			s.err = err
 			return err
 		}
 		b = b[n:]
 	}
-	s.held = append(s.held[:0], b...) // b may lie in held: the move is forward only
+	s.buffered = append(s.buffered[:0], b...) // b may alias the buffer; the copy moves bytes forward only
 	return nil
 }
 
-// Held is the number of bytes of a message that is not whole yet.
-func (s *Stream) Held() int { return len(s.held) }
+// Held returns the number of buffered bytes of an incomplete message.
+func (s *Stream) Held() int { return len(s.buffered) }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -2,35 +2,36 @@
 
 import "slices"
 
-// ASP is one ASP of an application server, as a Server sees it: a Link that is up or not.
+// ASP is one process of an application server, usually a Link.
 type ASP interface {
 	Send(d Data) bool
 	State() State
 }
 
-// ApplicationServer is an application server (AS): several processes that serve one destination, in override (the newest
-// active one carries all, 4.3.4.3) or load-share (by SLS, so that the messages of one circuit stay in order).
+// ApplicationServer is a set of ASPs that serve one destination. In override mode the ASP activated last
+// carries all traffic (4.3.4.3); in loadshare mode the SLS selects the ASP, so that the messages of one circuit
+// stay in order.
 type ApplicationServer struct {
-	Mode uint32
-	asps []ASP // active, oldest first
+	Mode uint32 // TrafficOverride or TrafficShare
+	asps []ASP  // active ones, oldest first
 }
 
-// Add takes a process into service.
+// Add takes an ASP into service, as the newest one.
 func (s *ApplicationServer) Add(p ASP) {
 	s.Remove(p)
 	s.asps = append(s.asps, p)
 }
 
-// Remove takes a process out of service.
+// Remove takes an ASP out of service.
 func (s *ApplicationServer) Remove(p ASP) {
 	s.asps = slices.DeleteFunc(s.asps, func(o ASP) bool { return o == p })
 }
 
-// Active is the number of processes in service.
+// Active returns the number of ASPs in service.
 func (s *ApplicationServer) Active() int { return len(s.asps) }
 
-// Send sends by the process whose turn it is; where that one cannot, by the next. False if none can: then the
-// message has left by none of them.
+// Send sends a message by the selected ASP, or by the next one that accepts it. It returns false if no ASP
+// accepts the message; the message is then discarded.
 func (s *ApplicationServer) Send(d Data) bool {
 	n := len(s.asps)
 	first := n - 1
