--- a/cmd/pipitring/platform_test.go
+++ b/cmd/pipitring/platform_test.go
@@ -113,7 +113,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pendingAnswers[m.Ref] = func() { _ = peer.Send(string(jsonl.AppendUp(nil, m.Ref, m.Desc))) } // a lost connection fails the test at the caller
+	p.pendingAnswers[m.Ref] = func() { _ = peer.Send(string(jsonl.AppendUp(nil, m.Ref, m.Description))) } // a lost connection fails the test at the caller
 }
 
 // answer waits for a call's set-up at the switch and answers it.
--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -35,7 +35,7 @@
 			Outcome: toOutcome(e.How), Cause: cause, Wait: wait, Took: wire.Seconds(e.Duration),
 			Concluded: e.Ended != 0, Report: wire.ParseReport(e.Stats, fields)}
 	case wire.OpStreaming:
-		return decide.Standing{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
+		return decide.AttemptAnswered{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
 			Took: wire.Seconds(e.Duration)}
 	case wire.OpDue:
 		return decide.TimerExpired{Token: e.Cookie}
--- a/decide/api.go
+++ b/decide/api.go
@@ -236,8 +236,8 @@
 		Redial        bool
 		WasCut        bool // the call stood before, was cut and is offered again
 	}
-	// Standing reports that a call was set up.
-	Standing struct {
+	// AttemptAnswered reports that a call was set up.
+	AttemptAnswered struct {
 		Call     CallID
 		Attempt  int
 		Exchange ExchangeID
@@ -270,7 +270,7 @@
 
 func (ListUpdate) event()      {}
 func (Offer) event()           {}
-func (Standing) event()        {}
+func (AttemptAnswered) event() {}
 func (AttemptEnded) event()    {}
 func (CallerAbandoned) event() {}
 func (ReportReceived) event()  {}
--- a/decide/cold_fleet_test.go
+++ b/decide/cold_fleet_test.go
@@ -65,7 +65,7 @@
 				if now >= start {
 					sentAt = append(sentAt, now-start)
 				}
-				p.c.Feed(epoch+now, Standing{Call: a.Call, Exchange: a.Exchange, Took: 50 * ms})
+				p.c.Feed(epoch+now, AttemptAnswered{Call: a.Call, Exchange: a.Exchange, Took: 50 * ms})
 				end := now + time.Duration(-holdTime*math.Log(1-draw())*float64(time.Second))/step*step + step
 				ends[end] = append(ends[end], stand{p, a.Call, a.Exchange})
 			}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -149,7 +149,7 @@
 		c.onListUpdate(e)
 	case Offer:
 		c.onOffer(e)
-	case Standing:
+	case AttemptAnswered:
 		c.onStanding(e)
 	case AttemptEnded:
 		c.onAttemptEnded(e)
@@ -212,7 +212,7 @@
 	c.route(k)
 }
 
-func (c *Controller) onStanding(e Standing) {
+func (c *Controller) onStanding(e AttemptAnswered) {
 	k := c.calls[e.Call]
 	if k == nil || k.nextHop == nil || k.attempts != e.Attempt+1 {
 		return
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -108,7 +108,7 @@
 }
 
 func (h *harness) stand(call CallID, to int, took time.Duration) []Action {
-	return h.feed(Standing{Call: call, Attempt: h.attempts[call] - 1, Exchange: id(to), Took: took})
+	return h.feed(AttemptAnswered{Call: call, Attempt: h.attempts[call] - 1, Exchange: id(to), Took: took})
 }
 
 // run advances the clock and fires the timers that expire.
@@ -435,7 +435,7 @@
 	c := New(settings(), 1)
 	nan := math.NaN()
 	for i, ev := range []Event{
-		TimerExpired{99}, CallerAbandoned{5}, Standing{Call: 9}, AttemptEnded{Call: 9, Outcome: 77},
+		TimerExpired{99}, CallerAbandoned{5}, AttemptAnswered{Call: 9}, AttemptEnded{Call: 9, Outcome: 77},
 		ReportReceived{Exchange: 1, Report: Report{nan, nan, nan, nan, nan, nan, nan}},
 		ListUpdate{Kind: ListFailed}, ListUpdate{Kind: ListFull},
 		ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 4, Number: 4, Phase: 9}}},
--- a/internal/call/flow.go
+++ b/internal/call/flow.go
@@ -179,7 +179,7 @@
 	k.proving, k.stood = false, true
 	c.queue.Stop(&k.watch)
 	c.out(Output{Kind: Answer, Leg: k.in.id, Other: l.id})
-	c.feed(decide.Standing{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Took: k.answered - l.sent})
+	c.feed(decide.AttemptAnswered{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Took: k.answered - l.sent})
 	if e := k.farEnd; e != nil {
 		c.standingOver(now, k, l, e.cause, e.lost)
 	}
--- a/internal/cdr/cdr_test.go
+++ b/internal/cdr/cdr_test.go
@@ -144,12 +144,12 @@
 			{Classes: []string{"alarm"}, Emergency: true},
 			{Classes: []string{"gratis"}, Free: true},
 			{Classes: []string{"fee"}, SetUp: amount(t, "0.05"), PerMinute: amount(t, "0.12"), Minimum: 30 * time.Second, Step: 6 * time.Second},
-			{Classes: []string{"night"}, Days: []time.Weekday{time.Friday}, From: 22 * 60, To: 6 * 60, PerMinute: amount(t, "1")},
-			{Classes: []string{"day", "status"}, Days: days, From: 8 * 60, To: 18 * 60, PerMinute: amount(t, day)},
+			{Classes: []string{"night"}, Days: []time.Weekday{time.Friday}, StartMinute: 22 * 60, EndMinute: 6 * 60, PerMinute: amount(t, "1")},
+			{Classes: []string{"day", "status"}, Days: days, StartMinute: 8 * 60, EndMinute: 18 * 60, PerMinute: amount(t, day)},
 			{Classes: []string{"status"}, PerMinute: amount(t, night)}}}
 	}
 	z := zone(t, "Australia/Sydney")
-	return &Tariffs{Currency: "AUD", Places: 4, Zone: z, List: []Tariff{year("2026", time.Date(2026, 1, 1, 0, 0, 0, 0, z), "0.12", "0.06"),
+	return &Tariffs{Currency: "AUD", Places: 4, Zone: z, Versions: []Tariff{year("2026", time.Date(2026, 1, 1, 0, 0, 0, 0, z), "0.12", "0.06"),
 		year("2027", time.Date(2027, 1, 1, 0, 0, 0, 0, z), "0.24", "0.12")}}
 }
 
--- a/internal/cdr/codec.go
+++ b/internal/cdr/codec.go
@@ -52,7 +52,7 @@
 		b = appendString(appendString(b, a.Front), a.Outcome)
 		b = binary.AppendVarint(b, int64(a.Circuit))
 		b = binary.AppendVarint(b, int64(a.After))
-		b = binary.AppendVarint(b, int64(a.Took))
+		b = binary.AppendVarint(b, int64(a.Duration))
 	}
 	c := &r.Charge
 	for _, s := range [...]string{c.Tariff, c.Amount, c.Currency, c.Note} {
@@ -189,7 +189,7 @@
 	for n := d.unsigned(); n > 0 && !d.malformed; n-- {
 		a := Attempt{Exchange: int(d.signed()), Tandem: d.byte() != 0, Cause: d.byte()}
 		a.Front, a.Outcome = d.string(), d.string()
-		a.Circuit, a.After, a.Took = int(d.signed()), time.Duration(d.signed()), time.Duration(d.signed())
+		a.Circuit, a.After, a.Duration = int(d.signed()), time.Duration(d.signed()), time.Duration(d.signed())
 		r.Attempts = append(r.Attempts, a)
 	}
 	c := &r.Charge
--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -130,7 +130,7 @@
 	Front    string        `json:"front,omitempty"` // empty if it was not sent
 	Circuit  int           `json:"circuit,omitempty"`
 	After    time.Duration `json:"after_ns"` // since the offer
-	Took     time.Duration `json:"took_ns"`
+	Duration time.Duration `json:"took_ns"`
 	Outcome  string        `json:"outcome"`
 	Cause    uint8         `json:"cause,omitempty"`
 }
--- a/internal/cdr/tariff.go
+++ b/internal/cdr/tariff.go
@@ -15,7 +15,7 @@
 	Currency string
 	Places   int // decimals that charges are rounded to, half up
 	Zone     *time.Location
-	List     []Tariff // by rising start
+	Versions []Tariff // by rising start
 }
 
 // Tariff is one version of the prices, in force from its start on.
@@ -31,14 +31,14 @@
 
 // Rate is one price, with the calls and times that it applies to.
 type Rate struct {
-	Classes, Tenants []string // empty is all
-	Days             []time.Weekday
-	From, To         int      // minutes of the local day; To at or before From ends the next day; both 0 is all day
-	PerMinute        *big.Rat // per circuit
-	SetUp            *big.Rat // once, per circuit
-	Minimum, Step    time.Duration
-	Free             bool
-	Emergency        bool // free, and marked as emergency
+	Classes, Tenants       []string // empty is all
+	Days                   []time.Weekday
+	StartMinute, EndMinute int      // minutes of the local day; To at or before From ends the next day; both 0 is all day
+	PerMinute              *big.Rat // per circuit
+	SetUp                  *big.Rat // once, per circuit
+	Minimum, Step          time.Duration
+	Free                   bool
+	Emergency              bool // free, and marked as emergency
 }
 
 // ParseAmount parses an exact decimal such as "0.125", which must not be negative.
@@ -106,18 +106,18 @@
 func (r *Rate) inForce(t time.Time) bool {
 	day, m := t.Weekday(), t.Hour()*60+t.Minute()
 	switch {
-	case r.From == 0 && r.To == 0:
-	case r.From < r.To || r.To == 0:
-		to := r.To
+	case r.StartMinute == 0 && r.EndMinute == 0:
+	case r.StartMinute < r.EndMinute || r.EndMinute == 0:
+		to := r.EndMinute
 		if to == 0 {
 			to = dayMinutes
 		}
-		if m < r.From || m >= to {
+		if m < r.StartMinute || m >= to {
 			return false
 		}
-	case m < r.To:
+	case m < r.EndMinute:
 		day = (day + 6) % 7
-	case m < r.From:
+	case m < r.StartMinute:
 		return false
 	}
 	return len(r.Days) == 0 || slices.Contains(r.Days, day)
@@ -125,8 +125,8 @@
 
 // lookup returns the tariff in force at a time and its rate for a call. Either is nil if there is none.
 func (t *Tariffs) lookup(rec *Record, when time.Time) (*Tariff, *Rate) {
-	for i := len(t.List) - 1; i >= 0; i-- {
-		v := &t.List[i]
+	for i := len(t.Versions) - 1; i >= 0; i-- {
+		v := &t.Versions[i]
 		if v.From.After(when) {
 			continue
 		}
@@ -152,11 +152,11 @@
 			next = x
 		}
 	}
-	for i := range t.List {
-		sooner(t.List[i].From)
+	for i := range t.Versions {
+		sooner(t.Versions[i].From)
 	}
 	for i := range v.Rates {
-		for _, m := range [...]int{v.Rates[i].From, v.Rates[i].To} {
+		for _, m := range [...]int{v.Rates[i].StartMinute, v.Rates[i].EndMinute} {
 			// time.Date gives one instant for an hour that occurs twice or not at all on this day. The clock
 			// change itself is added below.
 			sooner(time.Date(y, mo, d, m/60, m%60, 0, 0, t.Zone))
@@ -172,14 +172,14 @@
 func (t *Tariffs) Validate() error {
 	var errs []error
 	seen := map[string]bool{}
-	for i := range t.List {
-		v := &t.List[i]
+	for i := range t.Versions {
+		v := &t.Versions[i]
 		if seen[v.ID()] {
 			errs = append(errs, fmt.Errorf("duplicate tariff %s", v.ID()))
 		}
 		seen[v.ID()] = true
-		if i > 0 && !v.From.After(t.List[i-1].From) {
-			errs = append(errs, fmt.Errorf("tariff %s starts at the same time as tariff %s", v.ID(), t.List[i-1].ID()))
+		if i > 0 && !v.From.After(t.Versions[i-1].From) {
+			errs = append(errs, fmt.Errorf("tariff %s starts at the same time as tariff %s", v.ID(), t.Versions[i-1].ID()))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -321,7 +321,7 @@
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
 			d.Report("list.register", "%q is not a URL such as \"http://127.0.0.1:8500\"", l.DiscoveryURL)
 		}
-		requirePositive(d, "list.wait", l.Wait)
+		requirePositive(d, "list.wait", l.QueryWait)
 	}
 	x := &s.IAX
 	requirePositive(d, "iax.retry_first", x.RetransmitInterval)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -128,7 +128,7 @@
 	File         string        `toml:"file"`
 	DiscoveryURL string        `toml:"register"` // of a service-discovery API in the form of Consul's
 	Service      string        `toml:"service"`  // name of the service there
-	Wait         time.Duration `toml:"wait"`     // of one blocking query
+	QueryWait    time.Duration `toml:"wait"`     // of one blocking query
 }
 
 // IAX is the [iax] table: the parameters of the IAX2 endpoint.
@@ -193,7 +193,7 @@
 		Router: Router{AnswerMargin: 60 * time.Millisecond, DrainLimit: 30 * time.Second, MaxCalls: 20000},
 		Rules: Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, ColdCapacity: 0.3,
 			ColdDuration: 15 * time.Second, OverloadMultiple: 3, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, ClockDrift: 0.01},
-		List: List{Service: "exchange", Wait: 30 * time.Second},
+		List: List{Service: "exchange", QueryWait: 30 * time.Second},
 		IAX: IAX{RetransmitInterval: 500 * time.Millisecond, MaxRetransmitInterval: 4 * time.Second, MaxRetransmits: 4,
 			AckDelay: 20 * time.Millisecond, AcceptDelay: 150 * time.Millisecond, Linger: 3 * time.Second,
 			PingInterval: 20 * time.Second, MaxRefresh: time.Minute, MaxDialogs: 32000, MaxPerHost: 2000, CallTokens: true},
@@ -275,7 +275,7 @@
 		Plan: s.Plan, AnswerMargin: s.Router.AnswerMargin, DrainGrace: s.shortenForDrift(s.Rules.DrainGrace),
 		MaxCalls: s.Router.MaxCalls}
 	if s.Records.Dir != "" && s.Records.Answer == AnswerDurable {
-		c.DurableTimeout = s.Records.AnswerWait
+		c.DurableTimeout = s.Records.DurableTimeout
 	}
 	for _, class := range s.Class {
 		c.Patience = append(c.Patience, s.shortenForDrift(class.Patience))
@@ -306,15 +306,15 @@
 // ISUPConfig converts the groups with front = "isup" to the configuration of the ISUP front end.
 func (s *Settings) ISUPConfig() isupfront.Config {
 	t := isup.Timers(s.ISUP)
-	c := isupfront.Config{Mode: m3ua.TrafficOverride, Own: s.Router.Exchange}
+	c := isupfront.Config{Mode: m3ua.TrafficOverride, OwnExchange: s.Router.Exchange}
 	if s.M3UA.Mode == "loadshare" {
-		c.Mode = m3ua.TrafficShare
+		c.Mode = m3ua.TrafficLoadshare
 	}
-	c.Link = m3ua.Config{Context: s.M3UA.RoutingContext, Mode: c.Mode, AckTimeout: s.M3UA.AckTimeout, Retries: s.M3UA.MaxRetries,
+	c.Link = m3ua.Config{RoutingContext: s.M3UA.RoutingContext, Mode: c.Mode, AckTimeout: s.M3UA.AckTimeout, MaxRetries: s.M3UA.MaxRetries,
 		HeartbeatInterval: s.M3UA.HeartbeatInterval, MaxUnsentBytes: s.M3UA.MaxUnsentBytes}
 	for _, g := range s.ISUPGroups() {
 		if g.Front == FrontISUP {
-			c.Groups = append(c.Groups, isupfront.GroupConfig{Exchange: g.To, Circuits: isup.Config{First: isup.CIC(g.FirstCIC),
+			c.Groups = append(c.Groups, isupfront.GroupConfig{Exchange: g.To, Circuits: isup.Config{FirstCIC: isup.CIC(g.FirstCIC),
 				Circuits: g.Circuits, OwnPointCode: s.Router.PointCode, FarPointCode: g.PointCode, Timers: t}})
 		}
 	}
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -17,7 +17,7 @@
 	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
 		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay,
 		AcceptDelay: x.AcceptDelay, Linger: x.Linger, PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh,
-		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, Exists: serves}
+		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, NumberExists: serves}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
@@ -62,7 +62,7 @@
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		out.Attempts = append(out.Attempts, cdr.Attempt{Exchange: a.Exchange, Tandem: a.Tandem, Front: a.Bearer.Front,
-			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Took: a.Duration, Outcome: outcomeName(a.Outcome),
+			Circuit: a.Bearer.Circuit, After: a.Sent - r.Offered, Duration: a.Duration, Outcome: outcomeName(a.Outcome),
 			Cause: uint8(a.Cause)})
 		end = max(end, a.Sent+a.Duration)
 	}
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -19,13 +19,13 @@
 type Records struct {
 	Dir               string        `toml:"dir"`
 	Answer            string        `toml:"answer"`      // AnswerDurable or AnswerAtOnce
-	AnswerWait        time.Duration `toml:"answer_wait"` // longest wait of an answer for its record, under AnswerDurable
+	DurableTimeout    time.Duration `toml:"answer_wait"` // longest wait of an answer for its record, under AnswerDurable
 	OnSlow            string        `toml:"on_slow"`     // "go_on" or "refuse": what happens to new calls
 	OnFull            string        `toml:"on_full"`
 	OnFailed          string        `toml:"on_failed"`
 	SlowAfter         time.Duration `toml:"slow_after"` // age of the oldest waiting record from which the disk counts as slow
-	Queue             int           `toml:"queue"`      // records that may wait
-	Batch             int           `toml:"batch"`      // records per commit
+	MaxQueue          int           `toml:"queue"`      // records that may wait
+	MaxBatch          int           `toml:"batch"`      // records per commit
 	BatchDelay        time.Duration `toml:"gather"`     // delay before a commit, so that more records join it
 	HeartbeatInterval time.Duration `toml:"alive"`      // interval of heartbeats in the store
 	Retention         time.Duration `toml:"keep"`       // how long exported records are retained
@@ -55,8 +55,8 @@
 
 // DefaultRecords returns the [records] table of an empty file.
 func DefaultRecords() Records {
-	return Records{Answer: AnswerDurable, AnswerWait: 25 * time.Millisecond, OnSlow: "go_on", OnFull: "refuse", OnFailed: "refuse",
-		SlowAfter: 2 * time.Second, Queue: 65536, Batch: 4096, HeartbeatInterval: time.Second, Retention: 30 * 24 * time.Hour}
+	return Records{Answer: AnswerDurable, DurableTimeout: 25 * time.Millisecond, OnSlow: "go_on", OnFull: "refuse", OnFailed: "refuse",
+		SlowAfter: 2 * time.Second, MaxQueue: 65536, MaxBatch: 4096, HeartbeatInterval: time.Second, Retention: 30 * 24 * time.Hour}
 }
 
 func (r *Records) equal(o *Records) bool { return reflect.DeepEqual(r, o) }
@@ -67,7 +67,7 @@
 // GateSettings converts the admission policies for a faulty disk to those of the store.
 func (r *Records) GateSettings() store.GateSettings {
 	return store.GateSettings{OnSlow: policies[r.OnSlow], OnFull: policies[r.OnFull], OnFailed: policies[r.OnFailed],
-		SlowAfter: r.SlowAfter, MaxQueue: r.Queue}
+		SlowAfter: r.SlowAfter, MaxQueue: r.MaxQueue}
 }
 
 func (s *Settings) checkRecords(d *tomlbind.Doc) {
@@ -81,8 +81,8 @@
 	if r.Answer != AnswerDurable && r.Answer != AnswerAtOnce {
 		d.Report("records.answer", "%q is none of %s, %s", r.Answer, AnswerDurable, AnswerAtOnce)
 	}
-	if r.AnswerWait <= 0 || r.AnswerWait > s.Router.AnswerMargin {
-		d.Report("records.answer_wait", "%v must be above 0 and at most router.answer_margin (%v)", r.AnswerWait,
+	if r.DurableTimeout <= 0 || r.DurableTimeout > s.Router.AnswerMargin {
+		d.Report("records.answer_wait", "%v must be above 0 and at most router.answer_margin (%v)", r.DurableTimeout,
 			s.Router.AnswerMargin)
 	}
 	for key, v := range map[string]string{"on_slow": r.OnSlow, "on_full": r.OnFull, "on_failed": r.OnFailed} {
@@ -92,14 +92,14 @@
 	}
 	requirePositive(d, "records.slow_after", r.SlowAfter)
 	requirePositive(d, "records.alive", r.HeartbeatInterval)
-	if r.Queue < 16 {
-		d.Report("records.queue", "%d records is under the minimum of 16", r.Queue)
+	if r.MaxQueue < 16 {
+		d.Report("records.queue", "%d records is under the minimum of 16", r.MaxQueue)
 	}
-	if r.Batch < 1 {
-		d.Report("records.batch", "%d records per commit; the minimum is 1", r.Batch)
+	if r.MaxBatch < 1 {
+		d.Report("records.batch", "%d records per commit; the minimum is 1", r.MaxBatch)
 	}
-	if r.BatchDelay < 0 || r.BatchDelay > r.AnswerWait {
-		d.Report("records.gather", "%v is not from 0 to records.answer_wait (%v)", r.BatchDelay, r.AnswerWait)
+	if r.BatchDelay < 0 || r.BatchDelay > r.DurableTimeout {
+		d.Report("records.gather", "%v is not from 0 to records.answer_wait (%v)", r.BatchDelay, r.DurableTimeout)
 	}
 	if r.Retention < 0 {
 		d.Report("records.keep", "%v is negative", r.Retention)
@@ -245,9 +245,9 @@
 		d.Report("tariff", "at least one [[tariff]] is required")
 	}
 	for i := range f.Tariff {
-		t.List = append(t.List, f.Tariff[i].convert(d, fmt.Sprintf("tariff[%d]", i+1), t.Zone))
+		t.Versions = append(t.Versions, f.Tariff[i].convert(d, fmt.Sprintf("tariff[%d]", i+1), t.Zone))
 	}
-	slices.SortStableFunc(t.List, func(a, b cdr.Tariff) int { return a.From.Compare(b.From) })
+	slices.SortStableFunc(t.Versions, func(a, b cdr.Tariff) int { return a.From.Compare(b.From) })
 	if len(d.Problems) == 0 {
 		if err := t.Validate(); err != nil {
 			d.Report("tariff", "%v", err)
@@ -296,7 +296,7 @@
 		out.Days = append(out.Days, day)
 	}
 	if r.Between != "" {
-		if out.From, out.To, err = cdr.ParseHours(r.Between); err != nil {
+		if out.StartMinute, out.EndMinute, err = cdr.ParseHours(r.Between); err != nil {
 			d.Report(key+".between", "%v", err)
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -39,12 +39,12 @@
 
 // Entry is one switch on the exchange list.
 type Entry struct {
-	ID      uint32
-	Addr    netip.AddrPort
-	Number  int // exchange number
-	Zone    int
-	Phase   decide.Phase
-	Started int64 // Unix milliseconds; 0 if the switch started long ago
+	ID             uint32
+	Addr           netip.AddrPort
+	ExchangeNumber int // exchange number
+	Zone           int
+	Phase          decide.Phase
+	Started        int64 // Unix milliseconds; 0 if the switch started long ago
 }
 
 // Event is one numbered change of the exchange list.
@@ -101,7 +101,7 @@
 			if err = errors.Join(err, addrErr); err != nil || !ok {
 				return nil, 0, fmt.Errorf("known.updates[%d].endpoints.instances[%d]: lifecycle %q: %w", i, j, instance.Lifecycle, err)
 			}
-			ev.Entries = append(ev.Entries, Entry{ID: id, Addr: addr, Number: instance.Cell, Phase: phase,
+			ev.Entries = append(ev.Entries, Entry{ID: id, Addr: addr, ExchangeNumber: instance.Cell, Phase: phase,
 				Zone: slices.Index(zones, instance.Zone), Started: instance.StartedAtMs})
 		}
 		events = append(events, ev)
@@ -182,10 +182,10 @@
 		return Entry{}, ErrInvalidFrame
 	}
 	return Entry{ID: binary.BigEndian.Uint32(b),
-		Addr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])),
-		Phase:  phaseByState[b[10]],
-		Zone:   int(b[11]),
-		Number: int(binary.BigEndian.Uint16(b[13:])),
+		Addr:           netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])),
+		Phase:          phaseByState[b[10]],
+		Zone:           int(b[11]),
+		ExchangeNumber: int(binary.BigEndian.Uint16(b[13:])),
 		// The four bytes of weight in between are not used.
 		Started: int64(binary.BigEndian.Uint64(b[19:])),
 	}, nil
@@ -204,7 +204,7 @@
 		b = append(b, addr[:]...)
 		b = binary.BigEndian.AppendUint16(b, e.Addr.Port())
 		b = append(b, byte(slices.Index(phaseByState[:], e.Phase)), byte(e.Zone), 0)
-		b = binary.BigEndian.AppendUint16(b, uint16(e.Number))
+		b = binary.BigEndian.AppendUint16(b, uint16(e.ExchangeNumber))
 		b = binary.BigEndian.AppendUint32(b, 1000)
 		b = binary.BigEndian.AppendUint64(b, uint64(e.Started))
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -13,7 +13,7 @@
 )
 
 func entry(id uint32, phase decide.Phase) Entry {
-	return Entry{ID: id, Addr: netip.MustParseAddrPort("127.0.0.9:5060"), Number: 2, Zone: 1, Phase: phase, Started: 1234567890123}
+	return Entry{ID: id, Addr: netip.MustParseAddrPort("127.0.0.9:5060"), ExchangeNumber: 2, Zone: 1, Phase: phase, Started: 1234567890123}
 }
 
 func TestDecoderReadsAppendedFrames(t *testing.T) {
--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Point is a change of the disk that is about to be made.
-type Point struct {
+// Change is a change of the disk that is about to be made.
+type Change struct {
 	N    uint64 // sequence number, from 1
 	Op   string // one of create, write, sync, rename, remove, link, mkdir
 	Name string
@@ -24,7 +24,7 @@
 	mem     *vfs.MemFS
 	changes atomic.Uint64
 	mu      sync.RWMutex
-	hook    func(Point) error
+	hook    func(Change) error
 }
 
 // New returns an empty file system.
@@ -33,18 +33,18 @@
 func wrap(mem *vfs.MemFS) *FS { return &FS{FS: mem, mem: mem} }
 
 // SetHook sets the function that is called before each change, on the goroutine that makes it; nil removes it.
-func (f *FS) SetHook(h func(Point) error) {
+func (f *FS) SetHook(h func(Change) error) {
 	f.mu.Lock()
 	f.hook = h
 	f.mu.Unlock()
 }
 
-// Points returns the number of changes so far, including those that the hook failed.
-func (f *FS) Points() uint64 { return f.changes.Load() }
+// ChangeCount returns the number of changes so far, including those that the hook failed.
+func (f *FS) ChangeCount() uint64 { return f.changes.Load() }
 
-// Crash returns a copy of the disk as a power cut now could leave it: all synced data, and each part of the unsynced data
+// CrashClone returns a copy of the disk as a power cut now could leave it: all synced data, and each part of the unsynced data
 // with a probability of percent in 100. The choice is determined by seed.
-func (f *FS) Crash(percent int, seed uint64) *FS {
+func (f *FS) CrashClone(percent int, seed uint64) *FS {
 	return wrap(f.mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rand.New(rand.NewPCG(seed, 5))}))
 }
 
@@ -63,7 +63,7 @@
 
 // beforeChange counts a change and calls the hook.
 func (f *FS) beforeChange(op, name string) error {
-	p := Point{f.changes.Add(1), op, name}
+	p := Change{f.changes.Add(1), op, name}
 	f.mu.RLock()
 	h := f.hook
 	f.mu.RUnlock()
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -22,10 +22,10 @@
 
 // Config sets a front.
 type Config struct {
-	Groups []GroupConfig
-	Link   m3ua.Config
-	Mode   uint32 // of traffic over several associations to one exchange
-	Own    int    // number of the own exchange: calls from its switch are subscribers'
+	Groups      []GroupConfig
+	Link        m3ua.Config
+	Mode        uint32 // of traffic over several associations to one exchange
+	OwnExchange int    // number of the own exchange: calls from its switch are subscribers'
 }
 
 // firstHops is the hop counter of a call that no tandem has passed on; a tandem sends one less.
@@ -63,7 +63,7 @@
 // GroupStates tells the state of every group, by exchange.
 func (f *Front) GroupStates() (out []GroupState) {
 	for _, g := range f.groups {
-		out = append(out, GroupState{g.exchange, g.server.Active(), g.isup.Busy(), g.isup.Idle(), g.isup.Stats})
+		out = append(out, GroupState{g.exchange, g.server.Active(), g.isup.BusyCircuits(), g.isup.IdleCircuits(), g.isup.Stats})
 	}
 	return out
 }
@@ -144,7 +144,7 @@
 // Busy is the number of circuits that are not idle; Legs that of legs on them.
 func (f *Front) Busy() (n int) {
 	for _, g := range f.groups {
-		n += g.isup.Busy()
+		n += g.isup.BusyCircuits()
 	}
 	return n
 }
@@ -259,7 +259,7 @@
 func (f *Front) sendOut(g *group) {
 	for i := range g.isup.Out {
 		o := &g.isup.Out[i]
-		if !g.server.Send(m3ua.Data{OPC: g.own, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
+		if !g.server.Send(m3ua.Data{OPC: g.own, DPC: g.isup.FarPointCode(), SI: m3ua.ServiceIndicatorISUP, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
 			f.Stats.Unsent++
 		}
 	}
@@ -292,7 +292,7 @@
 		f.inactive(now, k)
 	case m3ua.Received:
 		g := f.byPC[e.Data.OPC]
-		if g == nil || g != k.group || e.Data.SI != m3ua.ISUPIndicator || e.Data.DPC != g.own {
+		if g == nil || g != k.group || e.Data.SI != m3ua.ServiceIndicatorISUP || e.Data.DPC != g.own {
 			f.Stats.UnknownPeer++
 			return
 		}
@@ -361,13 +361,13 @@
 
 func (f *Front) offered(now time.Duration, g *group, e isup.Event) {
 	r, origin := e.Request, g.exchange
-	if origin == f.cfg.Own {
+	if origin == f.cfg.OwnExchange {
 		origin = call.Subscriber
 	}
 	l := &leg{group: g, call: e.Call, incoming: true}
 	g.legs[e.Call] = l
 	l.id = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer(e.Call)}, call.Request{Called: r.Called, Calling: r.Calling,
-		Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < firstHops})
+		Context: r.UserInfo, ViaTandem: r.Hops >= 0 && r.Hops < firstHops})
 	f.legs[l.id] = l
 	g.isup.Accept(now, e.Call) // the far end may stop T7: the call is taken, or its release follows at once
 }
@@ -396,7 +396,7 @@
 	if g == nil {
 		return false
 	}
-	r := isup.Request{Called: o.Request.Called, Calling: o.Request.Calling, Hops: firstHops, User: o.Request.Context}
+	r := isup.Request{Called: o.Request.Called, Calling: o.Request.Calling, Hops: firstHops, UserInfo: o.Request.Context}
 	if o.Request.ViaTandem {
 		r.Hops--
 	}
--- a/internal/iax2/config.go
+++ b/internal/iax2/config.go
@@ -46,8 +46,8 @@
 	Secret func(user string) (secret string, known bool)
 	// OpenCalls accepts calls without a challenge even if Secret is set. Registrations are always challenged.
 	OpenCalls bool
-	// Exists reports whether a called number is served, for the answer to DPREQ; nil accepts every number.
-	Exists func(number string) bool
+	// NumberExists reports whether a called number is served, for the answer to DPREQ; nil accepts every number.
+	NumberExists func(number string) bool
 	// Random supplies challenges and token keys; it must be unpredictable in production.
 	Random func() uint64
 }
@@ -68,8 +68,8 @@
 	if c.Trusted == nil {
 		c.Trusted = func(Addr) bool { return false }
 	}
-	if c.Exists == nil {
-		c.Exists = func(string) bool { return true }
+	if c.NumberExists == nil {
+		c.NumberExists = func(string) bool { return true }
 	}
 	if c.Random == nil {
 		c.Random = func() uint64 { return 1 }
@@ -149,21 +149,21 @@
 
 // Stats counts what an Endpoint has done since it was created.
 type Stats struct {
-	In, Out    uint64 // datagrams received and sent
-	Malformed  uint64 // datagrams and payloads that could not be parsed
-	Meta       uint64 // meta frames, which are recognised and dropped
-	Duplicates uint64 // frames received more than once
-	Gaps       uint64 // frames received ahead of sequence and answered by VNAK
-	Repeats    uint64 // frames retransmitted
-	Stray      uint64 // frames that match no dialog
-	Invals     uint64 // INVAL frames sent
+	In, Out     uint64 // datagrams received and sent
+	Malformed   uint64 // datagrams and payloads that could not be parsed
+	Meta        uint64 // meta frames, which are recognised and dropped
+	Duplicates  uint64 // frames received more than once
+	Gaps        uint64 // frames received ahead of sequence and answered by VNAK
+	Retransmits uint64 // frames retransmitted
+	Stray       uint64 // frames that match no dialog
+	Invals      uint64 // INVAL frames sent
 	// Rejected counts NEW and registration frames rejected without a dialog, and calls that failed
 	// authentication.
-	Rejected     uint64
-	Tokens       uint64 // call tokens issued
-	Unsupported  uint64 // IAX frames of a subclass that is not supported
-	Relayed      uint64 // media frames relayed
-	UnknownElems uint64 // information elements that the RFCs do not define
+	Rejected        uint64
+	TokensIssued    uint64 // call tokens issued
+	Unsupported     uint64 // IAX frames of a subclass that is not supported
+	Relayed         uint64 // media frames relayed
+	UnknownElements uint64 // information elements that the RFCs do not define
 }
 
 // Packet locates one datagram in an Outbox.
--- a/internal/iax2/dialog.go
+++ b/internal/iax2/dialog.go
@@ -77,8 +77,8 @@
 // Peer returns the address of the far end.
 func (d *Dialog) Peer() Addr { return d.peer }
 
-// Number returns the local call number.
-func (d *Dialog) Number() uint16 { return d.local }
+// CallNumber returns the local call number.
+func (d *Dialog) CallNumber() uint16 { return d.local }
 
 // Incoming reports whether the peer opened the dialog.
 func (d *Dialog) Incoming() bool { return d.incoming }
@@ -425,7 +425,7 @@
 func (d *Dialog) answerDPReq(now time.Duration) {
 	number := d.ep.elements.Text(CalledNumber)
 	status := uint32(dpStatusUnknown)
-	if d.ep.cfg.Exists(number) {
+	if d.ep.cfg.NumberExists(number) {
 		status = dpStatusExists
 	}
 	ies := AppendText(d.ep.ies[:0], CalledNumber, number)
@@ -610,7 +610,7 @@
 
 // retransmit sends a frame again, with the R bit set and with the current remote call number and ISeq.
 func (d *Dialog) retransmit(s *sentFrame) {
-	d.ep.Stats.Repeats++
+	d.ep.Stats.Retransmits++
 	s.buf[2] = byte(d.remote>>8) | 0x80
 	s.buf[3] = byte(d.remote)
 	s.buf[9] = d.iseq
--- a/internal/iax2/endpoint.go
+++ b/internal/iax2/endpoint.go
@@ -94,7 +94,7 @@
 			ep.Stats.Malformed++
 			return
 		}
-		ep.Stats.UnknownElems += uint64(len(ep.elements.Unknown))
+		ep.Stats.UnknownElements += uint64(len(ep.elements.Unknown))
 	}
 	d := ep.findDialog(from, f)
 	if d != nil && f.Dest == 0 && f.Is(New) && ep.repeatsNewWithToken(d) {
@@ -241,7 +241,7 @@
 			ep.rejectOpening(from, f, rejectSubclass, CauseNotSubscribed, "call token needed")
 			return false
 		case !ep.tokens.valid(now, from, token):
-			ep.Stats.Tokens++
+			ep.Stats.TokensIssued++
 			ep.ies = AppendText(ep.ies[:0], CallTokenIE, ep.tokens.issue(now, from))
 			ep.reply(from, f, CallToken, ep.ies)
 			return false
--- a/internal/iax2/frame.go
+++ b/internal/iax2/frame.go
@@ -172,9 +172,9 @@
 
 // Errors returned by ParseFrame and Elements.Parse.
 var (
-	ErrShort  = errors.New("iax2: datagram shorter than its frame header")
-	ErrZero   = errors.New("iax2: source call number is zero")
-	ErrLength = errors.New("iax2: information element extends beyond the frame")
+	ErrShort      = errors.New("iax2: datagram shorter than its frame header")
+	ErrZeroSource = errors.New("iax2: source call number is zero")
+	ErrLength     = errors.New("iax2: information element extends beyond the frame")
 )
 
 const (
@@ -203,7 +203,7 @@
 		return ErrShort
 	}
 	if f.Source == 0 {
-		return ErrZero
+		return ErrZeroSource
 	}
 	dest := binary.BigEndian.Uint16(b[2:])
 	f.Dest, f.Retransmitted = dest&MaxCallNumber, dest&0x8000 != 0
--- a/internal/iax2/frame_test.go
+++ b/internal/iax2/frame_test.go
@@ -38,7 +38,7 @@
 		{"empty", nil, ErrShort},
 		{"mini without timestamp", []byte{0, 5, 1}, ErrShort},
 		{"full cut in the header", []byte{0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6}, ErrShort},
-		{"zero source", []byte{0x80, 0, 0, 1, 0, 0, 0, 0, 0, 0, 6, 1}, ErrZero},
+		{"zero source", []byte{0x80, 0, 0, 1, 0, 0, 0, 0, 0, 0, 6, 1}, ErrZeroSource},
 	}
 	for _, c := range cases {
 		var f Frame
--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -35,7 +35,7 @@
 
 // Config describes one end of a circuit group.
 type Config struct {
-	First                      CIC    // lowest CIC of the group
+	FirstCIC                   CIC    // lowest CIC of the group
 	Circuits                   int    // number of circuits, with consecutive CICs
 	OwnPointCode, FarPointCode uint32 // of this end and of the far end
 	Timers                     Timers
@@ -118,10 +118,10 @@
 
 // Request holds what an IAM states about a call.
 type Request struct {
-	Called  string
-	Calling string
-	Hops    int    // hop counter: how many more exchanges may forward the call; -1 if absent
-	User    string // user-to-user information
+	Called   string
+	Calling  string
+	Hops     int    // hop counter: how many more exchanges may forward the call; -1 if absent
+	UserInfo string // user-to-user information
 }
 
 // OutMessage is a message to send.
@@ -137,7 +137,7 @@
 // Stats counts what a group has done since it was created: messages received, sent, malformed, of unknown type
 // and for circuits that this end does not have; dual seizures; repeated messages; and alarms.
 type Stats struct {
-	In, Out, Malformed, Unknown, Unequipped, Glares, Repeats, Alarms uint64
+	In, Out, Malformed, Unknown, Unequipped, Glares, Retransmits, Alarms uint64
 }
 
 // Group is one end of a group of circuits.
@@ -162,7 +162,7 @@
 	c.Timers = c.Timers.withDefaults()
 	g := &Group{cfg: c}
 	for i := range c.Circuits {
-		k := &circuit{cic: c.First + CIC(i)}
+		k := &circuit{cic: c.FirstCIC + CIC(i)}
 		k.timer.Value, k.blockTimer.Value = k, k
 		g.circuits = append(g.circuits, k)
 	}
@@ -186,8 +186,8 @@
 	return 2*int(MaxCIC) - int(c.cic)
 }
 
-// Idle returns the number of circuits that a call may seize.
-func (g *Group) Idle() (n int) {
+// IdleCircuits returns the number of circuits that a call may seize.
+func (g *Group) IdleCircuits() (n int) {
 	for _, c := range g.circuits {
 		if c.available() {
 			n++
@@ -196,8 +196,8 @@
 	return n
 }
 
-// Busy returns the number of circuits that are not idle. Circuits that are only blocked are not counted.
-func (g *Group) Busy() (n int) {
+// BusyCircuits returns the number of circuits that are not idle. Circuits that are only blocked are not counted.
+func (g *Group) BusyCircuits() (n int) {
 	for _, c := range g.circuits {
 		if c.state != idle {
 			n++
@@ -223,7 +223,7 @@
 }
 
 func (g *Group) findCircuit(cic CIC) *circuit {
-	if i := int(cic) - int(g.cfg.First); i >= 0 && i < len(g.circuits) {
+	if i := int(cic) - int(g.cfg.FirstCIC); i >= 0 && i < len(g.circuits) {
 		return g.circuits[i]
 	}
 	return nil
@@ -261,8 +261,8 @@
 	if r.Hops >= 0 {
 		params = append(params, Parameter{HopCounter, []byte{byte(r.Hops & 0x1f)}})
 	}
-	if r.User != "" {
-		params = append(params, Parameter{UserToUser, append([]byte{0}, r.User...)})
+	if r.UserInfo != "" {
+		params = append(params, Parameter{UserToUser, append([]byte{0}, r.UserInfo...)})
 	}
 	g.send(c.cic, IAM, params...)
 	g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T7)
@@ -368,7 +368,7 @@
 			g.resetCircuit(now, c)
 			return
 		}
-		g.Stats.Repeats++
+		g.Stats.Retransmits++
 		g.send(c.cic, REL, Cause(c.releaseCause))
 		g.timerQueue.Set(&c.timer, min(now+t.T1, c.escalateAt))
 	case resetting: // T16, finally T17
@@ -380,7 +380,7 @@
 			}
 			interval = t.T17
 		}
-		g.Stats.Repeats++
+		g.Stats.Retransmits++
 		g.send(c.cic, RSC)
 		g.timerQueue.Set(&c.timer, now+interval)
 	}
@@ -402,11 +402,11 @@
 	for _, c := range g.circuits {
 		switch {
 		case c.state == releasing:
-			g.Stats.Repeats++
+			g.Stats.Retransmits++
 			g.send(c.cic, REL, Cause(c.releaseCause))
 			g.timerQueue.Set(&c.timer, min(now+g.cfg.Timers.T1, max(now, c.escalateAt)))
 		case c.state == resetting && c.timer.Running():
-			g.Stats.Repeats++
+			g.Stats.Retransmits++
 			g.send(c.cic, RSC)
 			g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T16)
 		}
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -79,7 +79,7 @@
 	f.Add(Append(nil, 5, REL, Cause(16)))
 	f.Add(Append(nil, 5, GRS, Range(31, nil)))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g := NewGroup(Config{First: 1, Circuits: 8, OwnPointCode: 1, FarPointCode: 2})
+		g := NewGroup(Config{FirstCIC: 1, Circuits: 8, OwnPointCode: 1, FarPointCode: 2})
 		for now := range time.Duration(3) {
 			g.Receive(now*time.Minute, b)
 			g.Advance(now * time.Minute)
@@ -105,8 +105,8 @@
 
 func newGroupPair(circuits int) *groupPair {
 	p := &groupPair{drop: func(int, *Message) bool { return false }}
-	p.ends[0] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 10, FarPointCode: 20})
-	p.ends[1] = NewGroup(Config{First: 1, Circuits: circuits, OwnPointCode: 20, FarPointCode: 10})
+	p.ends[0] = NewGroup(Config{FirstCIC: 1, Circuits: circuits, OwnPointCode: 10, FarPointCode: 20})
+	p.ends[1] = NewGroup(Config{FirstCIC: 1, Circuits: circuits, OwnPointCode: 20, FarPointCode: 10})
 	return p
 }
 
@@ -180,15 +180,15 @@
 
 func (p *groupPair) checkIdle(t interface{ Errorf(string, ...any) }) {
 	for i, g := range p.ends {
-		if g.Busy() != 0 || g.timerQueue.Len() != 0 {
-			t.Errorf("end %d: %d circuits busy, %d timers", i, g.Busy(), g.timerQueue.Len())
+		if g.BusyCircuits() != 0 || g.timerQueue.Len() != 0 {
+			t.Errorf("end %d: %d circuits busy, %d timers", i, g.BusyCircuits(), g.timerQueue.Len())
 		}
 	}
 }
 
 func (p *groupPair) seizeCall(t *testing.T) *Call {
 	t.Helper()
-	k := p.ends[0].Seize(p.now, Request{Called: "123", Calling: "9", Hops: 2, User: "alarm"})
+	k := p.ends[0].Seize(p.now, Request{Called: "123", Calling: "9", Hops: 2, UserInfo: "alarm"})
 	if k == nil {
 		t.Fatal("no idle circuit")
 	}
@@ -211,7 +211,7 @@
 	p := newGroupPair(4)
 	k := p.seizeCall(t)
 	in := p.offeredCall(t)
-	if r := p.events[1][0].Request; r.Called != "123" || r.Calling != "9" || r.Hops != 2 || r.User != "alarm" {
+	if r := p.events[1][0].Request; r.Called != "123" || r.Calling != "9" || r.Hops != 2 || r.UserInfo != "alarm" {
 		t.Errorf("request %+v", r)
 	}
 	p.ends[1].Accept(p.now, in)
@@ -288,7 +288,7 @@
 	p.drop = func(to int, m *Message) bool { return to == 0 }
 	p.ends[0].Release(p.now, k, 16)
 	p.advance(4 * time.Minute)
-	if n := p.ends[0].Stats.Repeats; n != 16 {
+	if n := p.ends[0].Stats.Retransmits; n != 16 {
 		t.Errorf("REL was repeated %d times in 4 minutes", n)
 	}
 	p.advance(8 * time.Minute)
@@ -381,14 +381,14 @@
 	p.ends[1].Block(p.now, 1, false)
 	p.ends[1].Block(p.now, 2, false)
 	p.deliverAll()
-	if p.ends[0].Idle() != 2 {
-		t.Errorf("%d idle after unblocking", p.ends[0].Idle())
+	if p.ends[0].IdleCircuits() != 2 {
+		t.Errorf("%d idle after unblocking", p.ends[0].IdleCircuits())
 	}
 	p.drop = func(int, *Message) bool { return true }
 	p.ends[0].Block(p.now, 1, true)
 	p.advance(time.Minute)
-	if p.ends[0].Stats.Repeats != 4 {
-		t.Errorf("BLO was repeated %d times in a minute", p.ends[0].Stats.Repeats)
+	if p.ends[0].Stats.Retransmits != 4 {
+		t.Errorf("BLO was repeated %d times in a minute", p.ends[0].Stats.Retransmits)
 	}
 }
 
@@ -411,8 +411,8 @@
 		}
 	}
 	p.checkIdle(t)
-	if p.ends[0].Idle() != 39 {
-		t.Errorf("%d idle circuits: the blocked one must stay blocked", p.ends[0].Idle())
+	if p.ends[0].IdleCircuits() != 39 {
+		t.Errorf("%d idle circuits: the blocked one must stay blocked", p.ends[0].IdleCircuits())
 	}
 }
 
@@ -427,10 +427,10 @@
 	}
 	// If the far end lacks a circuit, the call on it ends and the circuit is not used again.
 	q := newGroupPair(2)
-	q.ends[1] = NewGroup(Config{First: 1, Circuits: 0, OwnPointCode: 20, FarPointCode: 10})
+	q.ends[1] = NewGroup(Config{FirstCIC: 1, Circuits: 0, OwnPointCode: 20, FarPointCode: 10})
 	q.seizeCall(t)
-	if got := q.eventKinds(0); !slices.Equal(got, []EventKind{Lost, Closed}) || q.ends[0].Idle() != 1 {
-		t.Errorf("%v, %d idle", got, q.ends[0].Idle())
+	if got := q.eventKinds(0); !slices.Equal(got, []EventKind{Lost, Closed}) || q.ends[0].IdleCircuits() != 1 {
+		t.Errorf("%v, %d idle", got, q.ends[0].IdleCircuits())
 	}
 }
 
--- a/internal/isup/receive.go
+++ b/internal/isup/receive.go
@@ -80,7 +80,7 @@
 		r.Hops = int(h[0] & 0x1f)
 	}
 	if u := m.Param(UserToUser); len(u) > 1 {
-		r.User = string(u[1:])
+		r.UserInfo = string(u[1:])
 	}
 	c.farBlocked = false // an IAM on a circuit blocked by its sender ends the blocking (2.8.2.1)
 	c.state, c.outgoing, c.call = offered, false, &Call{circuit: c}
@@ -179,7 +179,7 @@
 		g.raiseAlarm(c, "no answer to "+c.pendingBlock.String()+" before T13 or T15 expired; the message is repeated")
 		interval = g.cfg.Timers.T13
 	}
-	g.Stats.Repeats++
+	g.Stats.Retransmits++
 	g.send(c.cic, c.pendingBlock)
 	g.blockTimers.Set(&c.blockTimer, now+interval)
 }
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -14,7 +14,7 @@
 
 func TestParseAllFields(t *testing.T) {
 	m, err := Parse([]byte(`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":1500,"x":"a\nb"},"d":"v=0\r\n\u0041","c":34}`))
-	if err != nil || m.Type != TypeNew || m.Ref != ref || m.Cause != CauseNoCircuit || string(m.Desc) != `"v=0\r\n\u0041"` {
+	if err != nil || m.Type != TypeNew || m.Ref != ref || m.Cause != CauseNoCircuit || string(m.Description) != `"v=0\r\n\u0041"` {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	if left, ok := m.IntField("left", 0, 2000); !ok || left != 1500 || m.Fields["class"] != "voice" || m.Fields["x"] != "a\nb" {
@@ -51,7 +51,7 @@
 }
 
 func TestAppendedLines(t *testing.T) {
-	s := SetUp{Ref: ref, Class: Quote("voice"), Key: Quote("7f3a9c21e0b4d655"), TimeLeft: 1500*time.Millisecond + 400, Desc: []byte(`"d\r\n"`)}
+	s := SetUp{Ref: ref, Class: Quote("voice"), Key: Quote("7f3a9c21e0b4d655"), TimeLeft: 1500*time.Millisecond + 400, Description: []byte(`"d\r\n"`)}
 	got := string(s.Append(nil)) + string(AppendUp(nil, ref, []byte(`"x"`))) + string(AppendDown(nil, ref, CauseCongestion, time.Second)) +
 		string(AppendDown(nil, ref, CauseNormal, 0)) + string(AppendHeartbeatOK(nil, ref, true)) + string(AppendHeartbeatOK(nil, "", false))
 	want := `{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":"1500","key":"7f3a9c21e0b4d655"},"d":"d\r\n"}
@@ -111,16 +111,16 @@
 	f.Add([]byte(`{"t":"gauge","f":{"load":"x0:1;x1:2"}}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		m, err := Parse(line)
-		if err != nil || m.Ref == "" || m.Desc == nil {
+		if err != nil || m.Ref == "" || m.Description == nil {
 			return
 		}
-		s := SetUp{Ref: m.Ref, Class: Quote(m.Fields["class"]), TimeLeft: time.Second, Desc: m.Desc}
+		s := SetUp{Ref: m.Ref, Class: Quote(m.Fields["class"]), TimeLeft: time.Second, Description: m.Description}
 		out := s.Append(nil)
 		if bytes.IndexByte(out, '\n') != len(out)-1 {
 			t.Fatalf("more than one line: %q", out)
 		}
 		again, err := Parse(out[:len(out)-1])
-		if len(out) <= MaxLine && (err != nil || !bytes.Equal(again.Desc, m.Desc) || again.Ref != m.Ref) {
+		if len(out) <= MaxLine && (err != nil || !bytes.Equal(again.Description, m.Description) || again.Ref != m.Ref) {
 			t.Fatalf("%q became %q: %v", line, out, err)
 		}
 	})
--- a/internal/jsonl/message.go
+++ b/internal/jsonl/message.go
@@ -57,11 +57,11 @@
 
 // Message is one decoded line. Parse sets Ref on errors too, if the reference could be read.
 type Message struct {
-	Type   string
-	Ref    string
-	Fields map[string]string
-	Cause  int
-	Desc   []byte // description as received: a JSON string with its quotes; nil if absent
+	Type        string
+	Ref         string
+	Fields      map[string]string
+	Cause       int
+	Description []byte // description as received: a JSON string with its quotes; nil if absent
 }
 
 // Parse decodes one line, given without its line feed.
@@ -99,7 +99,7 @@
 		if n := strings.Count(s, replacementChar); !ok || n > 0 && n > replacementChars(d) {
 			return m, ErrInvalidDescription // an unpaired surrogate, which not every JSON decoder accepts
 		}
-		m.Desc = bytes.Clone(bytes.TrimSpace(d))
+		m.Description = bytes.Clone(bytes.TrimSpace(d))
 	}
 	return m, nil
 }
@@ -171,10 +171,10 @@
 
 // SetUp is a set-up sent to a switch. Class, Key and Desc are JSON strings with their quotes; a nil Key is left out.
 type SetUp struct {
-	Ref        string
-	Class, Key []byte
-	TimeLeft   time.Duration
-	Desc       []byte
+	Ref         string
+	Class, Key  []byte
+	TimeLeft    time.Duration
+	Description []byte
 }
 
 // Append appends the line of the set-up to b. A TimeLeft under 1 ms is sent as 1 ms.
@@ -191,7 +191,7 @@
 		b = append(b, s.Key...)
 	}
 	b = append(b, `},"d":`...)
-	b = append(b, s.Desc...)
+	b = append(b, s.Description...)
 	return append(b, "}\n"...)
 }
 
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return &cdr.Tariffs{Currency: "AUD", Places: 4, Zone: time.UTC, List: []cdr.Tariff{{Name: "lab", Version: 1,
+	return &cdr.Tariffs{Currency: "AUD", Places: 4, Zone: time.UTC, Versions: []cdr.Tariff{{Name: "lab", Version: 1,
 		Rates: []cdr.Rate{{PerMinute: price, Step: 6 * time.Second}}}}}
 }
 
@@ -136,7 +136,7 @@
 			}
 		})
 	}
-	run.fs.SetHook(func(p crashfs.Point) error {
+	run.fs.SetHook(func(p crashfs.Change) error {
 		// First what has been told, then the disk: what was told before is on it. What was taken, after.
 		run.mu.Lock()
 		told := make(map[uint64]bool, len(run.told))
@@ -144,7 +144,7 @@
 			told[k] = v
 		}
 		run.mu.Unlock()
-		d := crashedDisk{point: p, told: told, seed: o.Seed + p.N, fs: run.fs.Crash(int(p.N%3)*50, o.Seed+p.N)}
+		d := crashedDisk{point: p, told: told, seed: o.Seed + p.N, fs: run.fs.CrashClone(int(p.N%3)*50, o.Seed+p.N)}
 		run.mu.Lock()
 		d.taken = run.taken
 		run.mu.Unlock()
@@ -234,7 +234,7 @@
 	at := crashEpoch.Add(time.Duration(call) * time.Millisecond)
 	r := cdr.Record{ID: c.rec.ID(call), End: end, Class: "status", Called: fmt.Sprintf("1%06d", call), Calling: "9", Front: "iax2",
 		Origin: -1, Dest: 1, Width: 1, Offered: at, Ended: at.Add(time.Second),
-		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
+		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Duration: 20 * time.Millisecond}}}
 	if end == 0 || end == cdr.Answered {
 		r.Answered, r.SetUp, r.Duration = at.Add(20*time.Millisecond), 20*time.Millisecond, time.Second
 	}
@@ -291,7 +291,7 @@
 
 // crashedDisk is a disk after a crash, and what had been told before.
 type crashedDisk struct {
-	point crashfs.Point
+	point crashfs.Change
 	told  map[uint64]bool
 	taken uint64
 	seed  uint64
@@ -303,8 +303,8 @@
 	res := &CrashResult{PointsTried: 1, PointsByOp: map[string]int{d.point.Op: 1}}
 	var inner []*crashfs.FS
 	if nested > 0 && d.point.N%uint64(nested) == 0 {
-		d.fs.SetHook(func(p crashfs.Point) error {
-			inner = append(inner, d.fs.Crash(int(p.N%3)*50, d.seed+p.N))
+		d.fs.SetHook(func(p crashfs.Change) error {
+			inner = append(inner, d.fs.CrashClone(int(p.N%3)*50, d.seed+p.N))
 			return nil
 		})
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -119,7 +119,7 @@
 // startSwitch starts an exchange's switch: by ISUP where the whole fleet speaks it.
 func (f *fleet) startSwitch(x int, spec standin.SwitchSpec) error {
 	if f.script.Fleet.Front == "m3ua" {
-		f.switches = append(f.switches, standin.NewISUPSwitch(f.m3ua[x], spec, isup.Config{First: 1, Circuits: spec.Lines,
+		f.switches = append(f.switches, standin.NewISUPSwitch(f.m3ua[x], spec, isup.Config{FirstCIC: 1, Circuits: spec.Lines,
 			OwnPointCode: switchPoint(x), FarPointCode: uint32(x + 1), Timers: isup.Timers{T1: time.Second, T16: time.Second}}, f.script.Seed, f.tap))
 		return nil
 	}
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -80,7 +80,7 @@
 		}
 	}
 	before := heapInUse()
-	group := isup.NewGroup(isup.Config{First: 1, Circuits: circuits, OwnPointCode: routerPC, FarPointCode: farPC})
+	group := isup.NewGroup(isup.Config{FirstCIC: 1, Circuits: circuits, OwnPointCode: routerPC, FarPointCode: farPC})
 	res.BytesPerCircuit = (heapInUse() - before) / circuits
 	goruntime.KeepAlive(group)
 	if isup := res.CallsPerSecond["isup to isup"]; isup > 0 {
@@ -132,7 +132,7 @@
 	}
 	defer func() { err = errors.Join(err, r.Stop()) }()
 	if out == "isup" {
-		far := standin.NewISUPSwitch(m3ua, spec, isup.Config{First: 1, Circuits: circuits, OwnPointCode: farPC, FarPointCode: routerPC}, 1, nil)
+		far := standin.NewISUPSwitch(m3ua, spec, isup.Config{FirstCIC: 1, Circuits: circuits, OwnPointCode: farPC, FarPointCode: routerPC}, 1, nil)
 		defer far.Close()
 		if err := far.Await(); err != nil {
 			return p, err
@@ -151,7 +151,7 @@
 	var start, stop func()
 	var count func() (tries, stood int)
 	if in == "isup" {
-		c := standin.NewISUPCallers(m3ua, isup.Config{First: 1, Circuits: circuits, OwnPointCode: switchPC, FarPointCode: routerPC}, rate, callsHold, "1555",
+		c := standin.NewISUPCallers(m3ua, isup.Config{FirstCIC: 1, Circuits: circuits, OwnPointCode: switchPC, FarPointCode: routerPC}, rate, callsHold, "1555",
 			callsClass, answered)
 		defer c.Close()
 		if err := c.Await(); err != nil {
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -89,7 +89,7 @@
 	return cdr.Record{ID: id, End: cdr.Answered, Cause: 16, EndSource: cdr.EndedByCaller, Class: "status-check", Called: fmt.Sprintf("21%07d", id.Call%1e7),
 		Calling: fmt.Sprintf("10%07d", id.Call%1e7), Context: "status-check", Front: "iax2", Origin: -1, Dest: 1, Width: 1, Offered: at,
 		Answered: at.Add(20 * time.Millisecond), Ended: at.Add(12 * time.Second), SetUp: 20 * time.Millisecond, Duration: 12 * time.Second,
-		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
+		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Duration: 20 * time.Millisecond}}}
 }
 
 func costOptions(dir string, done func(uint64)) records.Options {
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -174,7 +174,7 @@
 			if r.g.f.routers[x] != router(up) {
 				return // it was killed
 			}
-			tell, wait := p.HandleAnswer(l, err, func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(d, 1)))) })
+			tell, wait := p.HandleResponse(l, err, func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(d, 1)))) })
 			if tell {
 				r.note(x, &l)
 				up.SetList(l)
--- a/internal/m3ua/link.go
+++ b/internal/m3ua/link.go
@@ -7,8 +7,8 @@
 
 // Config describes one end of an association. A zero value selects the default given with the field.
 type Config struct {
-	// Context is the routing context; 0 sends none.
-	Context uint32
+	// RoutingContext is the routing context; 0 sends none.
+	RoutingContext uint32
 	// Mode is the traffic mode; default TrafficOverride.
 	Mode uint32
 	// ASP is the identifier of the own ASP; 0 sends none.
@@ -16,8 +16,8 @@
 	// AckTimeout is T(ack), the time after which a request without an acknowledgement, such as ASPUP, is
 	// repeated; default 2 s.
 	AckTimeout time.Duration
-	// Retries is the number of repetitions after which the association fails; default 4.
-	Retries int
+	// MaxRetries is the number of repetitions after which the association fails; default 4.
+	MaxRetries int
 	// HeartbeatInterval is the time without received data after which BEAT is sent; default 5 s. After twice
 	// this time without received data the association fails.
 	HeartbeatInterval time.Duration
@@ -28,7 +28,7 @@
 func (c Config) withDefaults() Config {
 	c.Mode = cmp.Or(c.Mode, TrafficOverride)
 	c.AckTimeout = cmp.Or(c.AckTimeout, 2*time.Second)
-	c.Retries = cmp.Or(c.Retries, 4)
+	c.MaxRetries = cmp.Or(c.MaxRetries, 4)
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, 5*time.Second)
 	c.MaxUnsentBytes = cmp.Or(c.MaxUnsentBytes, 256<<10)
 	return c
@@ -58,10 +58,10 @@
 	// AssociationDown reports that the association has ended and its connection must be closed; Err states the
 	// reason.
 	AssociationDown
-	// Unavailable reports that a destination cannot be reached by way of the peer; PC is set.
-	Unavailable
-	// Available reports that a destination can be reached again; PC is set.
-	Available
+	// DestinationUnavailable reports that a destination cannot be reached by way of the peer; PC is set.
+	DestinationUnavailable
+	// DestinationAvailable reports that a destination can be reached again; PC is set.
+	DestinationAvailable
 )
 
 // Event reports one change of a link.
@@ -140,7 +140,7 @@
 		return false
 	}
 	l.Stats.Out++
-	l.Out = AppendData(l.Out, l.cfg.Context, d)
+	l.Out = AppendData(l.Out, l.cfg.RoutingContext, d)
 	return true
 }
 
@@ -166,7 +166,7 @@
 		return nil
 	})
 	if err != nil {
-		l.sendError(ErrProtocol)
+		l.sendError(CodeProtocolError)
 		l.endAssociation(err)
 	}
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	if l.repeatAt != 0 && l.repeatAt <= now {
-		if l.retries >= l.cfg.Retries {
+		if l.retries >= l.cfg.MaxRetries {
 			l.endAssociation(errNoAck)
 			return
 		}
@@ -224,8 +224,8 @@
 		p = append(p, Uint32Param(TagTrafficMode, l.cfg.Mode))
 		fallthrough
 	case ASPIA:
-		if l.cfg.Context != 0 {
-			p = append(p, Uint32Param(TagRoutingContext, l.cfg.Context))
+		if l.cfg.RoutingContext != 0 {
+			p = append(p, Uint32Param(TagRoutingContext, l.cfg.RoutingContext))
 		}
 	}
 	return p
@@ -258,9 +258,9 @@
 	l.Stats.In++
 	m := &l.msg
 	if err := Parse(b, m); err != nil {
-		code := ErrParameterField
+		code := CodeInvalidParameterValue
 		if err == ErrVersion {
-			code = ErrInvalidVersion
+			code = CodeInvalidVersion
 		}
 		l.sendError(code)
 		return
@@ -285,9 +285,9 @@
 	default:
 		l.Stats.Unknown++
 		if m.Type.Class > ClassASPTM {
-			l.sendError(ErrUnsupportedClass)
+			l.sendError(CodeUnsupportedClass)
 		} else {
-			l.sendError(ErrUnsupportedType)
+			l.sendError(CodeUnsupportedType)
 		}
 	}
 }
@@ -311,11 +311,11 @@
 // handleRequest handles a request from the peer that opened the connection.
 func (l *Link) handleRequest(m *Message) {
 	if l.initiator {
-		l.sendError(ErrUnexpected)
+		l.sendError(CodeUnexpectedMessage)
 		return
 	}
-	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.Context != 0 && rc != l.cfg.Context {
-		l.sendError(ErrInvalidRoutingCtx)
+	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.RoutingContext != 0 && rc != l.cfg.RoutingContext {
+		l.sendError(CodeInvalidRoutingContext)
 		return
 	}
 	switch m.Type {
@@ -326,11 +326,11 @@
 		l.send(NTFY, Uint32Param(TagStatus, StatusASInactive))
 	case ASPAC:
 		if l.state == Down {
-			l.sendError(ErrUnexpected)
+			l.sendError(CodeUnexpectedMessage)
 			return
 		}
 		if mode, ok := m.Uint(TagTrafficMode); ok && mode != l.cfg.Mode {
-			l.sendError(ErrTrafficMode)
+			l.sendError(CodeUnsupportedTrafficMode)
 			return
 		}
 		l.send(ASPACAck, m.Params...)
@@ -347,16 +347,16 @@
 
 func (l *Link) handleData(m *Message) {
 	if l.state != Active {
-		l.sendError(ErrUnexpected)
+		l.sendError(CodeUnexpectedMessage)
 		return
 	}
-	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.Context != 0 && rc != l.cfg.Context {
-		l.sendError(ErrInvalidRoutingCtx)
+	if rc, ok := m.Uint(TagRoutingContext); ok && l.cfg.RoutingContext != 0 && rc != l.cfg.RoutingContext {
+		l.sendError(CodeInvalidRoutingContext)
 		return
 	}
 	d, err := ParseData(m)
 	if err != nil {
-		l.sendError(ErrMissingParameter)
+		l.sendError(CodeMissingParameter)
 		return
 	}
 	d.Payload = append([]byte(nil), d.Payload...) // the stream reuses its buffer before the event is taken
@@ -369,9 +369,9 @@
 		pc := uint32(pcs[1])<<16 | uint32(pcs[2])<<8 | uint32(pcs[3])
 		switch m.Type {
 		case DUNA, DUPU:
-			l.emit(Event{Kind: Unavailable, PC: pc})
+			l.emit(Event{Kind: DestinationUnavailable, PC: pc})
 		case DAVA:
-			l.emit(Event{Kind: Available, PC: pc})
+			l.emit(Event{Kind: DestinationAvailable, PC: pc})
 		}
 	}
 }
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -13,7 +13,7 @@
 
 func TestDataRoundTrip(t *testing.T) {
 	for n := range 9 {
-		want := Data{OPC: 0x0102, DPC: 0xffffff, SI: ISUPIndicator, NI: 2, MP: 1, SLS: 9, Payload: bytes.Repeat([]byte{7}, n)}
+		want := Data{OPC: 0x0102, DPC: 0xffffff, SI: ServiceIndicatorISUP, NI: 2, MP: 1, SLS: 9, Payload: bytes.Repeat([]byte{7}, n)}
 		b := AppendData([]byte("xyz"), 5, want)[3:] // a message may be appended to other data
 		var m Message
 		if err := Parse(b, &m); err != nil || m.Type != DATA || len(b)%4 != 0 {
@@ -66,8 +66,8 @@
 			}
 			all = all[n:]
 		}
-		if len(got) != len(want) || s.Held() != 0 {
-			t.Fatalf("%d messages of %d, %d bytes buffered", len(got), len(want), s.Held())
+		if len(got) != len(want) || s.Buffered() != 0 {
+			t.Fatalf("%d messages of %d, %d bytes buffered", len(got), len(want), s.Buffered())
 		}
 		for i := range got {
 			if !bytes.Equal(got[i], want[i]) {
@@ -114,7 +114,7 @@
 }
 
 func TestUpDataDown(t *testing.T) {
-	a, b := NewLink(0, true, Config{Context: 4}), NewLink(0, false, Config{Context: 4})
+	a, b := NewLink(0, true, Config{RoutingContext: 4}), NewLink(0, false, Config{RoutingContext: 4})
 	if a.Send(Data{}) {
 		t.Error("sent before the ASP was active")
 	}
@@ -122,7 +122,7 @@
 	if a.State() != Active || b.State() != Active || len(takeEventKinds(a)) != 1 || len(takeEventKinds(b)) != 1 {
 		t.Fatalf("states %v %v", a.State(), b.State())
 	}
-	a.Send(Data{SI: ISUPIndicator, Payload: []byte("IAM")})
+	a.Send(Data{SI: ServiceIndicatorISUP, Payload: []byte("IAM")})
 	deliver(0, a, b)
 	if len(b.Events) != 1 || string(b.Events[0].Data.Payload) != "IAM" {
 		t.Fatalf("received %+v", b.Events)
@@ -140,7 +140,7 @@
 
 // If the peer does not answer, ASPUP is repeated at intervals, then the association ends once.
 func TestNoAnswer(t *testing.T) {
-	l := NewLink(0, true, Config{AckTimeout: time.Second, Retries: 2, HeartbeatInterval: time.Hour})
+	l := NewLink(0, true, Config{AckTimeout: time.Second, MaxRetries: 2, HeartbeatInterval: time.Hour})
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * ms {
 		l.Advance(now)
 	}
@@ -219,14 +219,14 @@
 		send []byte
 		code uint32
 	}{
-		{"unknown class", Append(nil, Type{9, 1}), ErrUnsupportedClass},
-		{"unknown type", Append(nil, Type{ClassASPSM, 99}), ErrUnsupportedType},
-		{"data before active", AppendData(nil, 0, Data{}), ErrUnexpected},
-		{"active before up", Append(nil, ASPAC), ErrUnexpected},
-		{"other traffic mode", Append(Append(nil, ASPUP), ASPAC, Uint32Param(TagTrafficMode, TrafficShare)), ErrTrafficMode},
-		{"other routing context", Append(nil, ASPUP, Uint32Param(TagRoutingContext, 9)), ErrInvalidRoutingCtx},
+		{"unknown class", Append(nil, Type{9, 1}), CodeUnsupportedClass},
+		{"unknown type", Append(nil, Type{ClassASPSM, 99}), CodeUnsupportedType},
+		{"data before active", AppendData(nil, 0, Data{}), CodeUnexpectedMessage},
+		{"active before up", Append(nil, ASPAC), CodeUnexpectedMessage},
+		{"other traffic mode", Append(Append(nil, ASPUP), ASPAC, Uint32Param(TagTrafficMode, TrafficLoadshare)), CodeUnsupportedTrafficMode},
+		{"other routing context", Append(nil, ASPUP, Uint32Param(TagRoutingContext, 9)), CodeInvalidRoutingContext},
 	} {
-		l := NewLink(0, false, Config{Context: 4})
+		l := NewLink(0, false, Config{RoutingContext: 4})
 		l.Receive(0, c.send)
 		var last Message
 		var s Stream
@@ -275,7 +275,7 @@
 		t.Errorf("override: %d and %d", len(one.got), len(two.got))
 	}
 	one, two = &fakeASP{state: Active}, &fakeASP{state: Active}
-	s = ApplicationServer{Mode: TrafficShare, asps: []ASP{one, two}}
+	s = ApplicationServer{Mode: TrafficLoadshare, asps: []ASP{one, two}}
 	for sls := range uint8(16) {
 		s.Send(Data{SLS: sls})
 		s.Send(Data{SLS: sls})
@@ -293,18 +293,18 @@
 		l.Receive(0, b)
 		l.Advance(time.Second)
 		var s Stream
-		if err := s.Feed(l.Out, func(m []byte) error { return Parse(m, &Message{}) }); err != nil || s.Held() != 0 {
+		if err := s.Feed(l.Out, func(m []byte) error { return Parse(m, &Message{}) }); err != nil || s.Buffered() != 0 {
 			t.Fatalf("answered %x: %v", l.Out, err)
 		}
 	})
 }
 
 func BenchmarkData(b *testing.B) {
-	buf := AppendData(nil, 1, Data{SI: ISUPIndicator, Payload: make([]byte, 40)})
+	buf := AppendData(nil, 1, Data{SI: ServiceIndicatorISUP, Payload: make([]byte, 40)})
 	var m Message
 	b.ReportAllocs()
 	for b.Loop() {
-		buf = AppendData(buf[:0], 1, Data{SI: ISUPIndicator, Payload: buf[20:60]})
+		buf = AppendData(buf[:0], 1, Data{SI: ServiceIndicatorISUP, Payload: buf[20:60]})
 		if Parse(buf, &m) != nil {
 			b.Fatal("malformed")
 		}
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -66,50 +66,50 @@
 
 // Parameter tags, sizes in bytes and traffic modes.
 const (
-	TagInfo           Tag    = 0x0004
-	TagRoutingContext Tag    = 0x0006
-	TagDiagnostic     Tag    = 0x0007
-	TagHeartbeat      Tag    = 0x0009
-	TagTrafficMode    Tag    = 0x000b
-	TagErrorCode      Tag    = 0x000c
-	TagStatus         Tag    = 0x000d
-	TagASPIdentifier  Tag    = 0x0011
-	TagAffectedPC     Tag    = 0x0012
-	TagCorrelation    Tag    = 0x0013
-	TagUserCause      Tag    = 0x0204
-	TagCongestion     Tag    = 0x0205
-	TagNetworkAppear  Tag    = 0x0200
-	TagProtocolData   Tag    = 0x0210
-	headerSize               = 8
-	paramHeaderSize          = 4
-	dataHeaderSize           = 12
-	protocolVersion          = 1
-	MaxMessage               = 4096 // largest accepted message in bytes; ISUP needs less than 400
-	TrafficOverride   uint32 = 1
-	TrafficShare      uint32 = 2
+	TagInfo              Tag    = 0x0004
+	TagRoutingContext    Tag    = 0x0006
+	TagDiagnostic        Tag    = 0x0007
+	TagHeartbeat         Tag    = 0x0009
+	TagTrafficMode       Tag    = 0x000b
+	TagErrorCode         Tag    = 0x000c
+	TagStatus            Tag    = 0x000d
+	TagASPIdentifier     Tag    = 0x0011
+	TagAffectedPC        Tag    = 0x0012
+	TagCorrelation       Tag    = 0x0013
+	TagUserCause         Tag    = 0x0204
+	TagCongestion        Tag    = 0x0205
+	TagNetworkAppearance Tag    = 0x0200
+	TagProtocolData      Tag    = 0x0210
+	headerSize                  = 8
+	paramHeaderSize             = 4
+	dataHeaderSize              = 12
+	protocolVersion             = 1
+	MaxMessageSize              = 4096 // largest accepted message in bytes; ISUP needs less than 400
+	TrafficOverride      uint32 = 1
+	TrafficLoadshare     uint32 = 2
 )
 
 // Error codes of ERR (3.8.1).
 const (
-	ErrInvalidVersion    uint32 = 0x01
-	ErrUnsupportedClass  uint32 = 0x03
-	ErrUnsupportedType   uint32 = 0x04
-	ErrTrafficMode       uint32 = 0x05
-	ErrUnexpected        uint32 = 0x06
-	ErrProtocol          uint32 = 0x07
-	ErrParameterField    uint32 = 0x12
-	ErrUnexpectedParam   uint32 = 0x13
-	ErrMissingParameter  uint32 = 0x16
-	ErrInvalidRoutingCtx uint32 = 0x19
+	CodeInvalidVersion         uint32 = 0x01
+	CodeUnsupportedClass       uint32 = 0x03
+	CodeUnsupportedType        uint32 = 0x04
+	CodeUnsupportedTrafficMode uint32 = 0x05
+	CodeUnexpectedMessage      uint32 = 0x06
+	CodeProtocolError          uint32 = 0x07
+	CodeInvalidParameterValue  uint32 = 0x12
+	CodeUnexpectedParameter    uint32 = 0x13
+	CodeMissingParameter       uint32 = 0x16
+	CodeInvalidRoutingContext  uint32 = 0x19
 )
 
 // Status values of NTFY. Type 1 in the upper half reports a change of AS state (3.8.2).
 const (
-	StatusASInactive uint32 = 1<<16 | 2
-	StatusASActive   uint32 = 1<<16 | 3
-	StatusASPending  uint32 = 1<<16 | 4
-	StatusOtherASP   uint32 = 2<<16 | 2 // alternate ASP active
-	StatusASPFailure uint32 = 2<<16 | 3
+	StatusASInactive         uint32 = 1<<16 | 2
+	StatusASActive           uint32 = 1<<16 | 3
+	StatusASPending          uint32 = 1<<16 | 4
+	StatusAlternateASPActive uint32 = 2<<16 | 2 // alternate ASP active
+	StatusASPFailure         uint32 = 2<<16 | 3
 )
 
 // Param is one parameter. Its value refers to the bytes of the message.
@@ -204,8 +204,8 @@
 	Payload  []byte
 }
 
-// ISUPIndicator is the service indicator of ISUP.
-const ISUPIndicator = 5
+// ServiceIndicatorISUP is the service indicator of ISUP.
+const ServiceIndicatorISUP = 5
 
 // ParseData reads the protocol data of a DATA message. It returns ErrParam if it is absent or too short.
 func ParseData(m *Message) (d Data, err error) {
@@ -257,7 +257,7 @@
 	}
 	for len(b) >= headerSize {
 		n := binary.BigEndian.Uint32(b[4:])
-		if n < headerSize || n > MaxMessage || n%4 != 0 {
+		if n < headerSize || n > MaxMessageSize || n%4 != 0 {
 			s.err = fmt.Errorf("%w: %d bytes", ErrLength, n)
 			return s.err
 		}
@@ -274,5 +274,5 @@
 	return nil
 }
 
-// Held returns the number of buffered bytes of an incomplete message.
-func (s *Stream) Held() int { return len(s.buffered) }
+// Buffered returns the number of buffered bytes of an incomplete message.
+func (s *Stream) Buffered() int { return len(s.buffered) }
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -35,7 +35,7 @@
 func (s *ApplicationServer) Send(d Data) bool {
 	n := len(s.asps)
 	first := n - 1
-	if s.Mode == TrafficShare && n > 0 {
+	if s.Mode == TrafficLoadshare && n > 0 {
 		first = int(d.SLS) % n
 	}
 	for i := range n {
--- a/internal/node/isup_test.go
+++ b/internal/node/isup_test.go
@@ -38,10 +38,10 @@
 func newMixed(t *testing.T, n, circuits int) *mixed {
 	w := &mixed{network: newNetwork(t, n, plain)}
 	for x := range n {
-		cfg := isupfront.Config{Own: x}
+		cfg := isupfront.Config{OwnExchange: x}
 		for y := range n {
 			if y != x {
-				cfg.Groups = append(cfg.Groups, isupfront.GroupConfig{Exchange: y, Circuits: isup.Config{First: 1,
+				cfg.Groups = append(cfg.Groups, isupfront.GroupConfig{Exchange: y, Circuits: isup.Config{FirstCIC: 1,
 					Circuits: circuits, OwnPointCode: uint32(x + 1), FarPointCode: uint32(y + 1)}})
 			}
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -366,13 +366,13 @@
 		w.flying = append(w.flying, datagram{w.now + 5*ms, from, routerAddr(router), iax2.AppendMini(nil, number, 1, []byte(text))})
 		w.run(w.now + 50*ms)
 	}
-	speak(callerAddr, 0, d.Number(), "early")
+	speak(callerAddr, 0, d.CallNumber(), "early")
 	w.run(w.now + 300*ms)
-	speak(callerAddr, 0, d.Number(), "help")
-	speak(switchAddr(1), 1, w.offered[0].Dialog.Number(), "coming")
+	speak(callerAddr, 0, d.CallNumber(), "help")
+	speak(switchAddr(1), 1, w.offered[0].Dialog.CallNumber(), "coming")
 	d.Release(w.now, iax2.CauseNormal, "")
 	w.run(w.now + 300*ms)
-	speak(callerAddr, 0, d.Number(), "late")
+	speak(callerAddr, 0, d.CallNumber(), "late")
 	if want := []string{"2 1 help", "0 99 coming"}; !slices.Equal(seen, want) {
 		t.Errorf("media arrived as %q, want %q", seen, want)
 	}
--- a/internal/platform/bed_test.go
+++ b/internal/platform/bed_test.go
@@ -227,7 +227,7 @@
 }
 
 func entry(id uint32, number, host int, phase decide.Phase) coordinator.Entry {
-	return coordinator.Entry{ID: id, Number: number, Phase: phase,
+	return coordinator.Entry{ID: id, ExchangeNumber: number, Phase: phase,
 		Addr: netip.MustParseAddrPort(fmt.Sprintf("127.0.1.%d:5060", host))}
 }
 
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -248,7 +248,7 @@
 func (p *caller) parseOffer(m *jsonl.Message) (o callOffer, ok bool) {
 	class, classOK := p.core.classes[m.Fields["class"]]
 	left, leftOK := m.IntField("left", 0, maxTimeLeftMS)
-	if !classOK || !leftOK || len(m.Desc) > maxDescription {
+	if !classOK || !leftOK || len(m.Description) > maxDescription {
 		return o, false
 	}
 	o.Class, o.Patience = class, time.Duration(left)*time.Millisecond
@@ -273,7 +273,7 @@
 		}
 		o.Redial = true
 	}
-	if !o.parseExtras(m.Fields["extras"]) || m.Desc == nil && !o.isStanding {
+	if !o.parseExtras(m.Fields["extras"]) || m.Description == nil && !o.isStanding {
 		return o, false
 	}
 	return o, true
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -43,7 +43,7 @@
 func (c *Core) offerCall(p *caller, m *jsonl.Message, o callOffer) {
 	c.Stats.Calls++
 	c.lastCallID++
-	k := &call{ref: m.Ref, id: c.lastCallID, caller: p, class: o.Class, key: o.key, desc: m.Desc}
+	k := &call{ref: m.Ref, id: c.lastCallID, caller: p, class: o.Class, key: o.key, desc: m.Description}
 	if c.stoppingSince != 0 {
 		o.Patience = min(o.Patience, c.answerDeadline-c.now)
 	}
@@ -190,7 +190,7 @@
 	k := a.call
 	a.link = l
 	l.openAttempts[k.ref] = a
-	s := jsonl.SetUp{Ref: k.ref, Class: c.quotedClasses[k.class], Key: k.key, TimeLeft: a.deadline - c.now, Desc: k.desc}
+	s := jsonl.SetUp{Ref: k.ref, Class: c.quotedClasses[k.class], Key: k.key, TimeLeft: a.deadline - c.now, Description: k.desc}
 	c.write(l.id, s.Append)
 	l.expectLine()
 	a.timer.Value = func() { c.cancelAttempt(a, decide.TimedOut) }
@@ -244,7 +244,7 @@
 	k.caller.standingCalls++
 	k.caller.answeredSetUps++
 	c.write(k.caller.id, func(b []byte) []byte { return jsonl.AppendUp(b, k.ref, desc) })
-	c.feed(decide.Standing{Call: k.id, Attempt: a.number, Exchange: a.neighbour.id, Took: c.now - a.startedAt})
+	c.feed(decide.AttemptAnswered{Call: k.id, Attempt: a.number, Exchange: a.neighbour.id, Took: c.now - a.startedAt})
 }
 
 // endStandingCall ends a standing call and reports it to the decision module.
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,16 +18,16 @@
 
 // Config is a proxy's start-up configuration.
 type Config struct {
-	Name        string
-	Listen      netip.AddrPort
-	Coordinator netip.AddrPort
-	Seed        uint64
-	Cores       float64
-	Memory      int64 // memory limit in bytes; 0 is no limit
-	Sockets     int   // limit of file descriptors
-	Setup       wire.InstanceSettings
-	KnownEvents []coordinator.Event
-	LastIndex   uint64 // index of the last known event
+	Name           string
+	Listen         netip.AddrPort
+	Coordinator    netip.AddrPort
+	Seed           uint64
+	Cores          float64
+	MemoryLimit    int64 // memory limit in bytes; 0 is no limit
+	MaxDescriptors int   // limit of file descriptors
+	Setup          wire.InstanceSettings
+	KnownEvents    []coordinator.Event
+	LastIndex      uint64 // index of the last known event
 }
 
 const minSockets = 64 // descriptors; the minimum for a useful service
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c := &Config{Name: t.Name, Cores: t.Limits.Cores, Memory: int64(t.Limits.MemoryMB * (1 << 20)), Sockets: t.Limits.Sockets}
+	c := &Config{Name: t.Name, Cores: t.Limits.Cores, MemoryLimit: int64(t.Limits.MemoryMB * (1 << 20)), MaxDescriptors: t.Limits.Sockets}
 	var errs [5]error
 	c.Listen, errs[0] = parseAddress("listen", t.Listen)
 	c.Coordinator, errs[1] = parseAddress("coordinator", t.Coordinator)
@@ -69,8 +69,8 @@
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, err
 	}
-	if c.Sockets < minSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.Sockets, minSockets)
+	if c.MaxDescriptors < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.MaxDescriptors, minSockets)
 	}
 	return c, nil
 }
@@ -86,7 +86,7 @@
 // callerBudget returns the number of descriptors available to callers' connections: the limit, less the reserved ones
 // and the links to each switch.
 func (c *Config) callerBudget(switches int) int {
-	return max(minCallerDescriptors, c.Sockets-reservedDescriptors-maxLinks*switches)
+	return max(minCallerDescriptors, c.MaxDescriptors-reservedDescriptors-maxLinks*switches)
 }
 
 const (
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n0" || c.Listen != listen || c.Coordinator != coordinator || c.Seed != 1 || c.Cores != 1 || c.Memory != 64<<20 ||
-		c.Sockets != 70 || c.LastIndex != 1 || len(c.KnownEvents) != 1 || len(c.Setup.Settings.Classes) != 1 {
+	if c.Name != "n0" || c.Listen != listen || c.Coordinator != coordinator || c.Seed != 1 || c.Cores != 1 || c.MemoryLimit != 64<<20 ||
+		c.MaxDescriptors != 70 || c.LastIndex != 1 || len(c.KnownEvents) != 1 || len(c.Setup.Settings.Classes) != 1 {
 		t.Errorf("read %+v", c)
 	}
 }
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -280,7 +280,7 @@
 			list.Kind = kind
 		}
 		for _, e := range ev.Entries {
-			list.Entries = append(list.Entries, decide.Entry{Exchange: decide.ExchangeID(e.ID), Number: e.Number,
+			list.Entries = append(list.Entries, decide.Entry{Exchange: decide.ExchangeID(e.ID), Number: e.ExchangeNumber,
 				Zone: e.Zone, Phase: e.Phase, Started: c.moduleStart(e.Started)})
 		}
 		changed := c.applyEvent(ev) // before the module can use the entries
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -32,13 +32,13 @@
 	p, sw := h.accept(), h.switchConns[1]
 	h.receiveLines(p, setUp(1, 1, ""))
 	m := h.expectLines(sw, "new 1")[0]
-	if string(m.Desc) != description || len(m.Fields) != 3 || m.Fields["class"] != "voice" || m.Fields["key"] != "7f3a9c21e0b4d601" || m.Fields["left"] != "1495" {
-		t.Fatalf("sent to the switch: %+v %s", m.Fields, m.Desc)
+	if string(m.Description) != description || len(m.Fields) != 3 || m.Fields["class"] != "voice" || m.Fields["key"] != "7f3a9c21e0b4d601" || m.Fields["left"] != "1495" {
+		t.Fatalf("sent to the switch: %+v %s", m.Fields, m.Description)
 	}
 	h.advance(30 * ms)
 	h.receiveLines(sw, up(1))
-	if m := h.expectLines(p, "up 1")[0]; string(m.Desc) != `"answer 1"` {
-		t.Fatalf("answer %s", m.Desc)
+	if m := h.expectLines(p, "up 1")[0]; string(m.Description) != `"answer 1"` {
+		t.Fatalf("answer %s", m.Description)
 	}
 	h.receiveLines(sw, up(1)) // a duplicate is ignored
 	h.advance(5 * time.Second)
--- a/internal/platform/switches.go
+++ b/internal/platform/switches.go
@@ -162,7 +162,7 @@
 
 // connect opens one more link unless a dial is in progress. The last descriptors are not spent on an additional link.
 func (n *neighbour) connect() {
-	if n.dialling != 0 || len(n.links) >= maxLinks || len(n.links) > 0 && n.core.descriptorsInUse() >= n.core.cfg.Sockets {
+	if n.dialling != 0 || len(n.links) >= maxLinks || len(n.links) > 0 && n.core.descriptorsInUse() >= n.core.cfg.MaxDescriptors {
 		return
 	}
 	timeout := n.core.cfg.Setup.ConnectTimeout
@@ -419,10 +419,10 @@
 		a := l.openAttempts[m.Ref]
 		switch {
 		case a == nil: // a duplicate, an unknown reference or a withdrawn attempt
-		case m.Desc == nil:
+		case m.Description == nil:
 			l.closeFaulty()
 		default:
-			c.handleAnswer(a, m.Desc)
+			c.handleAnswer(a, m.Description)
 		}
 	case jsonl.TypeDown:
 		report := c.parseReport(m)
@@ -507,7 +507,7 @@
 			c.switches[n.id] = n
 		}
 		n.restarted = n.restarted || e.Started > n.started
-		n.number, n.phase, n.started = e.Number, e.Phase, e.Started
+		n.number, n.phase, n.started = e.ExchangeNumber, e.Phase, e.Started
 		changed = append(changed, n)
 		if e.Addr == n.addr {
 			continue
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -154,7 +154,7 @@
 			t.Fatal(err)
 		}
 		return &cdr.Tariffs{Currency: "AUD", Places: 2, Zone: time.UTC,
-			List: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
+			Versions: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
 	}
 	h := newHarness(t, crashfs.New())
 	h.opt.Rater = price("1")
@@ -366,7 +366,7 @@
 			continue
 		}
 		for k := range int64(24) {
-			copied := fs.Crash(100, uint64(k))
+			copied := fs.CrashClone(100, uint64(k))
 			if err := copied.FlipBit("records/"+name, k*info.Size()*8/24+k%8); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/registry/discovery.go
+++ b/internal/registry/discovery.go
@@ -24,10 +24,10 @@
 // removed while a check is critical, draining while a check is at warning or the instance is under maintenance, else
 // ready.
 type DiscoveryClient struct {
-	URL     string // such as http://127.0.0.1:8500
-	Service string
-	Wait    time.Duration // longest time that one query blocks at the server
-	Client  *http.Client  // nil: Run creates its own
+	URL       string // such as http://127.0.0.1:8500
+	Service   string
+	QueryWait time.Duration // longest time that one query blocks at the server
+	Client    *http.Client  // nil: Run creates its own
 }
 
 const (
@@ -42,7 +42,7 @@
 	if client == nil {
 		t := &http.Transport{MaxIdleConns: 1, IdleConnTimeout: time.Minute}
 		defer t.CloseIdleConnections()
-		client = &http.Client{Transport: t, Timeout: c.Wait + c.Wait/4 + 5*time.Second}
+		client = &http.Client{Transport: t, Timeout: c.QueryWait + c.QueryWait/4 + 5*time.Second}
 	}
 	var p Poller
 	for ctx.Err() == nil {
@@ -50,7 +50,7 @@
 		if err != nil && ctx.Err() != nil {
 			return
 		}
-		changed, wait := p.HandleAnswer(l, err, rand.N[time.Duration])
+		changed, wait := p.HandleResponse(l, err, rand.N[time.Duration])
 		if err != nil {
 			onError(err)
 		}
@@ -73,9 +73,9 @@
 // Index returns the index that the next query blocks on; 0 means that it does not block.
 func (p *Poller) Index() uint64 { return p.index }
 
-// HandleAnswer processes the response to a query, or its error. It returns whether the list is an update, and how long to
+// HandleResponse processes the response to a query, or its error. It returns whether the list is an update, and how long to
 // wait before the next query; random returns a random duration below its argument.
-func (p *Poller) HandleAnswer(l List, err error, random func(time.Duration) time.Duration) (changed bool, wait time.Duration) {
+func (p *Poller) HandleResponse(l List, err error, random func(time.Duration) time.Duration) (changed bool, wait time.Duration) {
 	if err != nil {
 		p.retryDelay = min(max(2*p.retryDelay, minRetryDelay), maxRetryDelay)
 		return false, p.retryDelay/2 + random(p.retryDelay)
@@ -118,7 +118,7 @@
 
 // query makes one blocking query.
 func (c DiscoveryClient) query(ctx context.Context, client *http.Client, index uint64) (List, error) {
-	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {c.Wait.String()}}
+	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {c.QueryWait.String()}}
 	u := strings.TrimSuffix(c.URL, "/") + "/v1/health/service/" + url.PathEscape(c.Service) + "?" + q.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -155,7 +155,7 @@
 			w.Header().Set("X-Consul-Index", "7")
 			fmt.Fprintf(w, healthBody, c.check, c.status)
 		}))
-		l, err := DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second}.query(context.Background(), srv.Client(), 0)
+		l, err := DiscoveryClient{URL: srv.URL, Service: "exchange", QueryWait: time.Second}.query(context.Background(), srv.Client(), 0)
 		srv.Close()
 		if err != nil || l.Index != 7 || l.Entries[0].Phase != c.want || l.Entries[0].Switch.Port() != 5000 {
 			t.Errorf("%s %s: %+v %v", c.check, c.status, l, err)
@@ -195,7 +195,7 @@
 		fmt.Fprint(w, responses[i].body)
 	}))
 	defer srv.Close()
-	c := runSource(t, DiscoveryClient{URL: srv.URL, Service: "exchange", Wait: time.Second})
+	c := runSource(t, DiscoveryClient{URL: srv.URL, Service: "exchange", QueryWait: time.Second})
 	var got []string
 	for range 4 {
 		l := c.next(t)
--- a/internal/rules/isup.go
+++ b/internal/rules/isup.go
@@ -26,7 +26,7 @@
 		return
 	}
 	d, err := m3ua.ParseData(&m)
-	if err != nil || d.SI != m3ua.ISUPIndicator {
+	if err != nil || d.SI != m3ua.ServiceIndicatorISUP {
 		c.report.Malformed++
 		return
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -295,7 +295,7 @@
 // circuit sends one ISUP message from one router to another, as a capture shows it.
 func (p *tape) circuit(from, to capture.Party, cic isup.CIC, t isup.Type, params ...isup.Parameter) {
 	p.w.Message(p.at, from, to, m3ua.AppendData(nil, 0, m3ua.Data{OPC: uint32(from.Exchange + 1), DPC: uint32(to.Exchange + 1),
-		SI: m3ua.ISUPIndicator, Payload: isup.Append(nil, cic, t, params...)}))
+		SI: m3ua.ServiceIndicatorISUP, Payload: isup.Append(nil, cic, t, params...)}))
 }
 
 func (p *tape) iam(from, to capture.Party, cic isup.CIC, call string) {
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -142,7 +142,7 @@
 	count(descUnknownPeers, front.UnknownPeer)
 	count(descIn, iax.In)
 	count(descOut, iax.Out)
-	count(descRepeats, iax.Repeats)
+	count(descRepeats, iax.Retransmits)
 	count(descBad, iax.Malformed)
 	count(descDialogsRejected, iax.Rejected)
 	count(descStray, iax.Stray)
--- a/internal/runtime/platform.go
+++ b/internal/runtime/platform.go
@@ -48,7 +48,7 @@
 	loop      gnet.EventLoop
 	conns     map[platform.ConnID]gnet.Conn
 	lingering int
-	wake      waker
+	wake      loopTimer
 	done      chan struct{}
 	once      sync.Once
 	stopErr   error
@@ -97,8 +97,8 @@
 	if cfg.Cores > 0 {
 		goruntime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	}
-	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(cfg.Memory)))
+	if cfg.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(cfg.MemoryLimit)))
 	}
 }
 
@@ -116,14 +116,14 @@
 	p := &Platform{log: log, cfg: cfg, trace: trace, listener: listener, conns: map[platform.ConnID]gnet.Conn{},
 		readBuffer: make([]byte, proxyReadSize), unreadConns: map[platform.ConnID]*proxyConn{}, done: make(chan struct{})}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	p.wake = newWaker(p.onTimer)
+	p.wake = newLoopTimer(p.onTimer)
 	p.start = time.Now()
 	p.core = platform.New(cfg, p.start)
 	var err error
 	// The listener is separate from gnet's, whose loop ends for good when an accept fails. Connections already have
 	// TCP_NODELAY set; gnet leaks a descriptor if it sets the option again and fails.
 	p.client, err = gnet.NewClient(p, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(proxyReadSize), gnet.WithTCPNoDelay(gnet.TCPDelay),
-		gnet.WithLogger(quiet{log.Sugar()}))
+		gnet.WithLogger(errorLogger{log.Sugar()}))
 	if err == nil {
 		err = p.client.Start()
 	}
@@ -146,7 +146,7 @@
 
 // findLoop learns the event loop from a connection to the proxy's own listener.
 func (p *Platform) findLoop() error {
-	d := net.Dialer{Timeout: doWait, KeepAlive: -1}
+	d := net.Dialer{Timeout: loopTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(p.ctx, "tcp4", p.listener.Addr().String())
 	if err != nil {
 		return err
@@ -279,7 +279,7 @@
 }
 
 // onTimer is called when the timer fires, outside the loop.
-func (p *Platform) onTimer() { p.runOnLoop(func() { p.wake.rang(); p.turn() }) }
+func (p *Platform) onTimer() { p.runOnLoop(func() { p.wake.fired(); p.turn() }) }
 
 // runOnLoop runs f on the loop, after the input of the pass in which it arrives. It does nothing once the loop has
 // ended.
@@ -329,7 +329,7 @@
 		}
 	}
 	at, ok := p.core.NextWakeUp()
-	p.wake.want(now, at, ok)
+	p.wake.schedule(now, at, ok)
 }
 
 func (p *Platform) applyOutput(o platform.Output) {
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -130,7 +130,7 @@
 	if err := p.Send(setUpLine(1)); err != nil {
 		t.Fatal(err)
 	}
-	h.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), Number: 1, Phase: decide.Draining}}})
+	h.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), ExchangeNumber: 1, Phase: decide.Draining}}})
 	release()
 	h.expect(p, jsonl.TypeDown, 1)
 	if h.received("new " + callRef(1)) {
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -43,7 +43,7 @@
 	h.receivedLines = append(h.receivedLines, m.Type+" "+m.Ref)
 	h.mu.Unlock()
 	if m.Type == jsonl.TypeNew {
-		_ = p.Send(string(jsonl.AppendUp(nil, m.Ref, m.Desc))) // a connection is lost only if the test closes it
+		_ = p.Send(string(jsonl.AppendUp(nil, m.Ref, m.Description))) // a connection is lost only if the test closes it
 	}
 }
 
@@ -198,7 +198,7 @@
 
 func TestPlatformCoordinatorAddressChange(t *testing.T) {
 	h := newProxyHarness(t, 256)
-	drain := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), Number: 1, Phase: decide.Draining}}}
+	drain := coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), ExchangeNumber: 1, Phase: decide.Draining}}}
 	await(h.t, "the coordinator gets a request", func() bool { return len(h.coord.RequestedFrom()) > 0 })
 	next, err := standin.StartPlatformCoordinator()
 	if err != nil {
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -47,7 +47,7 @@
 	}
 	rc := &recorder{s: s}
 	o := records.Options{Dir: set.Dir, Router: uint32(s.set.Router.Exchange), Gate: set.GateSettings(),
-		MaxBatch: set.Batch, BatchDelay: set.BatchDelay, HeartbeatInterval: set.HeartbeatInterval,
+		MaxBatch: set.MaxBatch, BatchDelay: set.BatchDelay, HeartbeatInterval: set.HeartbeatInterval,
 		Retention: set.Retention, DiskLimit: uint64(set.DiskLimit), TrimInterval: time.Minute,
 		OnDurable: rc.onDurable, Now: s.now,
 		Log: func(level records.Level, text string, err error) {
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -30,7 +30,7 @@
 const (
 	maxBatchRounds    = 16               // batches read per turn before timers are processed
 	minTimerDelay     = time.Millisecond // shortest delay of the event loop's timer
-	doWait            = 5 * time.Second  // time-out of a function executed on the event loop, and of its stop
+	loopTimeout       = 5 * time.Second  // time-out of a function executed on the event loop, and of its stop
 	socketBufferBytes = 4 << 20          // size of each of the socket's buffers
 )
 
@@ -51,7 +51,7 @@
 	fd               int            // duplicate descriptor of the UDP socket
 	batch            *batcher       // on fd
 	loop             gnet.EventLoop // set by the first datagram, which OnBoot sends
-	wake             waker          // timer of the event loop
+	wake             loopTimer      // timer of the event loop
 	ready            chan struct{}  // closed when loop is set
 	done             chan struct{}  // closed when the event loop has ended
 	runErr           error          // error that ended the event loop; to be read after done is closed
@@ -82,10 +82,10 @@
 		return nil, err
 	}
 	s.metrics = newMetrics(s)
-	s.wake = newWaker(s.onTimer)
+	s.wake = newLoopTimer(s.onTimer)
 	go func() {
 		defer close(s.done)
-		err := gnet.Rotate(s, s.sockets(), gnet.WithNumEventLoop(1), gnet.WithLogger(quiet{log.Sugar()}),
+		err := gnet.Rotate(s, s.sockets(), gnet.WithNumEventLoop(1), gnet.WithLogger(errorLogger{log.Sugar()}),
 			gnet.WithReuseAddr(false), gnet.WithSocketRecvBuffer(socketBufferBytes), gnet.WithSocketSendBuffer(socketBufferBytes))
 		s.stopped.Store(true)
 		if err != nil {
@@ -141,18 +141,18 @@
 	return conn.Close()
 }
 
-// quiet is a logger for gnet that drops debug and info lines.
-type quiet struct{ *zap.SugaredLogger }
+// errorLogger is a logger for gnet that drops debug and info lines.
+type errorLogger struct{ *zap.SugaredLogger }
 
-func (q quiet) Debugf(string, ...any) {}
-func (q quiet) Infof(string, ...any)  {}
+func (q errorLogger) Debugf(string, ...any) {}
+func (q errorLogger) Infof(string, ...any)  {}
 
 // listSource returns the configured source of the exchange list.
 func (s *Server) listSource() registry.Source {
 	if s.set.List.File != "" {
 		return registry.FileSource{Path: s.set.List.File}
 	}
-	return registry.DiscoveryClient{URL: s.set.List.DiscoveryURL, Service: s.set.List.Service, Wait: s.set.List.Wait}
+	return registry.DiscoveryClient{URL: s.set.List.DiscoveryURL, Service: s.set.List.Service, QueryWait: s.set.List.QueryWait}
 }
 
 // Addr returns the address of the UDP socket.
@@ -237,7 +237,7 @@
 func (s *Server) onTimer() {
 	// Execute fails only after the event loop has ended.
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		s.wake.rang()
+		s.wake.fired()
 		s.finishTurn(s.now())
 		return nil
 	}))
@@ -252,7 +252,7 @@
 	s.flush(now)
 	s.processRecords(now)
 	at, ok := s.node.Next()
-	s.wake.want(now, at, ok)
+	s.wake.schedule(now, at, ok)
 }
 
 // flush sends the node's pending output.
@@ -282,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	limit := time.NewTimer(doWait)
+	limit := time.NewTimer(loopTimeout)
 	defer limit.Stop()
 	select {
 	case <-ran:
@@ -290,7 +290,7 @@
 	case <-s.done:
 		return ErrStopped
 	case <-limit.C:
-		return fmt.Errorf("runtime: event loop did not respond within %v", doWait)
+		return fmt.Errorf("runtime: event loop did not respond within %v", loopTimeout)
 	}
 }
 
@@ -377,7 +377,7 @@
 	if s.cancel != nil {
 		s.cancel()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), doWait)
+	ctx, cancel := context.WithTimeout(context.Background(), loopTimeout)
 	defer cancel()
 	err := s.engine.Stop(ctx)
 	<-s.done
--- a/internal/runtime/waker.go
+++ b/internal/runtime/waker.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// waker is the timer of an event loop that owns a state machine: it fires once, at the earliest time requested.
-type waker struct {
+// loopTimer is the timer of an event loop that owns a state machine: it fires once, at the earliest time requested.
+type loopTimer struct {
 	timer *time.Timer
 	dueAt time.Duration // 0 if the timer is not set
 }
 
-// newWaker returns a waker that is not set. When it fires, it calls onFire on another goroutine, which has to make the
+// newLoopTimer returns a waker that is not set. When it fires, it calls onFire on another goroutine, which has to make the
 // event loop call rang.
-func newWaker(onFire func()) waker {
-	w := waker{timer: time.AfterFunc(time.Hour, onFire)}
+func newLoopTimer(onFire func()) loopTimer {
+	w := loopTimer{timer: time.AfterFunc(time.Hour, onFire)}
 	w.timer.Stop()
 	return w
 }
 
-// rang records that the timer has fired, so that the next want sets it again.
-func (w *waker) rang() { w.dueAt = 0 }
+// fired records that the timer has fired, so that the next want sets it again.
+func (w *loopTimer) fired() { w.dueAt = 0 }
 
-// want sets the timer to a time at least minTimerDelay after now, unless an earlier one is set. If ok is false, it does
+// schedule sets the timer to a time at least minTimerDelay after now, unless an earlier one is set. If ok is false, it does
 // nothing.
-func (w *waker) want(now, at time.Duration, ok bool) {
+func (w *loopTimer) schedule(now, at time.Duration, ok bool) {
 	at = max(at, now+minTimerDelay)
 	if ok && (w.dueAt == 0 || at < w.dueAt) {
 		w.dueAt = at
@@ -30,4 +30,4 @@
 }
 
 // stop cancels the timer.
-func (w *waker) stop() { w.timer.Stop() }
+func (w *loopTimer) stop() { w.timer.Stop() }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -115,7 +115,7 @@
 func (c *Callers) HangUp() {
 	c.host.Do(func() {
 		// In order of their numbers: two runs hang up alike.
-		all := slices.SortedFunc(maps.Keys(c.open), func(a, b *iax2.Dialog) int { return int(a.Number()) - int(b.Number()) })
+		all := slices.SortedFunc(maps.Keys(c.open), func(a, b *iax2.Dialog) int { return int(a.CallNumber()) - int(b.CallNumber()) })
 		for _, d := range all {
 			c.hangUp(d, c.open[d])
 		}
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -188,7 +188,7 @@
 	}
 	for i := range h.group.Out {
 		o := &h.group.Out[i]
-		h.link.Send(m3ua.Data{OPC: h.cfg.OwnPointCode, DPC: h.cfg.FarPointCode, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
+		h.link.Send(m3ua.Data{OPC: h.cfg.OwnPointCode, DPC: h.cfg.FarPointCode, SI: m3ua.ServiceIndicatorISUP, SLS: o.SLS(), Payload: o.Data})
 	}
 	h.group.Out = h.group.Out[:0]
 	if len(h.link.Out) > 0 {
@@ -332,7 +332,7 @@
 		if !c.running {
 			return
 		}
-		if k := c.group.Seize(c.now(), isup.Request{Called: c.called, Calling: "77", Hops: -1, User: c.context}); k != nil {
+		if k := c.group.Seize(c.now(), isup.Request{Called: c.called, Calling: "77", Hops: -1, UserInfo: c.context}); k != nil {
 			c.Tries++
 			c.calls[k] = &placed{at: c.now()}
 		} else {
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -134,7 +134,7 @@
 	for d := range s.calls {
 		all = append(all, d)
 	}
-	slices.SortFunc(all, func(a, b *iax2.Dialog) int { return int(a.Number()) - int(b.Number()) })
+	slices.SortFunc(all, func(a, b *iax2.Dialog) int { return int(a.CallNumber()) - int(b.CallNumber()) })
 	for _, d := range all {
 		if s.rng.Float64() < share {
 			delete(s.calls, d)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -46,7 +46,7 @@
 	Owner             string // "" accepts a store of any owner
 	Schema            Schema
 	ReadOnly          bool            // nothing is written, not even by a recovery
-	Cache             int64           // size of the block cache in bytes; 0 is 32 MiB
+	CacheSize         int64           // size of the block cache in bytes; 0 is 32 MiB
 	MemTableSize      uint64          // size of the memtable in bytes; 0 is 8 MiB
 	FullRetryInterval time.Duration   // interval of write retries while the disk is full; 0 is 100 ms
 	OnFull            func(full bool) // called when the disk is full and when it has free space again; on any goroutine
@@ -119,7 +119,7 @@
 	opt := &pebble.Options{FS: fs, Logger: pebbleLogger{s}, ReadOnly: o.ReadOnly, FormatMajorVersion: pebble.FormatNewest,
 		// Readers get damage as an error and continue with the rest; pebble's default handler ends the process.
 		EventListener: &pebble.EventListener{DataCorruption: func(pebble.DataCorruptionInfo) {}},
-		MemTableSize:  cmp.Or(o.MemTableSize, 8<<20), CacheSize: cmp.Or(o.Cache, 32<<20)}
+		MemTableSize:  cmp.Or(o.MemTableSize, 8<<20), CacheSize: cmp.Or(o.CacheSize, 32<<20)}
 	for i := range opt.Levels {
 		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that are read singly do not exist
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -86,7 +86,7 @@
 		return nil
 	}}}}
 	var crashed []*crashfs.FS
-	fs.SetHook(func(p crashfs.Point) error { crashed = append(crashed, fs.Crash(int(p.N%3)*50, p.N)); return nil })
+	fs.SetHook(func(p crashfs.Change) error { crashed = append(crashed, fs.CrashClone(int(p.N%3)*50, p.N)); return nil })
 	up := o
 	up.FS = fs
 	_ = open(t, up).Close()
@@ -190,7 +190,7 @@
 	h := newHarness(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	h.w.Submit(1, 2, 3)
 	h.await(t, 3)
-	h.fs.SetHook(func(p crashfs.Point) error {
+	h.fs.SetHook(func(p crashfs.Change) error {
 		if p.Op == "write" || p.Op == "create" {
 			return syscall.ENOSPC
 		}
@@ -224,7 +224,7 @@
 // Items beyond the limit of the queue must be lost and counted.
 func TestQueueBound(t *testing.T) {
 	h := newHarness(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
-	h.fs.SetHook(func(p crashfs.Point) error {
+	h.fs.SetHook(func(p crashfs.Change) error {
 		if p.Op == "write" {
 			return syscall.ENOSPC
 		}
@@ -250,7 +250,7 @@
 	h := newHarness(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	h.w.Submit(1)
 	h.await(t, 1)
-	h.fs.SetHook(func(p crashfs.Point) error {
+	h.fs.SetHook(func(p crashfs.Change) error {
 		if p.Op == "sync" {
 			return syscall.EIO
 		}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -117,7 +117,7 @@
 	Waiting   int    // items that a crash now would lose
 	Lost      uint64 // items lost because the queue was at its limit or the disk had failed
 	Overdue   uint64 // items on which the caller relied before they were durable
-	Taken     uint64 // items queued since the start
+	Accepted  uint64 // items queued since the start
 	Commits   uint64 // commits done
 	Err       error  // error that ended the writer, if any
 }
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -65,7 +65,7 @@
 	r.wake.Value = r.due
 	ns := set.NodeSettings(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
 	if r.disk != nil {
-		ns.Core.DurableTimeout = set.Records.AnswerWait
+		ns.Core.DurableTimeout = set.Records.DurableTimeout
 		if err := r.openRecords(); err != nil {
 			return nil, err
 		}
