--- a/decide/api.go
+++ b/decide/api.go
@@ -1,7 +1,7 @@
 // Package decide routes and admits the calls of one signalling proxy in a private voice network.
 //
-// This file is the package's whole interface: its settings, the events that it takes and the actions that it
-// returns. It makes no decisions.
+// This file declares the settings, the events that Controller.Feed accepts and the actions that it returns.
+// The decisions are in decide.go.
 package decide
 
 import (
@@ -16,20 +16,20 @@
 // CallID identifies one call at this proxy. It is never reused.
 type CallID uint32
 
-// Unknown stands for a value that has not been reported, in the fields of Report and in exchange numbers.
+// Unknown marks a field of Report that was not reported, and an exchange or tenant number that is not known.
 const Unknown = -1
 
 // Class describes one class of calls.
 type Class struct {
 	HoldTime    time.Duration // mean hold time of a call that was set up
 	Width       int           // circuits that a call takes on each group
-	SetupTarget time.Duration // a call that is set up within this earns its full value
-	Deadline    time.Duration // how long a caller keeps trying, from the first try
+	SetupTarget time.Duration // a call set up within this, from the first try on, earns its full value
+	Deadline    time.Duration // how long a caller keeps redialling, counted from the first try
 	Value       float64       // value of a call that is set up within SetupTarget
-	LateValue   float64       // share of Value that a call earns after SetupTarget
+	LateValue   float64       // share of Value that a call set up after SetupTarget earns
 	Repeat      Repeat        // whether a set-up that may have run can be sent again
-	KeyScope    KeyScope      // with RepeatKeyed: the exchanges that discard repeats of one call
-	KeyWindow   time.Duration // with RepeatKeyed: how long they do so
+	KeyScope    KeyScope      // with RepeatKeyed: the exchanges that detect and discard repeats of a call
+	KeyWindow   time.Duration // with RepeatKeyed: how long after a set-up they discard its repeats
 }
 
 // Repeat is the rule for sending a call again after an attempt that may have run.
@@ -37,15 +37,16 @@
 
 // Kinds of Repeat.
 const (
-	// RepeatSafe calls can be sent again and refused at any time.
+	// RepeatSafe calls can be sent again, or refused, at any time.
 	RepeatSafe Repeat = iota
-	// RepeatKeyed calls can be sent again within KeyScope and KeyWindow, where repeats are discarded.
+	// RepeatKeyed calls can be sent again to the exchanges of KeyScope during KeyWindow, since repeats are
+	// discarded there.
 	RepeatKeyed
 	// RepeatUnsafe calls must not be sent again once an attempt may have run.
 	RepeatUnsafe
 )
 
-// KeyScope selects the exchanges that recognise the repeat of a keyed call.
+// KeyScope selects the exchanges that detect the repeat of a RepeatKeyed call.
 type KeyScope uint8
 
 // Kinds of KeyScope.
@@ -60,53 +61,54 @@
 
 // Tenant is one owner of traffic.
 type Tenant struct {
-	Quota float64 // calls per second within its share, over all proxies; 0 is no limit
+	Quota float64 // calls per second at full value, over all proxies; 0 is no limit
 }
 
 // Settings configure one instance. They do not change while it runs.
 type Settings struct {
-	OwnExchange  int  // number of the own exchange; Unknown with Pools
-	Pools        bool // destinations are pools of agents, without transit
-	DeliverLocal bool // calls to the own exchange may be set up at its own processor
-	Proxies      int  // number of proxies
+	OwnExchange  int  // number of the exchange that this proxy belongs to; Unknown with Pools
+	Pools        bool // destinations are pools of agents; calls overflow to other pools instead of tandems
+	DeliverLocal bool // calls to the own exchange are set up at its processor; otherwise they are refused
+	Proxies      int  // number of proxies that share the traffic and the quotas
 	Classes      []Class
 	ClassPools   [][]int // with Pools: the pools that serve each class
 	Tenants      []Tenant
 
-	OverShareValue float64 // value of calls beyond a tenant's share, as a share of their class's value
-	MaxAttempts    int     // set-ups sent for one call
+	OverShareValue float64 // value of calls over their tenant's quota, as a share of their class's value
+	MaxAttempts    int     // most set-ups sent for one call
 
 	SendRetryAfter bool // refusals carry a retry-after time
 	Subscribe      bool // list updates have to be subscribed to
-	RedialsMarked  bool // callers mark redials
+	RedialsMarked  bool // callers mark redials; otherwise calls to a number with a rejected call count as redials
 
 	MaxRetryAfter        time.Duration // longest retry-after time that callers observe
-	ReleaseGuard         time.Duration // wait before a new set-up after a time-out, cut or cancel
+	ReleaseGuard         time.Duration // wait before a call's next set-up after a time-out, cut or cancellation
 	ResendAfter          time.Duration // unanswered set-ups are resent after this; 0 is never
 	MaxSubscribeInterval time.Duration // with Subscribe: longest time between tries to subscribe
-	ColdCapacity         float64       // least share of its capacity that a processor starts with, 0 to 1
-	ColdDuration         time.Duration // time from a processor's start until it has its full capacity
-	OverloadMultiple     float64       // a cold processor collapses under this multiple of its capacity
+	ColdCapacity         float64       // share of its full capacity that a processor has when it starts, 0 to 1
+	ColdDuration         time.Duration // time after its start until a processor has its full capacity
+	OverloadMultiple     float64       // a cold processor collapses at this multiple of its current capacity
 }
 
-// Validate returns an error for the first setting that the Controller cannot work with.
+// Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("no call classes configured")
 	}
 	for i, c := range s.Classes {
 		if c.HoldTime <= 0 || c.Width < 1 || c.SetupTarget <= 0 || c.Deadline <= 0 || c.KeyWindow < 0 {
-			return fmt.Errorf("class %d: hold time, width, set-up target and deadline must be above zero", i)
+			return fmt.Errorf(
+				"class %d: hold time, width, set-up target and deadline must be above zero, key window not negative", i)
 		}
 		if !(c.Value >= 0) || !(c.LateValue >= 0) {
-			return fmt.Errorf("class %d: value must not be negative", i)
+			return fmt.Errorf("class %d: value and late value must not be negative", i)
 		}
 	}
 	if s.Pools && len(s.ClassPools) != len(s.Classes) {
-		return fmt.Errorf("pools configured for %d of %d classes", len(s.ClassPools), len(s.Classes))
+		return fmt.Errorf("pools are configured for %d classes, expected %d", len(s.ClassPools), len(s.Classes))
 	}
 	if s.MaxAttempts < 1 || s.Proxies < 1 {
-		return errors.New("number of attempts and of proxies must be at least one")
+		return errors.New("maximum number of attempts and number of proxies must be at least one")
 	}
 	for _, d := range []time.Duration{s.MaxRetryAfter, s.ReleaseGuard, s.ResendAfter, s.MaxSubscribeInterval,
 		s.ColdDuration} {
@@ -130,7 +132,7 @@
 const (
 	// ListChanges holds only the entries that changed.
 	ListChanges ListKind = iota
-	// ListFull holds the complete list; what it lacks has been removed.
+	// ListFull holds the complete list; exchanges missing from it have been removed.
 	ListFull
 	// ListCached holds the complete list from a snapshot, which may be out of date.
 	ListCached
@@ -157,7 +159,7 @@
 	Number   int // of the exchange or pool
 	Zone     int
 	Phase    Phase
-	Started  time.Duration // on the event clock; 0 is long ago
+	Started  time.Duration // when its processor started, on the event clock; 0 is long ago
 }
 
 // Report is the load report of an exchange. Each field is Unknown if it was not reported.
@@ -167,32 +169,32 @@
 	Queue         float64 // set-ups waiting
 	Wait          float64 // wait at its processor, in seconds
 	MaxRate       float64 // set-ups per second that it can take from all senders together
-	ThrottleShare float64 // share of its set-ups that each sender should hold back
+	ThrottleShare float64 // share of its set-ups that each sender should not send
 }
 
 // NoReport is the Report whose fields are all Unknown.
 var NoReport = Report{Unknown, Unknown, Unknown, Unknown, Unknown, Unknown, Unknown}
 
-// Outcome is the result of an attempt. Its zero value is none.
+// Outcome is the result of an attempt. The zero value is not an outcome.
 type Outcome uint8
 
 // Outcomes of an attempt.
 const (
-	// Completed attempts set up their call, which has ended since.
+	// Completed means that the call was set up and has ended.
 	Completed Outcome = iota + 1
-	// Busy is all lines of the number busy, or a signalling fault.
+	// Busy means that all lines of the called number are busy (Cause LinesBusy), or a signalling fault.
 	Busy
-	// Rejected attempts were not set up: sent back by an exchange, or no free capacity.
+	// Rejected means that an exchange rejected the set-up or had no free capacity.
 	Rejected
-	// TimedOut attempts had no answer in time; the set-up may have run.
+	// TimedOut means that no answer arrived in time; the set-up may have run.
 	TimedOut
-	// Unreachable is no connection to the exchange.
+	// Unreachable means that there was no connection to the exchange.
 	Unreachable
-	// Cut is a set-up or a standing call that was cut.
+	// Cut means that the connection was lost during the set-up or the standing call.
 	Cut
-	// Cancelled attempts were cancelled, or released by the caller.
+	// Cancelled means that the set-up was cancelled, or that the caller released the standing call.
 	Cancelled
-	// NotSent attempts never left this proxy.
+	// NotSent means that the set-up never left this proxy.
 	NotSent
 	lastOutcome = NotSent // for range checks
 )
@@ -202,17 +204,18 @@
 
 // Causes of a failed attempt.
 const (
-	// CauseUnknown is any cause without a value of its own.
+	// CauseUnknown stands for every cause that has no value of its own.
 	CauseUnknown Cause = iota
-	// NoCircuit is no free circuit or agent.
+	// NoCircuit means that no circuit or agent was free.
 	NoCircuit
-	// TandemRejected is a rejection by the tandem.
+	// TandemRejected means that the tandem rejected the call.
 	TandemRejected
-	// TandemRejectedFull is a rejection by the tandem because the processor behind it was full.
+	// TandemRejectedFull means that the tandem rejected the call because the destination's processor had no
+	// capacity left.
 	TandemRejectedFull
-	// ProcessorFull is a rejection by a processor that had no capacity left.
+	// ProcessorFull means that the processor that received the set-up had no capacity left.
 	ProcessorFull
-	// LinesBusy is all lines of the called number busy.
+	// LinesBusy means that all lines of the called number were busy.
 	LinesBusy
 )
 
@@ -222,7 +225,8 @@
 		Kind    ListKind
 		Entries []Entry
 	}
-	// Offer offers a call to this proxy, which then owes it exactly one final answer.
+	// Offer offers a call to this proxy. The answer is exactly one Refuse or Fail, unless the call is set up
+	// or its caller abandons it.
 	Offer struct {
 		Call          CallID
 		Class         int
@@ -230,11 +234,11 @@
 		CalledNumber  uint64
 		Patience      time.Duration // time until the caller abandons this try
 		Dest          int           // number of the exchange called, or of the first-choice pool
-		AdvisedTandem int           // tandem with most free capacity by a delayed central view, or Unknown
-		Width         int           // circuits on each group
-		Transit       bool
+		AdvisedTandem int           // tandem with most free capacity in a delayed central view, or Unknown
+		Width         int           // circuits that it takes on each group; 0 takes the width of its class
+		Transit       bool          // it came over a trunk group from another exchange
 		Redial        bool
-		WasCut        bool // the call stood before, was cut and is offered again
+		WasCut        bool // it was standing before, was cut and is offered again
 	}
 	// Standing reports that a call was set up.
 	Standing struct {
@@ -243,21 +247,22 @@
 		Exchange ExchangeID
 		Took     time.Duration
 	}
-	// AttemptEnded reports the end of an attempt. Each SetUp gets exactly one.
+	// AttemptEnded reports the end of an attempt, of a standing call too. Each SetUp gets exactly one.
 	AttemptEnded struct {
 		Call      CallID
 		Attempt   int
 		Exchange  ExchangeID
 		Outcome   Outcome
 		Cause     Cause
-		Wait      time.Duration // time that a full processor asks for before the next set-up, 0 if none
+		Wait      time.Duration // pause that a full processor requests, 0 if none; not used
 		Took      time.Duration
 		Concluded bool // the call no longer needs an answer
 		Report    Report
 	}
 	// CallerAbandoned reports that the caller abandoned the call, which no longer needs an answer.
 	CallerAbandoned struct{ Call CallID }
-	// ReportReceived carries a load report, either probed for or unsolicited (then Took is 0).
+	// ReportReceived carries a load report, requested or unsolicited (then Took is 0). Only Exchange and
+	// Report are used.
 	ReportReceived struct {
 		Exchange ExchangeID
 		Outcome  Outcome
@@ -280,13 +285,14 @@
 type Action interface{ action() }
 
 type (
-	// SetUp sends a call towards an exchange. Attempts of a call count from 0.
+	// SetUp sends a call to an exchange. The attempts of a call are numbered from 0, in the order of its
+	// SetUps.
 	SetUp struct {
 		Call     CallID
 		Exchange ExchangeID
 		Timeout  time.Duration // 0 waits until the caller abandons the call
 	}
-	// Refuse is the final answer to a call that was rejected.
+	// Refuse is the final answer to a call that has not run, or whose repeats are discarded.
 	Refuse struct {
 		Call       CallID
 		RetryAfter time.Duration // retry-after time for the caller; 0 is none
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,4 +1,5 @@
-// This file holds all decisions of the package; its interface is in api.go, its state in state.go.
+// This file holds all decisions of the package; its interface is in api.go, its state in state.go. The design
+// is docs/design.md; "Deviates from the design" in a comment marks an exception to its ordinary path.
 //
 // Order: constants, events, the ordinary path (hold-time bands, direct route, tandems), transit, the wait
 // queue, then the guards (exchange list, slow start, overload, repeats).
@@ -14,50 +15,51 @@
 )
 
 const (
-	// Routing. The unit of times given in targets is the set-up target of the call's class.
+	// Routing. A time in targets is a multiple of the SetupTarget of the call's class.
 
 	// offeredHalfLife is the half-life of the count of calls offered by class, as in the design.
 	offeredHalfLife = 30 * time.Second
-	// holdTimeTolerance is how far log2 of a ratio of hold times may be from a whole number to count as that
-	// number: configured hold times are rounded, and 2% either way is the same ratio.
+	// holdTimeTolerance is how far log2 of a ratio of hold times may be from a whole number and still count
+	// as that number: it allows for an error of 2%, because configured hold times are rounded.
 	holdTimeTolerance = 0.03
-	// maxTandems is the number of tandems tried for one call, as in the design.
+	// maxTandems is the largest number of tandems tried for one call, as in the design.
 	maxTandems = 2
 	// reserveRootFactor times the square root of a group's circuits, plus the widest call, is the number of
 	// circuits reserved for direct calls.
 	reserveRootFactor = 0.35
-	// maxReserveShare is the largest share of a group's circuits that is reserved, so that the reserve does
-	// not take up a small group.
+	// maxReserveShare is the largest share of a group's circuits that is reserved; without it the reserve
+	// could be all of a small group.
 	maxReserveShare = 0.16
-	// lowValueShare is the share of its class's value below which a call counts as low-value.
+	// lowValueShare is the share of the class's value below which a call is a low-value call.
 	lowValueShare = 0.5
-	// tandemTimeout is the time-out of a tandem attempt, in targets: it leaves time for another route.
+	// tandemTimeout is the time-out of a tandem attempt, in targets. It leaves time for another route.
 	tandemTimeout = 0.55
 	// directTimeout is the time-out of a direct attempt where set-ups are not resent, in targets.
 	directTimeout = 1.2
-	// tandemSkipTime is how long a tandem that rejected a call is skipped for the same exchange: about a
-	// fifth of the next attempts over it succeed, but over half of those over one that carried the last call.
+	// tandemSkipTime is how long a tandem that rejected a call is skipped for the same destination. About a
+	// fifth of the next attempts over such a tandem succeed, but over half of those over one that carried the
+	// last call.
 	tandemSkipTime = 20 * time.Second
-	// tandemSkipCalls is the number of calls offered to the exchange that ends the skip sooner.
+	// tandemSkipCalls is the number of calls offered to that destination after which the skip ends sooner.
 	tandemSkipCalls = 12
 
 	// Wait queue.
 
-	// queueTimeShare is the share of its set-up target by which a queued call must be set up. A call that
-	// cannot make it is refused.
+	// queueTimeShare is the share of its set-up target within which a queued call must be set up. A call that
+	// can no longer be is refused.
 	queueTimeShare = 0.85
-	// answerMargin is how long before the caller abandons a call its final answer is given at the latest.
+	// answerMargin is the shortest time between a call's final answer and the moment its caller abandons it.
 	answerMargin = 40 * time.Millisecond
-	// queueInterval is the interval at which the wait queue is served if no event does it.
+	// queueInterval is the interval at which the wait queue is served when no event triggers it.
 	queueInterval = 20 * time.Millisecond
 
-	// Overload control. Shares are of the shortest set-up target unless stated otherwise.
+	// Overload control. A share is one of the shortest SetupTarget of all classes unless stated otherwise.
 
-	// waitHalfLife is the half-life of an estimated wait that no answer confirms.
+	// waitHalfLife is the half-life of an estimated wait that no new answer confirms.
 	waitHalfLife = 2500 * time.Millisecond
 	// sampleLifetime is how long a wait sample counts towards the common wait of all neighbours.
 	sampleLifetime = 1500 * time.Millisecond
-	// maxSamples is the number of newest wait samples that are kept.
+	// maxSamples is the number of wait samples stored: the newest ones.
 	maxSamples = 15
 	// minSamples is the number of samples below which the common wait is taken as zero.
 	minSamples = 3
@@ -65,14 +67,14 @@
 	newestWeight = 0.6
 	// unloadedShare is the share of the target up to which an expected set-up time counts as no overload.
 	unloadedShare = 0.15
-	// plannedTandemShare is the expected set-up time, as a share, above which no tandem is tried for a pair
-	// without a direct group.
+	// plannedTandemShare is the expected set-up time, as a share, above which no tandem is tried for a
+	// destination without a direct group, whose calls rely on tandems.
 	plannedTandemShare = 0.25
 	// unprovenTandemShare is the expected set-up time, as a share, above which overflow of a direct group
-	// takes only a tandem that carried the last such call, while few tandem attempts succeed.
+	// takes no unproven tandem while few tandem attempts succeed. A tandem is proven if its last attempt to
+	// the destination succeeded.
 	unprovenTandemShare = 0.09
-	// minTandemSuccess is the share of tandem attempts that must succeed for unproven tandems to be tried
-	// freely.
+	// minTandemSuccess is the share of tandem attempts below which few are taken to succeed.
 	minTandemSuccess = 0.5
 	// tandemSuccessWindow is about the number of attempts in the moving average of tandem success.
 	tandemSuccessWindow = 10
@@ -83,32 +85,34 @@
 	minValueFactor = 0.4
 	// maxValueFactor is the largest factor on overloadRange, for the most valuable calls.
 	maxValueFactor = 2.5
-	// outstandingCost is the share that each further outstanding set-up adds to the expected set-up time.
+	// outstandingCost is the largest share that each further outstanding set-up adds to the expected set-up
+	// time.
 	outstandingCost = 0.1
 	// fullProcessorWait is the least estimated wait after a processor was full, in shortest targets: a full
 	// processor is worse than a late one.
 	fullProcessorWait = 1.5
-	// probeInterval is the first pause between probe calls to an overloaded neighbour. It doubles with each
+	// probeInterval is the first pause between probe calls to one overloaded neighbour. It doubles with each
 	// failure.
 	probeInterval = 500 * time.Millisecond
-	// globalProbeInterval is the first pause between probe calls to any neighbours, since the own processor
-	// may be the congested one. It doubles with each failure.
+	// globalProbeInterval is the first pause between probe calls to all neighbours together: the own
+	// processor may be the congested one. It doubles with each failure.
 	globalProbeInterval = 250 * time.Millisecond
 	// maxProbeDoublings limits the doubling of both pauses.
 	maxProbeDoublings = 3
 	// slowStartShare is the share of the overload multiple that is used during slow start; the rest is a
 	// margin for random variation.
 	slowStartShare = 0.6
-	// setupRateHalfLife is the half-life of the usual set-up rate to a neighbour.
+	// setupRateHalfLife is the half-life of the observed set-up rate to a neighbour.
 	setupRateHalfLife = 15 * time.Second
 
 	// Limits on log lines and memory, and the value average.
 
-	// loggedFailures is the number of consecutive late or missing answers of a neighbour that is logged.
+	// loggedFailures is the number of consecutive late or missing answers after which a neighbour is logged.
 	loggedFailures = 3
-	// maxLogLines is the number of lines that one instance logs.
+	// maxLogLines is the largest number of lines that one instance logs.
 	maxLogLines = 200
-	// maxRemembered is the number of called numbers remembered as busy, and of those with a first try.
+	// maxRemembered is the largest number of called numbers stored as busy, and of those stored with a first
+	// try.
 	maxRemembered = 4096
 	// busyNumberTime is how long calls to a number whose lines are all busy are refused.
 	busyNumberTime = 2 * time.Second
@@ -118,8 +122,8 @@
 
 // Timer tokens.
 const (
-	// tokenQueueTick serves the wait queue.
-	tokenQueueTick uint64 = iota
+	// tokenQueueTimer serves the wait queue.
+	tokenQueueTimer uint64 = iota
 	// tokenSubscribe tries again to subscribe.
 	tokenSubscribe
 )
@@ -139,8 +143,8 @@
 	return c
 }
 
-// Feed handles one event and returns the resulting actions in order. A time before that of the last event
-// counts as that.
+// Feed handles one event and returns the resulting actions in order. If now is earlier than at the last
+// event, the time of the last event is used.
 func (c *Controller) Feed(now time.Duration, ev Event) []Action {
 	c.now, c.actions = max(c.now, now), nil
 	c.commonWait = c.medianWait()
@@ -181,7 +185,7 @@
 		k.width = cl.Width
 	}
 	c.calls[k.id] = k
-	k.value *= c.quotaValue(e)
+	k.value *= c.quotaFactor(e)
 	if first, again := c.firstTries[k.calledNumber]; again && !k.transit &&
 		(e.Redial || !c.settings.RedialsMarked) {
 		k.firstTry = first
@@ -196,12 +200,12 @@
 		c.refuse(k)
 		return
 	}
-	if e.Patience < answerMargin { // its time ran out on the way here: only an immediate answer is in time
+	if e.Patience < answerMargin { // its time ran out before it arrived; only an immediate answer is in time
 		c.refuse(k)
 		return
 	}
 	if k.dest == c.settings.OwnExchange && c.settings.DeliverLocal {
-		c.deliver(k)
+		c.deliverLocal(k)
 		return
 	}
 	if k.transit {
@@ -250,14 +254,14 @@
 	case TimedOut, Cut, Cancelled:
 		k.notBefore = c.now + c.settings.ReleaseGuard
 	}
-	if mayHaveRun(e.Outcome) && k.firstRunAt == nil {
-		k.firstRunAt, k.firstRunSent = k.processor, k.sentAt
+	if mayHaveRun(e.Outcome) && k.possibleRunOn == nil {
+		k.possibleRunOn, k.possibleRunSentAt = k.processor, k.sentAt
 	}
 	c.handleFailure(k, e)
 }
 
-// handleFailure decides what follows a failed attempt: another route where one can help, otherwise an early
-// answer.
+// handleFailure decides what follows a failed attempt: the next route if one may succeed, otherwise a refusal
+// at once.
 func (c *Controller) handleFailure(k *call, e AttemptEnded) {
 	switch {
 	case e.Outcome == Busy && e.Cause == LinesBusy:
@@ -265,7 +269,7 @@
 		c.refuse(k)
 	case k.transit:
 		c.refuse(k)
-	case e.Outcome == NotSent && e.Cause != NoCircuit: // the own processor is down, or the call's time is up
+	case e.Outcome == NotSent && e.Cause != NoCircuit: // own processor down, or no time left
 		c.refuse(k)
 	case e.Outcome == Busy && !k.late(c.now, c.settings.Classes[k.class].SetupTarget):
 		// A signalling fault: another attempt may succeed.
@@ -288,17 +292,16 @@
 	for _, cl := range classes {
 		shortest, longest = min(shortest, cl.HoldTime), max(longest, cl.HoldTime)
 	}
-	n = max(1, int(math.Ceil(octaves(longest, shortest))))
+	n = max(1, int(math.Ceil(log2Ratio(longest, shortest))))
 	for _, cl := range classes {
-		band = append(band, min(n-1, int(octaves(cl.HoldTime, shortest))))
+		band = append(band, min(n-1, int(log2Ratio(cl.HoldTime, shortest))))
 	}
 	return band, n
 }
 
-// octaves returns log2 of a ratio of configured hold times. A ratio that rounding could have moved off a
-// power of two counts as that power, so that the number of bands does not depend on the last digit
-// configured.
-func octaves(long, short time.Duration) float64 {
+// log2Ratio returns log2 of a ratio of configured hold times. A ratio within holdTimeTolerance of a
+// power of two counts as that power; otherwise the number of bands could depend on the last digit configured.
+func log2Ratio(long, short time.Duration) float64 {
 	x := math.Log2(float64(long) / float64(short))
 	if r := math.Round(x); math.Abs(x-r) <= holdTimeTolerance {
 		return r
@@ -318,7 +321,7 @@
 }
 
 // bandShares divides a group's circuits among the bands in proportion to calls offered times hold time.
-// Before any call was offered, all circuits are in the first band, which every call may use.
+// Until a call has been offered, all circuits are in the first band, which every call may use.
 func (c *Controller) bandShares(n *neighbour) []float64 {
 	share, sum := make([]float64, c.bandCount), 0.0
 	for i, cl := range c.settings.Classes {
@@ -335,7 +338,7 @@
 	return share
 }
 
-// bandCapacity returns the free capacity of each band up to that of the class; its own band is last.
+// bandCapacity returns the free capacity of each band up to that of the class, which is last.
 func (c *Controller) bandCapacity(n *neighbour, class int) []float64 {
 	capacity := c.bandShares(n)[:c.classBand[class]+1]
 	for i := range capacity {
@@ -359,31 +362,33 @@
 		return true
 	}
 	capacity := 0.0
-	for _, r := range c.bandCapacity(n, k.class) {
-		capacity += r
+	for _, free := range c.bandCapacity(n, k.class) {
+		capacity += free
 	}
 	return math.Min(capacity, n.free) >= w
 }
 
-// lowValue reports whether a call's value is so low that it gets none of the last circuits and no tandem.
-// Deviates from the design: this affects redials past their set-up target, near a full group only.
+// lowValue reports whether a call's value is so low that it gets neither the last circuits of its group nor a
+// tandem. Deviates from the design: near a full group it affects redials past their set-up target.
 func (c *Controller) lowValue(k *call) bool {
 	return k.value < lowValueShare*c.settings.Classes[k.class].Value
 }
 
-// reserve returns how many of a group's last circuits transit calls and tandem legs must leave free: at least
-// one.
+// reserve returns the number of circuits of a group that transit calls and tandem legs must leave free: at
+// least one.
 func (c *Controller) reserve(n *neighbour) float64 {
-	floor := float64(c.maxWidth) + reserveRootFactor*math.Sqrt(max(0, n.size))
-	return max(1, math.Floor(min(floor, maxReserveShare*n.size)))
+	wanted := float64(c.maxWidth) + reserveRootFactor*math.Sqrt(max(0, n.size))
+	return max(1, math.Floor(min(wanted, maxReserveShare*n.size)))
 }
 
-// fitsTransitLeg reports whether a transit call or a tandem leg may take circuits of a group.
+// fitsTransitLeg reports whether a group has circuits for a call beyond its reserve, as transit calls and
+// tandem legs need.
 func (c *Controller) fitsTransitLeg(n *neighbour, k *call) bool {
 	return n.free >= float64(k.width)+c.reserve(n)
 }
 
-// route sends a call by its next route, queues it or refuses it.
+// route sends a call by its next route, queues it or refuses it. A call also queues behind one for the same
+// destination that goes first.
 func (c *Controller) route(k *call) {
 	to := c.neighbours[k.dest]
 	if to == nil || k.attempts >= c.settings.MaxAttempts || !c.mayRepeat(k) ||
@@ -420,12 +425,12 @@
 	return t != nil
 }
 
-// chooseTandem returns the tandem to try next, or nil: the first in order that can be tried. Deviates from
-// the design in two ways. A call that its pair's tandem rejected, or that no tandem in order takes, goes over
-// the advised tandem. And while most tandem attempts fail, overflow of a group takes a tandem that did not
-// carry the last such call only when no wait is expected, because the work of these attempts feeds
-// congestion; this costs calls where an untried tandem has free capacity. A pair without a direct group
-// relies on tandems, so its calls accept a longer wait than overflow does.
+// chooseTandem returns the tandem to try next: the first in order that can be tried, or nil. Deviates from
+// the design in two ways. After a tandem attempt has failed, or if no tandem in order can be tried, the
+// advised tandem is taken. And while most tandem attempts fail, overflow of a direct group takes an unproven
+// tandem only if hardly any wait is expected, because the work of failed attempts adds to congestion; the
+// cost is calls lost where an unproven tandem has free capacity. A destination without a direct group relies
+// on tandems, so its calls accept a longer wait than overflow does.
 func (c *Controller) chooseTandem(k *call, to *neighbour) *neighbour {
 	maxShare := unloadedShare
 	if to.size <= 0 {
@@ -434,8 +439,8 @@
 	if c.lowValue(k) || len(k.triedTandems) >= maxTandems || !c.settings.Pools && c.coldOrSlow(to, maxShare) {
 		return nil
 	}
-	anyTandem := to.size <= 0 || c.tandemSuccess >= minTandemSuccess
-	list, unloaded := c.tandemsTo(to), anyTandem || c.settings.Pools || !c.coldOrSlow(to, unprovenTandemShare)
+	tryAny := to.size <= 0 || c.tandemSuccess >= minTandemSuccess
+	list, tryUnproven := c.tandemsTo(to), tryAny || c.settings.Pools || !c.coldOrSlow(to, unprovenTandemShare)
 	var advised *neighbour
 	if i := to.tandemIndex(k.advisedTandem); i >= 0 && c.tandemUsable(k, list[i].via, maxShare) {
 		advised = list[i].via
@@ -445,20 +450,21 @@
 	}
 	for _, t := range list {
 		share := maxShare
-		if !t.lastSucceeded && !anyTandem {
+		if !t.lastSucceeded && !tryAny {
 			share = unprovenTandemShare
 		}
 		skipped := t.skipUntil > c.now && t.skipUntilCall > to.callsOffered
-		if !skipped && (t.lastSucceeded || unloaded) && c.tandemUsable(k, t.via, share) {
+		if !skipped && (t.lastSucceeded || tryUnproven) && c.tandemUsable(k, t.via, share) {
 			return t.via
 		}
 	}
 	return advised
 }
 
-// tandemsTo returns the tandems for calls to an exchange, in an order hashed from the pair; one that carried
-// a call has moved to the front. Deviates from the design: where few tandems have free capacity on their
-// second leg, which only an attempt shows, the one that had it last is the best estimate.
+// tandemsTo returns the tandems for calls to a destination, in an order hashed from the pair of exchanges. A
+// tandem that carried a call has moved to the front. Deviates from the design: only an attempt shows whether
+// a tandem's second leg has free circuits, and where few have, the tandem that last carried a call is the
+// best choice.
 func (c *Controller) tandemsTo(to *neighbour) []*tandem {
 	if to.tandems == nil {
 		for _, n := range c.byNumber {
@@ -467,22 +473,22 @@
 			}
 		}
 		rank := func(t *tandem) uint64 {
-			return mix(uint64(c.settings.OwnExchange+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
+			return mix64(uint64(c.settings.OwnExchange+1)<<40 ^ uint64(to.number)<<20 ^ uint64(t.via.number))
 		}
 		slices.SortFunc(to.tandems, func(a, b *tandem) int { return cmp.Compare(rank(a), rank(b)) })
 	}
 	return to.tandems
 }
 
-// tandemUsable reports whether a tandem can be tried: it is usable, neither cold nor overloaded, and the leg
-// to it keeps its reserve.
-func (c *Controller) tandemUsable(k *call, t *neighbour, share float64) bool {
+// tandemUsable reports whether a tandem can be tried for a call: it takes set-ups and was not tried before,
+// its processor is neither cold nor slower than maxShare, and the leg to it keeps its reserve.
+func (c *Controller) tandemUsable(k *call, t *neighbour, maxShare float64) bool {
 	return (!c.settings.Pools || c.poolServesClass(k.class, t.number)) && c.usable(t) &&
 		c.fitsTransitLeg(t, k) && c.maySendTo(k, t.processor) && !slices.Contains(k.triedTandems, t) &&
-		!c.coldOrSlow(t, share)
+		!c.coldOrSlow(t, maxShare)
 }
 
-// send sends a call to a neighbour. The time-out of a tandem attempt leaves time for another route.
+// send sends a call to a neighbour, as its destination or as a tandem, and takes circuits of the group to it.
 func (c *Controller) send(k *call, to *neighbour, tandem bool) {
 	k.nextHop, k.processor, k.isTandem, k.sentAt = to, to.processor, tandem, c.now
 	k.attempts++
@@ -502,8 +508,8 @@
 	c.actions = append(c.actions, SetUp{Call: k.id, Exchange: to.processor.id, Timeout: timeout})
 }
 
-// bookCircuits assigns a call's circuits to bands of its group: its own band first, then shorter ones, the
-// rest to its own.
+// bookCircuits takes a call's circuits from the bands of a group: from its own band first, then from those of
+// shorter hold times; any rest is counted in its own.
 func (c *Controller) bookCircuits(n *neighbour, k *call) {
 	w := float64(k.width)
 	k.bandCircuits = make([]float64, c.bandCount)
@@ -533,9 +539,10 @@
 	c.send(k, to, false)
 }
 
-// deliver sends a call for the own exchange to the own processor, which is reached without a trunk group. It
-// is tried once. A transit call was already counted against the slow-start limit by its sender.
-func (c *Controller) deliver(k *call) {
+// deliverLocal sends a call for the own exchange to the own processor, which is reached without a trunk
+// group. It is tried once. The slow-start limit does not apply to a transit call, which its sender has
+// counted against it.
+func (c *Controller) deliverLocal(k *call) {
 	own := c.neighbours[k.dest]
 	if own == nil || own.processor == nil || !k.transit && !c.slowStartAllows(own) {
 		c.refuse(k)
@@ -545,9 +552,10 @@
 }
 
 // ---- Wait queue. Deviates from the design: a call that no route takes waits for a circuit or for the
-// slow-start limit while it can still be set up within its target. The most valuable call is sent first.
+// slow-start limit as long as it can still be set up within its target. The most valuable call goes first.
 
-// enqueue puts a call into the wait queue, or refuses it if it is past its queue deadline.
+// enqueue puts a call into the wait queue unless it is there already, or refuses it if it is past its queue
+// deadline.
 func (c *Controller) enqueue(k *call) {
 	if c.now >= c.queueDeadline(k) || c.neighbours[k.dest] == nil {
 		c.refuse(k)
@@ -558,9 +566,9 @@
 		i, _ := slices.BinarySearchFunc(c.waitQueue, k, c.compareQueued)
 		c.waitQueue = slices.Insert(c.waitQueue, i, k)
 	}
-	if !c.tickPending {
-		c.tickPending = true
-		c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTick})
+	if !c.queueTimerRunning {
+		c.queueTimerRunning = true
+		c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTimer})
 	}
 }
 
@@ -583,7 +591,8 @@
 	return k.value / (float64(k.width) * c.settings.Classes[k.class].HoldTime.Seconds())
 }
 
-// queueDeadline returns the last time at which sending a queued call is still useful.
+// queueDeadline returns the last time at which a queued call can be sent to be set up within queueTimeShare
+// of its target. A call that was sent before has at least until shortly after its release guard.
 func (c *Controller) queueDeadline(k *call) time.Duration {
 	target := c.settings.Classes[k.class].SetupTarget
 	at := k.arrived + time.Duration(queueTimeShare*float64(target)) - c.neighbours[k.dest].minSetup
@@ -593,7 +602,7 @@
 	return min(at, k.deadline-answerMargin)
 }
 
-// queuedAhead reports whether a call that goes first is queued for the same group.
+// queuedAhead reports whether the queue holds a call to the same destination that goes first.
 func (c *Controller) queuedAhead(k *call, to *neighbour) bool {
 	for _, w := range c.waitQueue {
 		if w != k && w.dest == to.number && w.notBefore <= c.now && c.compareQueued(w, k) < 0 {
@@ -603,7 +612,8 @@
 	return false
 }
 
-// serveQueue sends the queued calls that can go and refuses those past their deadline.
+// serveQueue sends the queued calls that can be sent and refuses those past their queue deadline. Once a call
+// cannot be sent, later ones to the same destination wait behind it.
 func (c *Controller) serveQueue() {
 	if len(c.waitQueue) == 0 {
 		return
@@ -628,8 +638,8 @@
 }
 
 // ---- Guard: exchange list. From the moment an exchange is listed as draining or removed it gets no new
-// set-up, not even of a queued call. This keeps calls from being cut when it stops; the cost is refused calls
-// if the list is wrong.
+// set-up, not even of a queued call, so that no call is cut when it stops. The cost: refused calls if the
+// list is wrong.
 
 func (c *Controller) onListUpdate(e ListUpdate) {
 	if e.Kind == ListFailed {
@@ -649,20 +659,21 @@
 			x.phase = Removed
 		}
 	}
-	for _, n := range e.Entries {
-		x := c.processors[n.Exchange]
+	for _, entry := range e.Entries {
+		x := c.processors[entry.Exchange]
 		if x == nil {
-			x = &processor{id: n.Exchange}
-			c.processors[n.Exchange] = x
+			x = &processor{id: entry.Exchange}
+			c.processors[entry.Exchange] = x
 		}
-		x.number, x.zone, x.phase, x.started = n.Number, n.Zone, n.Phase, n.Started
-		c.neighbourFor(n.Number)
+		x.number, x.zone, x.phase, x.started = entry.Number, entry.Zone, entry.Phase, entry.Started
+		c.neighbourFor(entry.Number)
 	}
 	c.chooseProcessors()
 	c.serveQueue()
 }
 
-// chooseProcessors selects, for each number, the ready processor that started last.
+// chooseProcessors selects, for each exchange number, the ready processor that started last. A change of
+// processor resets the estimated wait and the slow-start budget.
 func (c *Controller) chooseProcessors() {
 	ids := make([]ExchangeID, 0, len(c.processors))
 	for id := range c.processors {
@@ -673,7 +684,7 @@
 	for _, id := range ids {
 		x := c.processors[id]
 		if x.phase == Removed {
-			delete(c.processors, id) // otherwise removed processors accumulate
+			delete(c.processors, id) // otherwise removed processors would accumulate
 		}
 		if b := best[x.number]; x.phase == Ready && (b == nil || x.started > b.started) {
 			best[x.number] = x
@@ -682,21 +693,22 @@
 	for _, n := range c.byNumber {
 		if b := best[n.number]; b != n.processor {
 			n.processor, n.estimate = b, waitEstimate{}
-			n.coldBudget = tokenBucket{float64(c.jitter(time.Second)) / float64(time.Second), c.now}
+			n.slowStartBudget = tokenBucket{float64(c.jitter(time.Second)) / float64(time.Second), c.now}
 		}
 	}
 }
 
-// usable reports whether set-ups may be sent to a neighbour at all.
+// usable reports whether a neighbour has a ready processor and is not the own exchange.
 func (c *Controller) usable(n *neighbour) bool {
 	return n.processor != nil && n.processor.phase == Ready && n.number != c.settings.OwnExchange
 }
 
-// ---- Guard: slow start. Each proxy sends a processor that has just started its usual rate, times the
-// processor's capacity at its age, times a share of the overload multiple. The usual rates of all proxies
-// together fit a warm processor, so these rates together stay below the overload multiple, however traffic is
-// distributed; the overload guard covers a start that is slower still. The cost is lost capacity where usual
-// rates are not known yet: they are then derived from the size of the group.
+// ---- Guard: slow start. Each proxy limits its set-ups to a processor that has just started: to its usual
+// rate, times the processor's assumed share of capacity at its age, times slowStartShare of the overload
+// multiple. The usual rates of all proxies together fit a warm processor, so all proxies together stay below
+// the overload multiple, however traffic is distributed. If a processor warms up more slowly, the overload
+// guard applies. The cost: lost capacity where usual rates are not known yet and are derived from the size of
+// the group.
 
 // cold reports whether a processor is within ColdDuration of its start.
 func (c *Controller) cold(x *processor) bool {
@@ -710,55 +722,58 @@
 		(c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*max(0, age))
 }
 
-// slowStartAllows takes one set-up from a cold processor's budget and reports whether there was one; warm
-// processors have no limit. The budget starts at a random level below one set-up, otherwise all proxies would
-// send their first set-up at the same time.
+// slowStartAllows takes one set-up from a cold processor's slow-start budget and reports whether there was
+// one; warm processors have no limit. The budget starts at a random level below one set-up, so that the
+// proxies do not all send their first set-up at the same time.
 func (c *Controller) slowStartAllows(n *neighbour) bool {
 	if !c.cold(n.processor) {
 		return true
 	}
 	rate := c.slowStartRate(n.processor, c.usualRate(n))
-	return n.coldBudget.take(c.now, rate, 1+min(1, rate))
+	return n.slowStartBudget.take(c.now, rate, 1+min(1, rate))
 }
 
-// usualRate returns the set-up rate to a neighbour without overload, per second: as observed, within limits
-// derived from the size of its group.
+// usualRate returns the set-up rate to a neighbour without overload, per second: the observed rate, but at
+// least half and at most twice the planned rate, which keeps half of the group's circuits busy with calls of
+// class 0.
 func (c *Controller) usualRate(n *neighbour) float64 {
-	plan := max(1, n.size) /
+	planned := max(1, n.size) /
 		(2 * c.settings.Classes[0].HoldTime.Seconds() * float64(c.settings.Classes[0].Width))
 	rate := n.recentSetups * decay(c.now-n.recentSetupsAt, setupRateHalfLife) * math.Ln2 /
 		setupRateHalfLife.Seconds()
-	return max(min(rate, 2*plan), plan/2)
+	return max(min(rate, 2*planned), planned/2)
 }
 
-// ---- Guard: overload. The time that a set-up takes beyond the fastest one counts as wait at the processors
-// on its path. The longer the expected wait, the more calls are refused early, the least valuable first;
-// beyond that, only spaced probe calls are sent. This covers slow, hung, crashed, disconnected and congested
-// processors alike, including the own one, with or without load reports. The cost: after an answer that was
-// slow by chance some calls are refused until the next answer.
+// ---- Guard: overload. The time that a set-up takes beyond the shortest one is the wait at the processors on
+// its path. The longer the expected set-up time, the more calls are refused early, the least valuable first;
+// above a limit, only spaced probe calls are sent. This covers slow, hung, crashed, disconnected and
+// congested processors alike, including the own one, with or without load reports. The cost: after an answer
+// that was slow by chance, some calls are refused until the next answer.
 
 // estimatedWait returns the estimated wait on the path to a neighbour, in seconds: the wait that its last
-// answers showed, with a weight that decays towards the common wait. The common wait is that of the own
-// processor, or of congestion everywhere.
-func (c *Controller) estimatedWait(l *waitEstimate) float64 {
-	weight := decay(c.now-l.updatedAt, waitHalfLife)
-	return weight*l.wait + (1-weight)*c.commonWait
+// answers showed, which decays towards the common wait with waitHalfLife. The common wait is due to the own
+// processor or to congestion everywhere.
+func (c *Controller) estimatedWait(e *waitEstimate) float64 {
+	weight := decay(c.now-e.updatedAt, waitHalfLife)
+	return weight*e.wait + (1-weight)*c.commonWait
 }
 
-// recordWait adds the wait that an answer showed, in seconds.
-func (c *Controller) recordWait(l *waitEstimate, wait float64) {
-	l.wait, l.updatedAt = newestWeight*wait+(1-newestWeight)*c.estimatedWait(l), c.now
+// recordWait updates an estimate, and the samples of the common wait, with the wait that an answer showed, in
+// seconds.
+func (c *Controller) recordWait(e *waitEstimate, wait float64) {
+	e.wait, e.updatedAt = newestWeight*wait+(1-newestWeight)*c.estimatedWait(e), c.now
 	c.samples[c.sampleCount%len(c.samples)] = waitSample{wait, c.now}
 	c.sampleCount++
 }
 
 // raiseWait raises the estimated wait to at least wait seconds.
-func (c *Controller) raiseWait(l *waitEstimate, wait float64) {
-	l.wait, l.updatedAt = max(wait, c.estimatedWait(l)), c.now
+func (c *Controller) raiseWait(e *waitEstimate, wait float64) {
+	e.wait, e.updatedAt = max(wait, c.estimatedWait(e)), c.now
 }
 
-// medianWait returns the median of the recent wait samples from all neighbours, in seconds, or 0 if there are
-// too few. It is high if the own processor or all others are congested, low if only some are.
+// medianWait returns the common wait: the median of the recent wait samples from all neighbours, in seconds,
+// or 0 if there are fewer than minSamples. It is high if the own processor or most others are congested, low
+// if only some are.
 func (c *Controller) medianWait() float64 {
 	var buf [maxSamples]float64
 	recent := buf[:0]
@@ -774,10 +789,11 @@
 	return recent[len(recent)/2]
 }
 
-// expectedSetup returns the time in seconds that a set-up sent to a neighbour now would take: the estimated
-// wait, at least the time that the oldest outstanding set-up has waited, and more for each further
-// outstanding one, since all senders may see a neighbour as free at once and overload it before its first
-// answer. Set-ups sent before an answered one do not count: they are lost.
+// expectedSetup returns the time in seconds that a set-up sent to a neighbour now is expected to take: the
+// shortest set-up time, plus the estimated wait or, if longer, the time that the oldest outstanding set-up
+// has waited, plus a part for each further outstanding one, since all senders may take a neighbour for idle
+// at once and overload it before its first answer. Set-ups sent before an answered one are left out, as they
+// were lost.
 func (c *Controller) expectedSetup(n *neighbour) float64 {
 	wait := c.estimatedWait(&n.estimate)
 	waiting := 0
@@ -787,14 +803,15 @@
 			waiting++
 		}
 	}
-	// At hundreds of set-ups per second, several are outstanding at any time without any wait.
+	// At hundreds of set-ups per second, several are outstanding at any time without any wait, so each adds
+	// no more than the usual interval between two set-ups.
 	each := min(outstandingCost*c.minTarget.Seconds(), 1/c.usualRate(n))
 	return n.minSetup.Seconds() + wait + each*float64(max(0, waiting-1))
 }
 
-// overload returns how overloaded a route is for a call of this target and value: 0 or less is not at all,
-// from 1 on only probe calls are sent.
-func (c *Controller) overload(n *neighbour, target time.Duration, value float64) float64 {
+// overloadLevel returns how overloaded a route is for a call of this target and value: 0 or less is not at
+// all, from 1 on only probe calls are sent.
+func (c *Controller) overloadLevel(n *neighbour, target time.Duration, value float64) float64 {
 	x := c.expectedSetup(n)/target.Seconds() - unloadedShare
 	if c.meanValue > 0 {
 		value /= c.meanValue
@@ -808,11 +825,11 @@
 	return c.cold(n.processor) || c.expectedSetup(n) > share*c.minTarget.Seconds()
 }
 
-// admits decides whether overload control lets a call through to its destination, normally or as a probe
-// call.
+// admits reports whether overload control lets a call through to its destination, normally or as a probe
+// call. Below level 1 it refuses a random share of calls equal to the level.
 func (c *Controller) admits(k *call, to *neighbour) bool {
-	p := c.overload(to, c.settings.Classes[k.class].SetupTarget, k.value)
-	if p <= 0 || p < 1 && float64(c.jitter(time.Second)) >= p*float64(time.Second) {
+	level := c.overloadLevel(to, c.settings.Classes[k.class].SetupTarget, k.value)
+	if level <= 0 || level < 1 && float64(c.jitter(time.Second)) >= level*float64(time.Second) {
 		return true
 	}
 	if c.lowValue(k) || c.now < max(to.estimate.nextProbe, c.nextProbe) {
@@ -823,9 +840,10 @@
 	return true
 }
 
-// recordAnswer updates the estimate of a neighbour after a set-up succeeded.
+// recordAnswer updates a neighbour's estimate after a set-up to it was answered. An answer after more than
+// the shortest set-up target counts as a failure.
 func (c *Controller) recordAnswer(n *neighbour, took time.Duration) {
-	if n.minSetup == 0 { // a proxy that starts during congestion must not take a slow answer as normal
+	if n.minSetup == 0 { // a proxy that starts during congestion must not take a slow answer for normal
 		n.minSetup = min(took, time.Duration(unloadedShare*float64(c.minTarget)))
 	}
 	n.minSetup, n.lastAnsweredSent = min(n.minSetup, took), max(n.lastAnsweredSent, c.now-took)
@@ -840,15 +858,15 @@
 	n.estimate.failures, c.failures = 0, 0
 }
 
-// logLine writes a line for the operators' log, up to maxLogLines.
+// logLine logs a line about an exchange, unless maxLogLines have been logged.
 func (c *Controller) logLine(format string, number int) {
 	if c.logLines++; c.logLines <= maxLogLines {
 		c.actions = append(c.actions, LogLine{fmt.Sprintf(format, number)})
 	}
 }
 
-// recordFailure counts an answer that came late or never. Each one lengthens the pause between probe calls:
-// in heavy congestion, at the own processor too, the probe calls themselves keep it going.
+// recordFailure counts a late or missing answer. Each one lengthens the pause between probe calls, as in
+// heavy congestion, also of the own processor, the probe calls themselves would prolong it.
 func (c *Controller) recordFailure(n *neighbour) {
 	n.estimate.failures, c.failures = n.estimate.failures+1, c.failures+1
 	if n.estimate.failures == loggedFailures {
@@ -858,21 +876,21 @@
 
 // learnFromFailure updates the estimates after an attempt that failed.
 func (c *Controller) learnFromFailure(to *neighbour, k *call, e AttemptEnded) {
-	end := to
+	dest := to
 	if k.isTandem {
-		if end = c.neighbours[k.dest]; end == nil {
+		if dest = c.neighbours[k.dest]; dest == nil {
 			return
 		}
 	}
 	switch {
 	case e.Outcome == NotSent && e.Cause == NoCircuit:
-		to.free = 0 // also where no group was ever reported: the pair may have none
+		to.free = 0 // also if no group was ever reported, since there may be none
 	case e.Cause == TandemRejectedFull, e.Outcome == Rejected && e.Cause == ProcessorFull && !k.isTandem:
-		c.raiseWait(&end.estimate, fullProcessorWait*c.minTarget.Seconds())
+		c.raiseWait(&dest.estimate, fullProcessorWait*c.minTarget.Seconds())
 	case e.Outcome == Rejected && e.Cause == ProcessorFull:
 		c.raiseWait(&to.estimate, fullProcessorWait*c.minTarget.Seconds())
 	case k.isTandem && (e.Outcome == Rejected || e.Outcome == TimedOut):
-		end.skipTandem(to, c.now+tandemSkipTime, end.callsOffered+tandemSkipCalls)
+		dest.skipTandem(to, c.now+tandemSkipTime, dest.callsOffered+tandemSkipCalls)
 		c.tandemSuccess -= c.tandemSuccess / tandemSuccessWindow
 	case e.Outcome == TimedOut && !k.isTandem && k.sentAt < to.lastAnsweredSent:
 		// The set-up or its answer was lost, since a later set-up was answered.
@@ -887,7 +905,7 @@
 	c.serveQueue()
 }
 
-// applyReport takes the circuits of a group from a load report. The report's other fields are not used.
+// applyReport updates a group's free and total circuits from a load report. Its other fields are not used.
 func (c *Controller) applyReport(id ExchangeID, r Report) {
 	x := c.processors[id]
 	if x == nil {
@@ -903,38 +921,39 @@
 
 // ---- Guard: repeats of calls that must not run twice.
 
-// mayRepeat reports whether a call may be sent again at all.
+// mayRepeat reports whether a call may be sent, or sent again, at all.
 func (c *Controller) mayRepeat(k *call) bool {
-	return k.firstRunAt == nil || c.settings.Classes[k.class].Repeat != RepeatUnsafe
+	return k.possibleRunOn == nil || c.settings.Classes[k.class].Repeat != RepeatUnsafe
 }
 
 // maySendTo reports whether a call may be sent to a processor, given where it may have run before.
 func (c *Controller) maySendTo(k *call, x *processor) bool {
 	cl := &c.settings.Classes[k.class]
-	if k.firstRunAt == nil || cl.Repeat == RepeatSafe {
+	if k.possibleRunOn == nil || cl.Repeat == RepeatSafe {
 		return true
 	}
-	if cl.Repeat == RepeatUnsafe || c.now >= k.firstRunSent+cl.KeyWindow {
+	if cl.Repeat == RepeatUnsafe || c.now >= k.possibleRunSentAt+cl.KeyWindow {
 		return false
 	}
 	switch cl.KeyScope {
 	case ScopeZone:
-		return x.zone == k.firstRunAt.zone
+		return x.zone == k.possibleRunOn.zone
 	case ScopeExchange:
-		return x.number == k.firstRunAt.number
+		return x.number == k.possibleRunOn.number
 	}
 	return true
 }
 
-// mayRefuse reports whether a refusal would be true: the call cannot have run, or its repeats are discarded
-// everywhere.
+// mayRefuse reports whether a call may get Refuse, after which its caller may redial: it cannot have run, it
+// can safely run twice, or its repeats are discarded everywhere.
 func (c *Controller) mayRefuse(k *call) bool {
 	cl := &c.settings.Classes[k.class]
-	return k.firstRunAt == nil || cl.Repeat == RepeatSafe ||
+	return k.possibleRunOn == nil || cl.Repeat == RepeatSafe ||
 		cl.Repeat == RepeatKeyed && cl.KeyScope == ScopeAll
 }
 
-// refuse gives the final answer. Its retry-after time is randomised so that callers do not redial together.
+// refuse gives a call its final answer: Refuse, or Fail if it may have run or its deadline has passed. The
+// retry-after time is randomised so that callers do not redial together.
 func (c *Controller) refuse(k *call) {
 	if k.queued {
 		c.dequeue(k)
@@ -952,9 +971,9 @@
 	c.actions = append(c.actions, Refuse{k.id, retryAfter})
 }
 
-// markNumberBusy guards against many calls to one number: all its lines are busy, and each further set-up
-// costs the processors on its path. Calls to it are refused at once for a while, then one may find a free
-// line. The cost: if a line becomes free at once, the next call to that number waits longer.
+// markNumberBusy makes calls to a number whose lines are all busy be refused at once for busyNumberTime. When
+// many callers dial one number, each further set-up would cost the processors on its path. The cost: if a
+// line becomes free sooner, the next call to that number waits longer.
 func (c *Controller) markNumberBusy(k *call) {
 	if len(c.busyUntil) >= maxRemembered {
 		clear(c.busyUntil)
@@ -964,7 +983,7 @@
 	}
 }
 
-// rememberFirstTry stores the time of the first try of a rejected call, for its caller's redials.
+// rememberFirstTry stores the time of a refused or failed call's first try, for its caller's redials.
 func (c *Controller) rememberFirstTry(k *call) {
 	if k.transit || k.calledNumber == 0 {
 		return
@@ -975,8 +994,8 @@
 	c.firstTries[k.calledNumber] = k.firstTry
 }
 
-// conclude ends a call that needs no answer any more; an outstanding attempt keeps its circuits until it
-// ends.
+// conclude ends a call that needs no final answer any more. An outstanding attempt keeps its circuits until
+// it ends.
 func (c *Controller) conclude(k *call) {
 	k.concluded = true
 	if k.queued {
@@ -991,20 +1010,20 @@
 	switch token {
 	case tokenSubscribe:
 		c.actions = append(c.actions, Subscribe{})
-	case tokenQueueTick:
-		c.tickPending = false
+	case tokenQueueTimer:
+		c.queueTimerRunning = false
 		c.serveQueue()
 		if len(c.waitQueue) > 0 {
-			c.tickPending = true
-			c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTick})
+			c.queueTimerRunning = true
+			c.actions = append(c.actions, Timer{After: queueInterval, Token: tokenQueueTimer})
 		}
 	}
 }
 
-// quotaValue returns the share of its class's value that a call has: less beyond its tenant's quota. A proxy
-// sees only its own part of a tenant's calls, taken as an even share of all proxies, so a call over the quota
-// is reduced only half way to OverShareValue.
-func (c *Controller) quotaValue(e Offer) float64 {
+// quotaFactor returns the share of its class's value that a call has: less over its tenant's quota. A proxy
+// sees only its own part of a tenant's calls and allows it an equal part of the quota, so a call over that
+// part is reduced only half way to OverShareValue.
+func (c *Controller) quotaFactor(e Offer) float64 {
 	if e.Tenant < 0 || e.Tenant >= len(c.tenantBuckets) || c.settings.Tenants[e.Tenant].Quota <= 0 ||
 		e.Transit {
 		return 1
@@ -1016,7 +1035,7 @@
 	return (1 + c.settings.OverShareValue) / 2
 }
 
-// poolServesClass reports whether a class may be sent to a pool.
+// poolServesClass reports whether calls of a class may be sent to a pool.
 func (c *Controller) poolServesClass(class, pool int) bool {
 	return slices.Contains(c.settings.ClassPools[class], pool)
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// settings are those of a small mesh with one class and own exchange 0.
+// settings returns the settings of a proxy at exchange 0 of a small mesh, with one class of calls.
 func settings() Settings {
 	return Settings{
 		OwnExchange: 0, Proxies: 4, MaxAttempts: 5, SendRetryAfter: true, OverShareValue: 0.05,
@@ -19,18 +19,18 @@
 	}
 }
 
-// harness drives one controller and checks its invariants at every step: one attempt at a time, one final
-// answer.
+// harness drives one Controller and checks at every step that each call has at most one open attempt and gets
+// at most one final answer.
 type harness struct {
-	t        *testing.T
-	c        *Controller
-	now      time.Duration
-	offered  map[CallID]bool
-	answered map[CallID]int
-	out      map[CallID]bool
-	attempts map[CallID]int
-	timers   []timer
-	acts     []Action
+	t           *testing.T
+	c           *Controller
+	now         time.Duration
+	offered     map[CallID]bool
+	answered    map[CallID]int
+	attemptOpen map[CallID]bool
+	attempts    map[CallID]int
+	timers      []timer
+	actions     []Action
 }
 
 type timer struct {
@@ -40,7 +40,7 @@
 
 func newHarness(t *testing.T, s Settings) *harness {
 	h := &harness{t: t, c: New(s, 7), now: 100 * time.Second, offered: map[CallID]bool{},
-		answered: map[CallID]int{}, out: map[CallID]bool{}, attempts: map[CallID]int{}}
+		answered: map[CallID]int{}, attemptOpen: map[CallID]bool{}, attempts: map[CallID]int{}}
 	var l ListUpdate
 	l.Kind = ListCached
 	for i := 0; i < 4; i++ {
@@ -48,7 +48,7 @@
 	}
 	h.feed(l)
 	for i := 1; i < 4; i++ {
-		h.free(i, 30, 40)
+		h.reportFree(i, 30, 40)
 	}
 	return h
 }
@@ -61,13 +61,13 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case SetUp:
-			if h.out[a.Call] {
-				h.t.Fatalf("call %d has two attempts out", a.Call)
+			if h.attemptOpen[a.Call] {
+				h.t.Fatalf("call %d has two open attempts", a.Call)
 			}
 			if h.answered[a.Call] > 0 || !h.offered[a.Call] {
 				h.t.Fatalf("set-up of call %d, which is not open", a.Call)
 			}
-			h.out[a.Call] = true
+			h.attemptOpen[a.Call] = true
 			h.attempts[a.Call]++
 		case Refuse:
 			h.answered[a.Call]++
@@ -82,11 +82,11 @@
 			h.t.Fatalf("call %d answered %d times", call, n)
 		}
 	}
-	h.acts = append(h.acts, acts...)
+	h.actions = append(h.actions, acts...)
 	return acts
 }
 
-func (h *harness) free(number int, free, size float64) []Action {
+func (h *harness) reportFree(number int, free, size float64) []Action {
 	rep := NoReport
 	rep.Free, rep.Size = free, size
 	return h.feed(ReportReceived{Exchange: id(number), Outcome: Completed, Report: rep})
@@ -101,17 +101,17 @@
 	return h.feed(o)
 }
 
-func (h *harness) end(call CallID, to int, how Outcome, cause Cause) []Action {
-	h.out[call] = false
-	return h.feed(AttemptEnded{Call: call, Attempt: h.attempts[call] - 1, Exchange: id(to), Outcome: how, Cause: cause,
-		Concluded: how == Completed, Report: NoReport})
+func (h *harness) endAttempt(call CallID, to int, outcome Outcome, cause Cause) []Action {
+	h.attemptOpen[call] = false
+	return h.feed(AttemptEnded{Call: call, Attempt: h.attempts[call] - 1, Exchange: id(to), Outcome: outcome, Cause: cause,
+		Concluded: outcome == Completed, Report: NoReport})
 }
 
-func (h *harness) stand(call CallID, to int, took time.Duration) []Action {
+func (h *harness) reportStanding(call CallID, to int, took time.Duration) []Action {
 	return h.feed(Standing{Call: call, Attempt: h.attempts[call] - 1, Exchange: id(to), Took: took})
 }
 
-// run advances the clock and fires the timers that expire.
+// run advances the clock by d in steps of 5 ms and fires the timers that expire.
 func (h *harness) run(d time.Duration) []Action {
 	var acts []Action
 	for end := h.now + d; h.now < end; {
@@ -171,7 +171,7 @@
 		{[]float64{12.1, 7.2, 14.5}, []int{0, 0, 0}, 1}, // 2 rounded to 2.014
 		{[]float64{7.2, 14.3}, []int{0, 0}, 1},          // 2 rounded to 1.986
 		{[]float64{10, 25}, []int{0, 1}, 2},
-		{[]float64{10, 19.9, 80}, []int{0, 1, 2}, 3}, // close to the power counts as the power
+		{[]float64{10, 19.9, 80}, []int{0, 1, 2}, 3}, // 1.99 counts as 2
 		{[]float64{10, 30, 81}, []int{0, 1, 2}, 3},
 	} {
 		var cl []Class
@@ -185,7 +185,7 @@
 	}
 }
 
-// twoBandSettings have a class with a short and one with a long hold time, so two bands.
+// twoBandSettings returns settings with classes of two hold times, 10 and 40 s, so with two bands.
 func twoBandSettings() Settings {
 	s := settings()
 	long := s.Classes[0]
@@ -235,16 +235,16 @@
 	if got := firstSetup(h.offer(1, 2)); got != 2 {
 		t.Fatalf("first route is %d, want direct 2", got)
 	}
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	first := firstSetup(h.offer(2, 2))
 	if first != 1 && first != 3 {
 		t.Fatalf("second route is %d, want a tandem", first)
 	}
-	second := firstSetup(h.end(2, first, Rejected, TandemRejected))
+	second := firstSetup(h.endAttempt(2, first, Rejected, TandemRejected))
 	if second != 4-first {
 		t.Fatalf("third route is %d, want the other tandem", second)
 	}
-	acts := append(h.end(2, second, Rejected, TandemRejected), h.run(2*time.Second)...)
+	acts := append(h.endAttempt(2, second, Rejected, TandemRejected), h.run(2*time.Second)...)
 	if !refused(acts) {
 		t.Fatal("call not refused after every route rejected it")
 	}
@@ -253,36 +253,36 @@
 func TestTransitLegsKeepReserve(t *testing.T) {
 	h := newHarness(t, settings())
 	for _, n := range []int{1, 2, 3} {
-		h.free(n, 2, 40)
+		h.reportFree(n, 2, 40)
 	}
 	if got := firstSetup(h.offer(1, 2)); got != 2 {
-		t.Fatalf("a direct call may use the last circuits, got set-up to %d", got)
+		t.Fatalf("a direct call must get the last circuits, got set-up to %d", got)
 	}
 	if acts := h.offer(2, 3, transit); !refused(acts) {
 		t.Fatal("a transit call must be rejected at the last circuits")
 	}
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	if got := firstSetup(h.offer(3, 2)); got != Unknown {
 		t.Fatalf("a tandem leg must not use the last circuits, got set-up to %d", got)
 	}
-	h.free(3, 30, 40)
+	h.reportFree(3, 30, 40)
 	if got := firstSetup(h.offer(4, 3, transit)); got != 3 {
 		t.Fatalf("transit call with free circuits must go to its destination, got set-up to %d", got)
 	}
 }
 
-// The reserve for direct calls must not take up a small group, even if some classes are wide.
+// The reserve for direct calls must not be all of a small group, even if some classes are wide.
 func TestReserveOfSmallGroup(t *testing.T) {
 	s := settings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Width = 4
 	for _, tc := range []struct {
 		free, size float64
-		goes       bool
+		wantSent   bool
 	}{{2, 8, true}, {1, 8, false}, {0, 8, false}, {5, 60, false}, {8, 60, true}, {1, 1, false}} {
 		h := newHarness(t, s)
-		h.free(1, tc.free, tc.size)
-		if got := firstSetup(h.offer(1, 1, transit)) == 1; got != tc.goes {
+		h.reportFree(1, tc.free, tc.size)
+		if got := firstSetup(h.offer(1, 1, transit)) == 1; got != tc.wantSent {
 			t.Errorf("transit call with %v of %v circuits free is sent: %v", tc.free, tc.size, got)
 		}
 	}
@@ -291,42 +291,42 @@
 func TestQueuedCallTakesFreedCircuit(t *testing.T) {
 	h := newHarness(t, settings())
 	for _, n := range []int{1, 2, 3} {
-		h.free(n, 0, 40)
+		h.reportFree(n, 0, 40)
 	}
 	if acts := h.offer(1, 2); firstSetup(acts) != Unknown || refused(acts) {
 		t.Fatal("a blocked call must be queued first")
 	}
 	h.run(200 * ms)
-	if got := firstSetup(h.free(2, 1, 40)); got != 2 {
+	if got := firstSetup(h.reportFree(2, 1, 40)); got != 2 {
 		t.Fatalf("the queued call must take the freed circuit, got set-up to %d", got)
 	}
 }
 
 func TestEveryPathAnswersOnce(t *testing.T) {
-	for how := Completed; how <= lastOutcome; how++ {
+	for outcome := Completed; outcome <= lastOutcome; outcome++ {
 		for cause := CauseUnknown; cause <= LinesBusy; cause++ {
 			for _, tr := range []bool{false, true} {
 				h := newHarness(t, settings())
 				h.offer(1, 2, func(o *Offer) { o.Transit = tr })
-				for i := 0; i < 8 && h.answered[1] == 0 && how != Completed; i++ {
-					if h.out[1] {
+				for i := 0; i < 8 && h.answered[1] == 0 && outcome != Completed; i++ {
+					if h.attemptOpen[1] {
 						to := 2
 						if k := h.c.calls[1]; k.isTandem {
 							to = k.nextHop.number
 						}
-						h.end(1, to, how, cause)
+						h.endAttempt(1, to, outcome, cause)
 					}
 					h.run(400 * ms)
 				}
-				if how == Completed {
-					h.stand(1, 2, 50*ms)
-					h.end(1, 2, how, cause)
+				if outcome == Completed {
+					h.reportStanding(1, 2, 50*ms)
+					h.endAttempt(1, 2, outcome, cause)
 				}
-				if want := map[bool]int{true: 0, false: 1}[how == Completed]; h.answered[1] != want {
-					t.Errorf("outcome %d cause %d transit %v: %d answers", how, cause, tr, h.answered[1])
+				if want := map[bool]int{true: 0, false: 1}[outcome == Completed]; h.answered[1] != want {
+					t.Errorf("outcome %d cause %d transit %v: %d answers", outcome, cause, tr, h.answered[1])
 				}
 				if len(h.c.calls) != 0 || len(h.c.waitQueue) != 0 {
-					t.Errorf("outcome %d cause %d transit %v: call not removed", how, cause, tr)
+					t.Errorf("outcome %d cause %d transit %v: call not removed", outcome, cause, tr)
 				}
 			}
 		}
@@ -337,7 +337,7 @@
 	h := newHarness(t, settings())
 	h.offer(1, 2)
 	h.feed(CallerAbandoned{1})
-	h.out[1] = false
+	h.attemptOpen[1] = false
 	if acts := h.feed(AttemptEnded{Call: 1, Exchange: id(2), Outcome: TimedOut, Report: NoReport}); len(acts) != 0 {
 		t.Fatalf("an outcome after the caller abandoned the call must cause no action, got %v", acts)
 	}
@@ -347,21 +347,21 @@
 }
 
 func TestReleaseGuardBeforeNextSetup(t *testing.T) {
-	for _, how := range []Outcome{TimedOut, Cut, Cancelled} {
+	for _, outcome := range []Outcome{TimedOut, Cut, Cancelled} {
 		h := newHarness(t, settings())
-		h.free(2, 0, 40)
+		h.reportFree(2, 0, 40)
 		first := firstSetup(h.offer(1, 2))
 		h.run(100 * ms)
 		at := h.now
-		acts := h.end(1, first, how, CauseUnknown)
+		acts := h.endAttempt(1, first, outcome, CauseUnknown)
 		for firstSetup(acts) == Unknown && h.now < at+time.Second {
 			acts = h.run(5 * ms)
 		}
 		if firstSetup(acts) == Unknown {
-			t.Fatalf("outcome %d: a call with time left must be tried again", how)
+			t.Fatalf("outcome %d: a call with time left must be tried again", outcome)
 		}
 		if wait := h.now - at; wait < 300*ms {
-			t.Fatalf("outcome %d: sent again after %v", how, wait)
+			t.Fatalf("outcome %d: sent again after %v", outcome, wait)
 		}
 	}
 }
@@ -370,11 +370,11 @@
 	for _, phase := range []Phase{Draining, Removed} {
 		h := newHarness(t, settings())
 		for _, n := range []int{1, 2, 3} {
-			h.free(n, 0, 40)
+			h.reportFree(n, 0, 40)
 		}
 		h.offer(1, 2) // queued
 		h.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: phase}}})
-		h.free(2, 20, 40)
+		h.reportFree(2, 20, 40)
 		h.offer(2, 2)
 		h.run(3 * time.Second)
 		if h.attempts[1]+h.attempts[2] != 0 {
@@ -394,16 +394,15 @@
 	}
 }
 
-// countColdSetups returns how many set-ups are sent to a processor that has just started, of rate calls per
-// second.
+// countColdSetups offers rate calls per second to exchange 2 for d and returns how many are set up there.
 func countColdSetups(h *harness, call CallID, rate int, d time.Duration) int {
 	n := 0
 	for end := h.now + d; h.now < end; {
 		call++
 		if firstSetup(h.offer(call, 2)) == 2 {
 			n++
-			h.stand(call, 2, 20*ms)
-			h.free(2, 30, 40)
+			h.reportStanding(call, 2, 20*ms)
+			h.reportFree(2, 30, 40)
 		}
 		h.run(time.Second / time.Duration(rate))
 	}
@@ -423,7 +422,7 @@
 				n++
 			}
 		}
-		h.free(2, 30, 40)
+		h.reportFree(2, 30, 40)
 		h.run(25 * ms)
 	}
 	if budget := 2 * 3 * 0.3 * usual; float64(n) > budget || n == 0 {
@@ -442,7 +441,7 @@
 	} {
 		for _, a := range c.Feed(time.Duration(i), ev) {
 			if _, ok := a.(SetUp); ok {
-				t.Errorf("event %d asks for a set-up", i)
+				t.Errorf("event %d causes a set-up", i)
 			}
 		}
 	}
@@ -457,12 +456,12 @@
 
 func TestRepeatsOfUnsafeAndKeyedCalls(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		repeat Repeat
-		scope  KeyScope
-		how    Outcome
-		again  bool
-		fail   bool
+		name    string
+		repeat  Repeat
+		scope   KeyScope
+		outcome Outcome
+		again   bool
+		fail    bool
 	}{
 		{"unsafe may have run", RepeatUnsafe, ScopeAll, Cut, false, true},
 		{"unsafe never ran", RepeatUnsafe, ScopeAll, Rejected, true, false},
@@ -472,9 +471,9 @@
 		s := settings()
 		s.Classes[0].Repeat, s.Classes[0].KeyScope, s.Classes[0].KeyWindow = tc.repeat, tc.scope, 5*time.Second
 		h := newHarness(t, s)
-		h.free(2, 0, 40)
+		h.reportFree(2, 0, 40)
 		first := firstSetup(h.offer(1, 2))
-		acts := append(h.end(1, first, tc.how, TandemRejected), h.run(3*time.Second)...)
+		acts := append(h.endAttempt(1, first, tc.outcome, TandemRejected), h.run(3*time.Second)...)
 		if got := firstSetup(acts) != Unknown; got != tc.again {
 			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.again)
 		}
@@ -490,14 +489,14 @@
 		for i := 0; i < 400; i++ {
 			call := CallID(i + 1)
 			if to := firstSetup(h.offer(call, 1+i%3, func(o *Offer) { o.Class = i % 2 })); to > 0 && i%5 == 0 {
-				h.end(call, to, Outcome(2+i%7), Cause(i%6))
+				h.endAttempt(call, to, Outcome(2+i%7), Cause(i%6))
 			}
 			if i%7 == 0 {
-				h.free(1+i%3, float64(i%4), 40)
+				h.reportFree(1+i%3, float64(i%4), 40)
 			}
 			h.run(50 * ms)
 		}
-		return fmt.Sprint(h.acts)
+		return fmt.Sprint(h.actions)
 	}
 	first, second := play(), play()
 	if first != second {
@@ -509,7 +508,7 @@
 	s := settings()
 	s.Subscribe = true
 	h := newHarness(t, s)
-	asked := func(acts []Action) bool {
+	subscribes := func(acts []Action) bool {
 		for _, a := range acts {
 			if _, ok := a.(Subscribe); ok {
 				return true
@@ -517,18 +516,19 @@
 		}
 		return false
 	}
-	if !asked(h.acts) {
+	if !subscribes(h.actions) {
 		t.Fatal("no subscription at the start")
 	}
-	if acts := h.feed(ListUpdate{Kind: ListFailed}); asked(acts) {
+	if acts := h.feed(ListUpdate{Kind: ListFailed}); subscribes(acts) {
 		t.Fatal("a failed subscription must be repeated after a pause, not at once")
 	}
-	if !asked(h.run(s.MaxSubscribeInterval)) {
+	if !subscribes(h.run(s.MaxSubscribeInterval)) {
 		t.Fatal("a failed subscription must be repeated within MaxSubscribeInterval")
 	}
 }
 
-// A call may be offered with no time left. One was lost when its set-ups came back unsent.
+// A call may be offered with hardly any time left. Set-ups of such a call are not sent, and without an answer
+// at once the call gets none.
 func TestCallWithoutTimeIsAnsweredAtOnce(t *testing.T) {
 	for _, patience := range []time.Duration{-time.Second, 0, 10 * ms} {
 		h := newHarness(t, settings())
@@ -539,13 +539,13 @@
 	}
 }
 
-// A redial past its set-up target yields to a new call for the same circuit.
+// A new call takes a free circuit before a redial that is past its set-up target.
 func TestLateRedialYieldsToNewCall(t *testing.T) {
 	s := settings()
 	s.Classes[0].LateValue = 0.25
 	h := newHarness(t, s)
 	for _, n := range []int{1, 2, 3} {
-		h.free(n, 0, 40)
+		h.reportFree(n, 0, 40)
 	}
 	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.CalledNumber = n } }
 	h.offer(1, 2, number(77))
@@ -554,7 +554,7 @@
 	}
 	h.offer(2, 2, number(77))
 	h.offer(3, 2, number(78))
-	h.free(2, 1, 40)
+	h.reportFree(2, 1, 40)
 	if h.attempts[3] != 1 || h.attempts[2] != 0 {
 		t.Fatalf("attempts of the redial %d, of the new call %d", h.attempts[2], h.attempts[3])
 	}
@@ -570,7 +570,8 @@
 	return -1
 }
 
-// Where lost set-ups are not resent, waiting until the caller abandons the call cannot help.
+// Where lost set-ups are not resent, a direct attempt times out soon after the set-up target: waiting longer
+// cannot help.
 func TestAttemptTimeouts(t *testing.T) {
 	s := settings()
 	for _, tc := range []struct {
@@ -582,7 +583,7 @@
 		if got := timeoutOf(h.offer(1, 2)); got != tc.want {
 			t.Errorf("resend after %v: direct time-out %v, want %v", tc.resend, got, tc.want)
 		}
-		h.free(2, 0, 40)
+		h.reportFree(2, 0, 40)
 		if got := timeoutOf(h.offer(2, 2)); got <= 0 || got >= time.Second {
 			t.Errorf("resend after %v: tandem time-out %v, want less than the set-up target", tc.resend, got)
 		}
@@ -594,12 +595,12 @@
 func TestUnresponsiveNeighbourGetsProbeCallsOnly(t *testing.T) {
 	h := newHarness(t, settings())
 	h.offer(1, 2)
-	h.stand(1, 2, 20*ms)
+	h.reportStanding(1, 2, 20*ms)
 	h.run(100 * ms)
 	call := CallID(1)
-	tries := func(d time.Duration) (n int) {
+	countSetUps := func(d time.Duration) (n int) {
 		for end := h.now + d; h.now < end; h.run(50 * ms) {
-			h.free(2, 30, 40)
+			h.reportFree(2, 30, 40)
 			call++
 			if firstSetup(h.offer(call, 2)) == 2 {
 				n++
@@ -607,25 +608,25 @@
 		}
 		return n
 	}
-	tries(2 * time.Second)
-	n := tries(4 * time.Second)
+	countSetUps(2 * time.Second)
+	n := countSetUps(4 * time.Second)
 	if n == 0 || n > 12 {
 		t.Fatalf("%d of 80 set-ups in 4 s to an unresponsive neighbour, want a few probe calls", n)
 	}
 	for k := CallID(2); k <= call; k++ {
-		if h.out[k] {
-			h.stand(k, 2, 20*ms)
+		if h.attemptOpen[k] {
+			h.reportStanding(k, 2, 20*ms)
 		}
 	}
 	for i := 0; i < 4; i++ {
 		h.run(time.Second)
-		h.free(2, 30, 40)
+		h.reportFree(2, 30, 40)
 		call++
 		if firstSetup(h.offer(call, 2)) == 2 {
-			h.stand(call, 2, 20*ms)
+			h.reportStanding(call, 2, 20*ms)
 		}
 	}
-	if n = tries(200 * ms); n != 4 {
+	if n = countSetUps(200 * ms); n != 4 {
 		t.Fatalf("%d of 4 set-ups after the neighbour answers again", n)
 	}
 }
@@ -639,7 +640,7 @@
 		for n := 1; n < 4; n++ {
 			call++
 			h.offer(call, n)
-			h.stand(call, n, 20*ms+time.Duration(min(i, 1))*2*time.Second)
+			h.reportStanding(call, n, 20*ms+time.Duration(min(i, 1))*2*time.Second)
 		}
 	}
 	n := 0
@@ -658,76 +659,77 @@
 // A tandem that rejected a call is skipped for that exchange for a while.
 func TestRejectingTandemIsSkipped(t *testing.T) {
 	h := newHarness(t, settings())
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	first := firstSetup(h.offer(1, 2))
-	h.end(1, first, Rejected, TandemRejected)
-	h.end(1, 4-first, Busy, LinesBusy)
+	h.endAttempt(1, first, Rejected, TandemRejected)
+	h.endAttempt(1, 4-first, Busy, LinesBusy)
 	if got := firstSetup(h.offer(2, 2)); got != 4-first {
 		t.Fatalf("next call sent to %d, want the other tandem %d", got, 4-first)
 	}
-	h.end(2, 4-first, Busy, LinesBusy)
+	h.endAttempt(2, 4-first, Busy, LinesBusy)
 	h.run(tandemSkipTime / 2)
 	if got := firstSetup(h.offer(3, 2)); got != 4-first {
 		t.Fatalf("the tandem that rejected a call must be skipped, got set-up to %d", got)
 	}
-	h.end(3, 4-first, Busy, LinesBusy)
+	h.endAttempt(3, 4-first, Busy, LinesBusy)
 	h.run(tandemSkipTime)
 	if got := firstSetup(h.offer(4, 2)); got != first {
 		t.Fatalf("the pair's first tandem must be tried again later, got set-up to %d", got)
 	}
 }
 
-// On a pair with much traffic, free capacity changes with the calls: the skip of a tandem ends after a number
-// of calls.
+// The skip of a tandem ends after a number of calls, as free capacity changes quickly between exchanges with
+// much traffic.
 func TestTandemSkipEndsAfterManyCalls(t *testing.T) {
 	h := newHarness(t, settings())
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	call, first := CallID(1), firstSetup(h.offer(1, 2))
-	h.end(1, first, Rejected, TandemRejected)
-	h.end(1, 4-first, Busy, LinesBusy)
+	h.endAttempt(1, first, Rejected, TandemRejected)
+	h.endAttempt(1, 4-first, Busy, LinesBusy)
 	for i := 1; i < tandemSkipCalls; i++ {
-		h.free(4-first, 30, 40)
+		h.reportFree(4-first, 30, 40)
 		if got := firstSetup(h.offer(call+1, 2)); got != 4-first {
 			t.Fatalf("call %d after the rejection sent to %d, want %d", i, got, 4-first)
 		}
 		call++
-		h.end(call, 4-first, Busy, LinesBusy)
+		h.endAttempt(call, 4-first, Busy, LinesBusy)
 	}
 	if got := firstSetup(h.offer(call+1, 2)); got != first {
 		t.Fatalf("after %d calls sent to %d, want the pair's first tandem %d", tandemSkipCalls, got, first)
 	}
 }
 
-// Where second legs are full or missing, the tandem that carried a call of the pair is tried first next time.
+// The tandem that carried the last call to a destination is tried first for the next, as second legs may be
+// full or missing.
 func TestSuccessfulTandemGoesFirst(t *testing.T) {
 	h := newHarness(t, settings())
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	first := firstSetup(h.offer(1, 2))
-	second := firstSetup(h.end(1, first, Rejected, TandemRejected))
+	second := firstSetup(h.endAttempt(1, first, Rejected, TandemRejected))
 	if second != 4-first {
 		t.Fatalf("second choice sent to %d", second)
 	}
-	h.stand(1, second, 50*ms)
+	h.reportStanding(1, second, 50*ms)
 	h.run(tandemSkipTime + time.Second)
 	if got := firstSetup(h.offer(2, 2)); got != second {
 		t.Fatalf("sent to %d, want %d that carried the last call", got, second)
 	}
 }
 
-// A call that its pair's tandem rejected goes over the advised tandem next, if that can be tried.
+// After a rejection by the first tandem, the advised tandem is tried next, if it can be.
 func TestAdvisedTandemIsTheSecondChoice(t *testing.T) {
 	for advised := Unknown; advised <= 5; advised++ {
 		h := newHarness(t, settings())
 		h.feed(ListUpdate{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
-		h.free(4, 30, 40)
-		h.free(2, 0, 40)
-		plain := firstSetup(h.offer(1, 2, func(o *Offer) { o.AdvisedTandem = Unknown }))
-		h.end(1, plain, Busy, LinesBusy)
+		h.reportFree(4, 30, 40)
+		h.reportFree(2, 0, 40)
+		withoutAdvice := firstSetup(h.offer(1, 2, func(o *Offer) { o.AdvisedTandem = Unknown }))
+		h.endAttempt(1, withoutAdvice, Busy, LinesBusy)
 		first := firstSetup(h.offer(2, 2, func(o *Offer) { o.AdvisedTandem = advised }))
-		if first != plain {
-			t.Fatalf("advised tandem %d changed the first choice from %d to %d", advised, plain, first)
+		if first != withoutAdvice {
+			t.Fatalf("advised tandem %d changed the first choice from %d to %d", advised, withoutAdvice, first)
 		}
-		second := firstSetup(h.end(2, first, Rejected, TandemRejected))
+		second := firstSetup(h.endAttempt(2, first, Rejected, TandemRejected))
 		good := advised == 1 || advised == 3 || advised == 4
 		if good && advised != first && second != advised || second == first || second == 2 || second == Unknown {
 			t.Errorf("advised tandem %d: first choice %d, second %d", advised, first, second)
@@ -739,13 +741,13 @@
 // carried the last call or is advised. A pair without a group takes any.
 func TestUnprovenTandemsOnlyWithoutLoad(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		success float64
-		wait    float64
-		carried bool
-		size    float64
-		advised int
-		goes    bool
+		name     string
+		success  float64
+		wait     float64
+		carried  bool
+		size     float64
+		advised  int
+		wantSent bool
 	}{
 		{"calm", 0.3, 0, false, 40, Unknown, true},
 		{"some wait", 0.3, 0.12, false, 40, Unknown, false},
@@ -759,13 +761,13 @@
 	} {
 		h := newHarness(t, settings())
 		h.c.tandemSuccess = tc.success
-		h.free(2, 0, tc.size)
+		h.reportFree(2, 0, tc.size)
 		if tc.carried {
 			h.c.neighbours[2].promoteTandem(h.c.tandemsTo(h.c.neighbours[2])[0].via)
 		}
 		h.c.raiseWait(&h.c.neighbours[2].estimate, tc.wait)
 		got := firstSetup(h.offer(1, 2, func(o *Offer) { o.AdvisedTandem = tc.advised }))
-		if (got != Unknown) != tc.goes || tc.advised > 0 && got != tc.advised {
+		if (got != Unknown) != tc.wantSent || tc.advised > 0 && got != tc.advised {
 			t.Errorf("%s: sent to %d", tc.name, got)
 		}
 	}
@@ -774,20 +776,20 @@
 // The average of tandem success follows the results of the attempts.
 func TestTandemSuccessAverage(t *testing.T) {
 	h := newHarness(t, settings())
-	h.free(2, 0, 40)
+	h.reportFree(2, 0, 40)
 	for call := CallID(1); call <= 40; call++ {
 		before := h.c.tandemSuccess
-		h.free(1, 30, 40)
-		h.free(3, 30, 40)
+		h.reportFree(1, 30, 40)
+		h.reportFree(3, 30, 40)
 		to := firstSetup(h.offer(call, 2))
 		if to == Unknown {
 			t.Fatalf("call %d found no tandem", call)
 		}
 		if call <= 20 {
-			h.stand(call, to, 50*ms)
-			h.end(call, to, Completed, CauseUnknown)
-		} else if next := firstSetup(h.end(call, to, Rejected, TandemRejected)); next != Unknown {
-			h.end(call, next, Rejected, TandemRejected)
+			h.reportStanding(call, to, 50*ms)
+			h.endAttempt(call, to, Completed, CauseUnknown)
+		} else if next := firstSetup(h.endAttempt(call, to, Rejected, TandemRejected)); next != Unknown {
+			h.endAttempt(call, next, Rejected, TandemRejected)
 		}
 		h.run(tandemSkipTime + time.Second)
 		if got := h.c.tandemSuccess; call <= 20 && got < before || call > 20 && got >= before {
@@ -806,19 +808,19 @@
 	again := func(o *Offer) { o.CalledNumber = 5 }
 	h := newHarness(t, s)
 	for n := 1; n < 4; n++ {
-		h.free(n, 0, 40)
+		h.reportFree(n, 0, 40)
 	}
 	h.offer(1, 2, again)
 	h.run(1500 * ms)
-	h.free(1, 30, 40)
-	h.free(2, 2, 40)
+	h.reportFree(1, 30, 40)
+	h.reportFree(2, 2, 40)
 	if got := firstSetup(h.offer(2, 2, again)); got != Unknown {
 		t.Fatalf("a late redial was sent to %d over last circuits or a tandem", got)
 	}
 	if got := firstSetup(h.offer(3, 2)); got != 2 {
-		t.Fatalf("a new call may take the last circuits, got set-up to %d", got)
+		t.Fatalf("a new call must get the last circuits, got set-up to %d", got)
 	}
-	if got := firstSetup(h.free(2, 20, 40)); got != 2 {
+	if got := firstSetup(h.reportFree(2, 20, 40)); got != 2 {
 		t.Fatalf("with free circuits the late redial must go direct, got set-up to %d", got)
 	}
 }
@@ -837,40 +839,40 @@
 	}
 }
 
-// A number whose lines are all busy gets no set-up for a while, from any call; other numbers do.
+// For a while after all lines of a number were busy, no call to it is set up. Other numbers are not affected.
 func TestBusyNumberIsNotRetried(t *testing.T) {
 	number := func(n uint64) func(*Offer) { return func(o *Offer) { o.CalledNumber = n } }
 	h := newHarness(t, settings())
 	h.offer(1, 2, number(9))
-	h.end(1, 2, Busy, LinesBusy)
+	h.endAttempt(1, 2, Busy, LinesBusy)
 	if acts := h.offer(2, 2, number(9)); firstSetup(acts) != Unknown || !refused(acts) {
 		t.Fatal("a call to a busy number must be refused at once")
 	}
 	if got := firstSetup(h.offer(3, 2, number(8))); got != 2 {
 		t.Fatalf("another number must not be affected, got set-up to %d", got)
 	}
-	h.stand(3, 2, 20*ms)
+	h.reportStanding(3, 2, 20*ms)
 	h.run(3 * time.Second)
 	if got := firstSetup(h.offer(4, 2, number(9))); got != 2 {
 		t.Fatalf("the number must be tried again later, got set-up to %d", got)
 	}
 }
 
-// A call that meets a signalling fault is tried again while it can be set up within its target.
+// A call is sent again after a signalling fault until its attempts or its set-up target are used up.
 func TestSignallingFaultIsRetried(t *testing.T) {
 	h := newHarness(t, settings())
 	h.offer(1, 2)
 	for i := 1; i < 5; i++ {
-		if got := firstSetup(h.end(1, 2, Busy, CauseUnknown)); got != 2 {
+		if got := firstSetup(h.endAttempt(1, 2, Busy, CauseUnknown)); got != 2 {
 			t.Fatalf("after %d faults the call was sent to %d, want direct again", i, got)
 		}
 	}
-	if acts := h.end(1, 2, Busy, CauseUnknown); !refused(acts) {
+	if acts := h.endAttempt(1, 2, Busy, CauseUnknown); !refused(acts) {
 		t.Fatal("call not refused after its last attempt")
 	}
 	h.offer(2, 2)
 	h.run(1100 * ms)
-	if acts := h.end(2, 2, Busy, CauseUnknown); !refused(acts) {
+	if acts := h.endAttempt(2, 2, Busy, CauseUnknown); !refused(acts) {
 		t.Fatal("call not refused past its set-up target")
 	}
 }
@@ -889,8 +891,8 @@
 			if i == 0 {
 				took = 20 * ms
 			}
-			if h.out[call] {
-				h.stand(call, n, took)
+			if h.attemptOpen[call] {
+				h.reportStanding(call, n, took)
 			}
 		}
 		h.run(400 * ms)
@@ -927,15 +929,15 @@
 	h := newHarness(t, settings())
 	for call := CallID(1); call <= 40; call++ {
 		if firstSetup(h.offer(call, 2)) == 2 {
-			h.end(call, 2, TimedOut, CauseUnknown)
+			h.endAttempt(call, 2, TimedOut, CauseUnknown)
 		}
 		h.run(500 * ms)
 	}
 	h.run(20 * time.Second)
 	h.offer(50, 2)
-	h.stand(50, 2, 20*ms)
+	h.reportStanding(50, 2, 20*ms)
 	var lines []string
-	for _, a := range h.acts {
+	for _, a := range h.actions {
 		if n, ok := a.(LogLine); ok {
 			lines = append(lines, n.Text)
 		}
@@ -950,17 +952,17 @@
 	s := settings()
 	s.OwnExchange, s.Pools, s.ClassPools = Unknown, true, [][]int{{1, 3}}
 	h := newHarness(t, s)
-	h.free(1, 0, 40)
+	h.reportFree(1, 0, 40)
 	if got := firstSetup(h.offer(1, 1)); got != 3 {
 		t.Fatalf("second choice is %d, want the other pool of the class", got)
 	}
-	h.free(3, 1, 40)
+	h.reportFree(3, 1, 40)
 	if got := firstSetup(h.offer(2, 1)); got != Unknown {
 		t.Fatalf("the second choice's last agents must stay free, got set-up to %d", got)
 	}
 }
 
-// The slow-start budget that accumulates in idle time must not become a burst.
+// The slow-start budget that accumulates while no calls arrive must not allow a burst.
 func TestSlowStartAfterIdleTimeHasNoBurst(t *testing.T) {
 	h := newHarness(t, settings())
 	h.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: h.now}}})
@@ -984,12 +986,12 @@
 		h := newHarness(t, settings())
 		h.c = New(settings(), seed)
 		h.feed(ListUpdate{Kind: ListFull, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: h.now}}})
-		h.free(2, size, size)
+		h.reportFree(2, size, size)
 		for call := CallID(1); call <= 4; call++ {
 			h.offer(call, 2)
 			h.run(500 * ms)
 		}
-		for _, a := range h.acts {
+		for _, a := range h.actions {
 			if _, ok := a.(SetUp); ok {
 				n++
 			}
@@ -1007,7 +1009,7 @@
 	h.feed(ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: id(2), Number: 2, Phase: Ready, Started: h.now}}})
 	n := 0
 	for call := CallID(1); call <= 80; call++ {
-		h.free(2, 30, 40)
+		h.reportFree(2, 30, 40)
 		if firstSetup(h.offer(call, 2)) == 2 {
 			n++
 		}
@@ -1023,7 +1025,7 @@
 	s := settings()
 	s.Classes[0].LateValue = 0.25
 	h := newHarness(t, s)
-	h.free(2, 1, 40)
+	h.reportFree(2, 1, 40)
 	h.c.firstTries[5] = 0
 	cut := func(o *Offer) { o.CalledNumber, o.WasCut = 5, true }
 	if got := firstSetup(h.offer(1, 2, cut)); got != 2 {
@@ -1031,7 +1033,7 @@
 	}
 }
 
-// Removed processors are dropped, however many are replaced.
+// Removed processors are deleted, so that replacements do not accumulate.
 func TestRemovedProcessorsAreDropped(t *testing.T) {
 	h := newHarness(t, settings())
 	for i := ExchangeID(0); i < 50; i++ {
@@ -1057,9 +1059,9 @@
 		}
 		h.feed(l)
 		for i := 1; i <= 9; i++ {
-			h.free(i, 30, 40)
+			h.reportFree(i, 30, 40)
 			h.offer(CallID(i), i)
-			h.stand(CallID(i), i, 50*ms) // the normal time
+			h.reportStanding(CallID(i), i, 50*ms) // the normal time
 		}
 		h.run(20 * time.Second)
 		for i := 1; i <= 9; i++ {
@@ -1068,35 +1070,35 @@
 				took = 2 * time.Second
 			}
 			h.offer(call, i)
-			h.stand(call, i, took)
+			h.reportStanding(call, i, took)
 		}
-		h.free(10, 30, 40)
-		if got := h.c.overload(h.c.neighbours[10], time.Second, 1) >= 1; got != tc.overloaded {
+		h.reportFree(10, 30, 40)
+		if got := h.c.overloadLevel(h.c.neighbours[10], time.Second, 1) >= 1; got != tc.overloaded {
 			t.Errorf("%d of 9 others slow: overloaded %v", tc.slow, got)
 		}
 	}
 }
 
-// A set-up without an answer, while a later one to the same neighbour is answered, was lost and shows no wait
-// there. One that none overtakes does.
+// A set-up without an answer counts as lost, not as a wait, once a later one to the same neighbour was
+// answered. Otherwise it counts as a wait.
 func TestOvertakenSetupIsLost(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		h := newHarness(t, settings())
 		h.offer(1, 1)
-		h.stand(1, 1, 50*ms)
+		h.reportStanding(1, 1, 50*ms)
 		h.offer(2, 1)
 		h.run(50 * ms)
 		if overtaken {
 			h.offer(3, 1)
 			h.run(50 * ms)
-			h.stand(3, 1, 50*ms)
+			h.reportStanding(3, 1, 50*ms)
 		}
 		h.run(time.Second)
-		h.free(1, 30, 40) // moves the clock
+		h.reportFree(1, 30, 40) // moves the controller's clock
 		if got := h.c.expectedSetup(h.c.neighbours[1]) > 0.5; got == overtaken {
 			t.Errorf("overtaken %v: a set-up outstanding for 1 s counts as a wait: %v", overtaken, got)
 		}
-		h.end(2, 1, TimedOut, CauseUnknown)
+		h.endAttempt(2, 1, TimedOut, CauseUnknown)
 		if got := h.c.expectedSetup(h.c.neighbours[1]) > 0.5; got == overtaken {
 			t.Errorf("overtaken %v: its time-out counts as a wait: %v", overtaken, got)
 		}
@@ -1132,7 +1134,7 @@
 		}
 		h := newHarness(t, s)
 		for n := 1; n < 4; n++ {
-			h.free(n, tc.size, tc.size)
+			h.reportFree(n, tc.size, tc.size)
 			if tc.report != (Report{}) {
 				h.feed(ReportReceived{Exchange: id(n), Outcome: Completed, Report: tc.report})
 			}
@@ -1141,29 +1143,29 @@
 		h.offered[1] = true
 		acts := append(h.feed(tc.offer), h.run(3*time.Second)...)
 		if to := firstSetup(acts); to != Unknown {
-			h.stand(1, to, 50*ms)
-			h.end(1, to, Completed, CauseUnknown)
+			h.reportStanding(1, to, 50*ms)
+			h.endAttempt(1, to, Completed, CauseUnknown)
 		} else if h.answered[1] != 1 {
 			t.Errorf("%s: %d answers", tc.name, h.answered[1])
 		}
 		for n := 1; n < 4; n++ {
 			nb := h.c.neighbours[n]
-			if p := h.c.overload(nb, time.Second, s.Classes[0].Value); math.IsNaN(p) || math.IsNaN(nb.free) {
+			if p := h.c.overloadLevel(nb, time.Second, s.Classes[0].Value); math.IsNaN(p) || math.IsNaN(nb.free) {
 				t.Errorf("%s: overload %v, free %v", tc.name, p, nb.free)
 			}
 		}
 	}
 }
 
-// A pair whose group was never reported is found to have none at the first attempt, and no direct route is
-// tried again.
+// A group that was never reported may not exist. The first attempt finds that out, and no later call tries
+// the direct route.
 func TestUnreportedGroupIsTriedOnce(t *testing.T) {
 	h := newHarness(t, settings())
 	h.feed(ListUpdate{Entries: []Entry{{Exchange: id(4), Number: 4, Phase: Ready}}})
 	if got := firstSetup(h.offer(1, 4)); got != 4 {
 		t.Fatalf("an unreported group must be tried first, got set-up to %d", got)
 	}
-	if got := firstSetup(h.end(1, 4, NotSent, NoCircuit)); got == 4 || got == Unknown {
+	if got := firstSetup(h.endAttempt(1, 4, NotSent, NoCircuit)); got == 4 || got == Unknown {
 		t.Fatalf("a tandem must be tried next, got set-up to %d", got)
 	}
 	if got := firstSetup(h.offer(2, 4)); got == 4 || got == Unknown {
@@ -1192,7 +1194,7 @@
 			for i := 0; i < b.N; i++ {
 				now += 100 * ms
 				c.Feed(now, Offer{Call: CallID(i), Patience: 100 * ms, Dest: 1 + i%(exchanges-1), Width: 1, AdvisedTandem: Unknown})
-				c.Feed(now, TimerExpired{tokenQueueTick})
+				c.Feed(now, TimerExpired{tokenQueueTimer})
 			}
 		})
 	}
@@ -1203,15 +1205,15 @@
 	h := newHarness(t, settings())
 	for n := 1; n < 4; n++ {
 		h.offer(CallID(n), n)
-		h.stand(CallID(n), n, 2*time.Second)
+		h.reportStanding(CallID(n), n, 2*time.Second)
 	}
 	if got := h.c.medianWait(); got < 1 {
 		t.Fatalf("common wait %.2f s after answers of 2 s from all neighbours", got)
 	}
 	h.run(20 * time.Second)
-	h.free(1, 30, 40)
+	h.reportFree(1, 30, 40)
 	if got := h.c.expectedSetup(h.c.neighbours[1]); got > 0.3 {
-		t.Fatalf("%.2f s still expected long after", got)
+		t.Fatalf("expected set-up time is still %.2f s long after congestion", got)
 	}
 }
 
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"pipitring/decide"
 )
 
-// The proxy of exchange 0 gets exchange 1 on the list, then its free circuits, then the offer of a call.
+// A proxy at exchange 0 receives the exchange list with exchange 1, its free circuits, and an offered call.
 func Example() {
 	settings := decide.Settings{
 		OwnExchange: 0, Proxies: 2, MaxAttempts: 3,
--- a/decide/cold_fleet_test.go
+++ b/decide/slow_start_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// coldFleet is a fleet of proxies with calls to one exchange, whose processor starts anew in the middle of
-// the run.
+// coldFleet is a fleet of proxies with calls to one exchange, whose processor is replaced by a cold one
+// during the run.
 type coldFleet struct {
 	proxies    int
-	unevenness float64 // largest share of traffic over the smallest; shares fall evenly between them
-	demand     float64 // calls after the start, as a multiple of the usual rate
-	fresh      bool    // the proxies start together with the processor, without observed rates
-	transit    float64 // share of the calls that come in transit
+	unevenness float64 // about the largest share of traffic over the smallest; shares fall geometrically
+	demand     float64 // call rate after the start, as a multiple of the usual rate
+	newProxies bool    // the proxies start together with the processor, without observed rates
+	transit    float64 // share of the calls that are transit calls
 	idleStart  bool    // no calls in the first three seconds after the start, so that every budget is full
 }
 
@@ -22,7 +22,7 @@
 // set-up rate before the start, per second.
 func (f coldFleet) run(s Settings, usual float64) (sentAt []time.Duration) {
 	rng := uint64(f.proxies)*7919 + uint64(f.demand*13) + uint64(f.unevenness)
-	draw := func() float64 { rng += 0x9e3779b97f4a7c15; return float64(mix(rng)>>11) / (1 << 53) }
+	draw := func() float64 { rng += 0x9e3779b97f4a7c15; return float64(mix64(rng)>>11) / (1 << 53) }
 	shares, sum := make([]float64, f.proxies), 0.0
 	for i := range shares {
 		shares[i] = math.Pow(max(f.unevenness, 1), -float64(i)/float64(f.proxies))
@@ -46,16 +46,16 @@
 		p.c = New(s, uint64(i)*31+rng)
 		fleet[i] = p
 	}
-	type stand struct {
+	type standingCall struct {
 		p    *proxy
 		call CallID
 		ex   ExchangeID
 	}
-	ends := map[time.Duration][]stand{}
+	ends := map[time.Duration][]standingCall{}
 	const step = 10 * time.Millisecond
 	call := CallID(0)
 	begin := time.Duration(0)
-	if f.fresh {
+	if f.newProxies {
 		begin = start
 	}
 	epoch := time.Hour
@@ -67,26 +67,26 @@
 				}
 				p.c.Feed(epoch+now, Standing{Call: a.Call, Exchange: a.Exchange, Took: 50 * ms})
 				end := now + time.Duration(-holdTime*math.Log(1-draw())*float64(time.Second))/step*step + step
-				ends[end] = append(ends[end], stand{p, a.Call, a.Exchange})
+				ends[end] = append(ends[end], standingCall{p, a.Call, a.Exchange})
 			}
 		}
 	}
 	for _, p := range fleet {
 		e := Entry{Exchange: 1000, Number: dest, Phase: Ready}
-		if f.fresh {
+		if f.newProxies {
 			e = Entry{Exchange: 2000, Number: dest, Phase: Ready, Started: epoch + start}
 		}
 		p.c.Feed(epoch+begin, ListUpdate{Kind: ListCached, Entries: []Entry{{Exchange: 1, Number: p.c.settings.OwnExchange, Phase: Ready}, e}})
 		p.c.Feed(epoch+begin, ReportReceived{Exchange: e.Exchange, Report: Report{Free: p.size, Size: p.size}})
 	}
 	for now := begin; now < start+s.ColdDuration; now += step {
-		if now == start && !f.fresh {
+		if now == start && !f.newProxies {
 			for _, p := range fleet {
 				p.c.Feed(epoch+now, ListUpdate{Kind: ListChanges, Entries: []Entry{{Exchange: 1000, Number: dest, Phase: Removed},
 					{Exchange: 2000, Number: dest, Phase: Ready, Started: epoch + now}}})
 				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}})
 			}
-			clear(ends) // standing calls were cut
+			clear(ends) // the standing calls were cut
 		}
 		for _, e := range ends[now] {
 			e.p.c.Feed(epoch+now, AttemptEnded{Call: e.call, Exchange: e.ex, Outcome: Completed, Concluded: true,
@@ -107,18 +107,18 @@
 					Transit: transit, Tenant: Unknown}))
 			}
 			if now%queueInterval == 0 {
-				handle(p, now, p.c.Feed(epoch+now, TimerExpired{tokenQueueTick}))
+				handle(p, now, p.c.Feed(epoch+now, TimerExpired{tokenQueueTimer}))
 			}
 			if now >= start && now%(200*ms) == 0 {
-				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // only slow start limits
+				p.c.Feed(epoch+now, ReportReceived{Exchange: 2000, Report: Report{Free: p.size, Size: p.size}}) // so that only slow start limits the calls
 			}
 		}
 	}
 	return sentAt
 }
 
-// busiestWindow returns the highest ratio of set-ups to the limit in any window, and a text that describes
-// that window; capacity is that of the warm processor, in set-ups per second.
+// busiestWindow returns the highest ratio of set-ups to the limit in any window, and a description of that
+// window. Capacity is that of the warm processor, in set-ups per second.
 func busiestWindow(sentAt []time.Duration, s Settings, capacity float64, window time.Duration) (worst float64, text string) {
 	for i, from := range sentAt {
 		n := 0
@@ -139,15 +139,16 @@
 	return worst, text
 }
 
-// TestSlowStartOfFleet guards against a fleet whose proxies together overload a cold processor: in each
-// window they may send N set-ups by the overload multiple, plus 2·√N + 2 for random variation.
+// TestSlowStartOfFleet guards against proxies that together overload a cold processor. In each window they
+// may send N set-ups, as given by the overload multiple and the capacity at its beginning, plus 2·√N + 2 for
+// random variation.
 func TestSlowStartOfFleet(t *testing.T) {
 	others := settings()
 	others.ColdCapacity, others.ColdDuration, others.OverloadMultiple = 0.25, 8*time.Second, 2.5
 	others.Classes[0].HoldTime = 4 * time.Second
 	for _, n := range []int{8, 30, 48} {
-		for _, f := range []coldFleet{{demand: 1}, {demand: 10}, {demand: 10, unevenness: 30}, {demand: 10, transit: 0.4}, {demand: 10, fresh: true},
-			{demand: 10, fresh: true, unevenness: 30}, {demand: 10, idleStart: true}, {demand: 10, idleStart: true, fresh: true}} {
+		for _, f := range []coldFleet{{demand: 1}, {demand: 10}, {demand: 10, unevenness: 30}, {demand: 10, transit: 0.4}, {demand: 10, newProxies: true},
+			{demand: 10, newProxies: true, unevenness: 30}, {demand: 10, idleStart: true}, {demand: 10, idleStart: true, newProxies: true}} {
 			f.proxies = n
 			for i, s := range []Settings{settings(), others} {
 				const usual, busy = 13, 0.8
--- a/decide/state.go
+++ b/decide/state.go
@@ -17,7 +17,7 @@
 	actions    []Action // of the event being handled
 	calls      map[CallID]*call
 	processors map[ExchangeID]*processor
-	neighbours map[int]*neighbour // by exchange number; kept when a processor is replaced
+	neighbours map[int]*neighbour // by exchange number; an entry stays when its processor is replaced
 	byNumber   []*neighbour       // by rising exchange number: the order of every iteration
 
 	classBand []int // hold-time band of each class
@@ -26,13 +26,13 @@
 	minTarget time.Duration // shortest set-up target of any class
 
 	waitQueue         []*call // queued calls, most valuable first, then oldest first
-	tickPending       bool    // a queue timer is running
+	queueTimerRunning bool    // a timer that serves the wait queue is running
 	subscribeFailures int     // consecutive failures to subscribe
 	tenantBuckets     []tokenBucket
-	busyUntil         map[uint64]time.Duration // by called number whose lines are all busy
-	firstTries        map[uint64]time.Duration // first try of rejected calls, by called number
+	busyUntil         map[uint64]time.Duration // by called number: all its lines were busy; calls are refused until then
+	firstTries        map[uint64]time.Duration // by called number: first try of its last rejected call
 
-	meanValue     float64       // moving average over the calls offered
+	meanValue     float64       // moving average over the own calls offered
 	tandemSuccess float64       // moving average of the share of tandem attempts that succeed
 	nextProbe     time.Duration // earliest time of the next probe call to any neighbour
 	logLines      int           // lines written so far
@@ -42,7 +42,7 @@
 	commonWait    float64 // median of the recent wait samples, in seconds
 }
 
-// processor is one processor on the exchange list.
+// processor is one entry of the exchange list. An exchange has several while its processor is being replaced.
 type processor struct {
 	id      ExchangeID
 	number  int
@@ -51,12 +51,13 @@
 	started time.Duration
 }
 
-// neighbour is another exchange and the trunk group towards it.
+// neighbour is an exchange, or a pool, and the trunk group towards it. The own exchange has an entry too,
+// without a group.
 type neighbour struct {
 	number           int
 	processor        *processor // processor to send to, nil if none is listed
 	free, size       float64    // free circuits and all circuits of the group; Unknown until reported
-	bandUsed         []float64  // circuits taken by our calls, by hold-time band
+	bandUsed         []float64  // circuits taken by this proxy's calls, by hold-time band
 	offered          []float64  // exponentially decayed count of calls offered, by class
 	offeredAt        time.Duration
 	callsOffered     int     // all calls ever offered
@@ -66,44 +67,45 @@
 	lastAnsweredSent time.Duration // time at which the newest answered set-up was sent
 	recentSetups     float64       // exponentially decayed count of set-ups
 	recentSetupsAt   time.Duration
-	coldBudget       tokenBucket // set-ups to its processor during slow start
-	tandems          []*tandem   // of calls to it, first choice first; nil until needed
+	slowStartBudget  tokenBucket // set-ups that may be sent to its processor during slow start
+	tandems          []*tandem   // tandems of calls to it, in order of choice; nil until needed
 }
 
-// tandem is the state of one route to an exchange over another.
+// tandem is the state of one second-choice route to a neighbour: over another exchange, or with
+// Settings.Pools to another pool.
 type tandem struct {
 	via           *neighbour
-	skipUntil     time.Duration // skipped until this time or until callsOffered reaches skipUntilCall,
-	skipUntilCall int           // whichever comes first
+	skipUntil     time.Duration // the tandem is skipped until this time, unless skipUntilCall ends that sooner
+	skipUntilCall int           // the skip ends when the destination's callsOffered reaches this number
 	lastSucceeded bool          // the last attempt over it succeeded
 }
 
 // call is a call that was offered to this proxy.
 type call struct {
-	id            CallID
-	class         int
-	width         int
-	dest          int
-	calledNumber  uint64
-	advisedTandem int
-	transit       bool
-	value         float64
-	arrived       time.Duration
-	firstTry      time.Duration // time of its caller's first try, as far as known
-	deadline      time.Duration
-	attempts      int
-	triedTandems  []*neighbour
-	nextHop       *neighbour // of the outstanding attempt or the standing call
-	processor     *processor // that the last attempt was sent to
-	isTandem      bool
-	bandCircuits  []float64 // circuits that it takes in each band of the group to nextHop
-	sentAt        time.Duration
-	notBefore     time.Duration // earliest time of the next attempt
-	concluded     bool          // needs no answer any more
-	standing      bool
-	queued        bool
-	firstRunAt    *processor // first processor where it may have run, nil if none
-	firstRunSent  time.Duration
+	id                CallID
+	class             int
+	width             int
+	dest              int
+	calledNumber      uint64
+	advisedTandem     int
+	transit           bool
+	value             float64
+	arrived           time.Duration
+	firstTry          time.Duration // time of its caller's first try, as far as known
+	deadline          time.Duration
+	attempts          int
+	triedTandems      []*neighbour
+	nextHop           *neighbour // of the outstanding attempt or the standing call
+	processor         *processor // that the last attempt was sent to
+	isTandem          bool
+	bandCircuits      []float64 // circuits that it takes in each band of the group to nextHop
+	sentAt            time.Duration
+	notBefore         time.Duration // earliest time of the next attempt
+	concluded         bool          // needs no final answer any more
+	standing          bool
+	queued            bool
+	possibleRunOn     *processor    // processor of the first attempt that may have run, nil if none
+	possibleRunSentAt time.Duration // when that attempt was sent
 }
 
 // tokenBucket is a rate limit with bursts.
@@ -130,7 +132,8 @@
 	n.outstanding = slices.DeleteFunc(n.outstanding, func(o *call) bool { return o == k })
 }
 
-// neighbourFor returns the neighbour with an exchange number and adds it if there is none.
+// neighbourFor returns the neighbour with an exchange number. A missing one is added, with no group reported
+// yet.
 func (c *Controller) neighbourFor(number int) *neighbour {
 	n := c.neighbours[number]
 	if n == nil {
@@ -141,13 +144,14 @@
 			func(a, b *neighbour) int { return a.number - b.number })
 		c.byNumber = slices.Insert(c.byNumber, i, n)
 		for _, o := range c.byNumber {
-			o.tandems = nil // built again, with the new neighbour
+			o.tandems = nil // rebuilt with the new neighbour when next needed
 		}
 	}
 	return n
 }
 
-// releaseCircuits gives back the circuits that an ended attempt took on its group.
+// releaseCircuits detaches a call from the neighbour of its ended attempt: the set-up is no longer
+// outstanding, and its circuits are free for the bands of the group.
 func (c *Controller) releaseCircuits(k *call) {
 	k.nextHop.removeOutstanding(k)
 	for i := range k.bandCircuits {
@@ -167,7 +171,7 @@
 	return slices.IndexFunc(n.tandems, func(t *tandem) bool { return t.via.number == via })
 }
 
-// promoteTandem moves the tandem that carried a call to n to the front.
+// promoteTandem moves a tandem that carried a call to n to the front of the order and ends its skip.
 func (n *neighbour) promoteTandem(via *neighbour) {
 	if i := n.tandemIndex(via.number); i >= 0 {
 		t := n.tandems[i]
@@ -177,7 +181,8 @@
 	}
 }
 
-// skipTandem leaves out a tandem of calls to n for a time or a number of calls, whichever ends first.
+// skipTandem skips a tandem of calls to n until a time or until callsOffered reaches untilCall, whichever
+// comes first.
 func (n *neighbour) skipTandem(via *neighbour, until time.Duration, untilCall int) {
 	if i := n.tandemIndex(via.number); i >= 0 {
 		t := n.tandems[i]
@@ -185,7 +190,7 @@
 	}
 }
 
-// late reports whether a call can no longer be set up within its target, counted from its caller's first try.
+// late reports whether the set-up target, counted from the caller's first try, has passed.
 func (k *call) late(now, target time.Duration) bool { return now-k.firstTry >= target }
 
 // take removes one token if there is one. The bucket fills with rate tokens per second, up to depth.
@@ -211,18 +216,18 @@
 	return 1
 }
 
-// jitter returns a random time in [0, d), or 0 if d is not positive.
+// jitter returns a random duration in [0, d), or 0 if d is not positive.
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
 	c.randState += 0x9e3779b97f4a7c15
-	hi, _ := bits.Mul64(mix(c.randState), uint64(d))
+	hi, _ := bits.Mul64(mix64(c.randState), uint64(d))
 	return time.Duration(hi)
 }
 
-// mix is the finaliser of the SplitMix64 generator.
-func mix(x uint64) uint64 {
+// mix64 is the finaliser of the SplitMix64 generator.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/decide/view.go
+++ b/decide/view.go
@@ -19,14 +19,14 @@
 	Failures      int           // consecutive late or missing answers
 }
 
-// String formats the estimate as one line of key=value pairs after the exchange number.
+// String formats the estimate as one line: the exchange number, then key=value pairs.
 func (e Estimate) String() string {
 	return fmt.Sprintf("%d listed=%t cold=%t free=%g/%g out=%d expected=%v quickest=%v usual=%.1f fails=%d", e.Number,
 		e.Listed, e.Cold, e.Free, e.Size, e.Outstanding, e.ExpectedSetup.Round(time.Millisecond),
 		e.MinSetup.Round(time.Millisecond), e.UsualRate, e.Failures)
 }
 
-// Estimates returns the estimated state of every neighbour at a time, by rising exchange number.
+// Estimates returns the estimated state of every neighbour at time now, in order of exchange number.
 func (c *Controller) Estimates(now time.Duration) []Estimate {
 	c.now = max(c.now, now)
 	c.commonWait = c.medianWait()
@@ -40,5 +40,5 @@
 	return list
 }
 
-// QueuedCalls is the number of calls in the wait queue.
+// QueuedCalls returns the number of calls in the wait queue.
 func (c *Controller) QueuedCalls() int { return len(c.waitQueue) }
