--- a/internal/platform/round.go
+++ b/internal/platform/batch.go
@@ -12,7 +12,7 @@
 
 // Kinds of Input.
 const (
-	InputOpened InputKind = iota // a dialled connection is established
+	InputOpened InputKind = iota // a connection that was dialled is established
 	InputData                    // bytes were received
 	InputClosed                  // the peer closed the connection, or it failed
 )
@@ -22,34 +22,34 @@
 	Conn  ConnID
 	Kind  InputKind
 	Bytes []byte
-	EOF   bool // the end of a caller's stream was read behind Bytes; InputClosed follows, possibly in a later batch
+	EOF   bool // the end of a caller's stream was read after Bytes; InputClosed follows, possibly in a later batch
 }
 
-// ProcessBatch handles the inputs that were read from all connections in one pass of the event loop, and then what is
-// due. Inputs read together may have waited for any time and come in any order, so they are handled by type: first
-// callers that left or abandoned calls, then list updates, then switches, then new requests of callers. The order in
-// which sockets are read therefore never sends a set-up for a caller that has left, to a switch known to be draining or
-// on a connection known to be lost.
+// ProcessBatch handles the inputs that were read from all connections in one pass of the event loop, and then the
+// timers that are due. Inputs read together may have waited for any time and come in any order, so they are handled by
+// type: first abandoned calls and callers that have left, then list updates, then input from switches, then new
+// requests from callers. So in whatever order the sockets are read, no set-up is sent for a caller that has left, to a
+// switch known to be draining or on a connection known to be lost.
 func (c *Core) ProcessBatch(now time.Duration, inputs []Input) {
 	c.advanceClock(now)
-	abandoned := c.departures(inputs)
+	abandoned := c.collectAbandoned(inputs)
 	c.Stats.Abandoned += uint64(len(abandoned))
 	c.dropCalls(abandoned)
-	var list, switches, callers []Input
+	var listInputs, switchInputs, callerInputs []Input
 	for _, input := range inputs {
 		switch {
 		case input.Conn == c.discovery.conn:
-			list = append(list, input)
+			listInputs = append(listInputs, input)
 		case c.callers[input.Conn] == nil:
-			switches = append(switches, input)
+			switchInputs = append(switchInputs, input)
 		default:
-			callers = append(callers, input)
+			callerInputs = append(callerInputs, input)
 		}
 	}
-	c.handleInputs(list)
-	c.cancelAttempts(abandoned) // the freed circuits may be reused at once, so the list must be current
-	c.handleInputs(switches)
-	c.handleInputs(callers)
+	c.handleInputs(listInputs)
+	c.cancelAttempts(abandoned) // this frees circuits, which may be reused at once, so the list must be current
+	c.handleInputs(switchInputs)
+	c.handleInputs(callerInputs)
 	c.Advance(now)
 }
 
@@ -70,8 +70,9 @@
 	}
 }
 
-// departures parses what callers sent and returns the open calls that they have abandoned. It starts no calls.
-func (c *Core) departures(inputs []Input) (abandoned []*call) {
+// collectAbandoned parses the callers' inputs, without handling the lines, and returns the open calls that these inputs
+// abandon: by a line, or because the caller left.
+func (c *Core) collectAbandoned(inputs []Input) (abandoned []*call) {
 	for _, input := range inputs {
 		p := c.callers[input.Conn]
 		if p == nil {
--- a/internal/platform/round_test.go
+++ b/internal/platform/batch_test.go
@@ -11,10 +11,10 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestBatchesInAnyOrder processes batches of inputs in any order: callers that request and abandon calls and leave, switches
-// that answer, refuse, report free circuits, lose links and drain. No set-up may be sent for a call that was abandoned in
-// that batch or before, or to a switch known to be draining. Each call gets at most one final answer, and exactly one if its
-// caller stays. Nothing may be left over.
+// TestBatchesInAnyOrder processes random batches of inputs: callers request and abandon calls and leave, switches
+// answer, refuse, report free circuits, lose links and drain. No set-up may be sent for a call that was abandoned in
+// that batch or before, or to a switch known to be draining. Each call gets at most one final answer, and exactly one
+// if its caller stays. At the end no call may be open or queued.
 func TestBatchesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newConnectedHarness(t)
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -12,37 +12,37 @@
 	"pipitring/internal/jsonl"
 )
 
-// Timeouts of callers' connections.
+// Time limits of callers' connections.
 const (
-	firstRequestTimeout = 2 * time.Second        // without a request by then, or with an incomplete line, the connection is closed
-	firstRequestGrace   = 300 * time.Millisecond // most callers send their first request within this time; until then they are not evicted first
+	firstRequestTimeout = 2 * time.Second        // a connection that has sent no request by then, or an incomplete line, is closed
+	firstRequestGrace   = 300 * time.Millisecond // most callers send a request within this time; only after it a connection without one is evicted first
 	callerIdleTimeout   = 10 * time.Second       // a connection without a call for this long is closed
 )
 
-// caller is a connection from a caller.
+// caller is the connection of one caller.
 type caller struct {
 	core           *Core
 	id             ConnID
 	lines          jsonl.LineSplitter
-	opened         time.Duration
-	lastUsed       time.Duration // when a set-up was last open on it
-	hasRequested   bool          // a valid request was received
+	openedAt       time.Duration
+	lastUsed       time.Duration // when a request was last handled on it, or a call of it ended
+	hasRequested   bool          // a set-up, a release of a standing call or a heartbeat was received
 	openSetUps     int           // set-ups that await their final answer
-	standingCalls  int           // standing calls that were set up on it
+	standingCalls  int           // standing calls that were set up or adopted on it
 	answeredSetUps int           // set-ups that were answered on it
-	eof            bool          // the peer has closed it, but received bytes are still to be handled
+	eof            bool          // the caller has closed it, but received lines may still have to be handled
 	closed         bool
 
-	received []parsedLine // received, not handled yet
-	splitErr error        // set if the bytes after the received lines cannot be split
+	received []parsedLine // lines received but not handled yet
+	splitErr error        // error of splitting the bytes after these lines
 }
 
-// Accept registers a connection from a caller and returns its ID, under which the runtime passes on its input. If
-// callers exceed their budget of descriptors, the connection whose loss costs least is evicted.
+// Accept registers a connection from a caller and returns its ID, under which the runtime reports its input. If
+// the callers exceed their budget of descriptors, the connection whose loss costs least is evicted.
 func (c *Core) Accept(now time.Duration) ConnID {
 	c.advanceClock(now)
 	c.lastConnID++
-	p := &caller{core: c, id: c.lastConnID, opened: c.now, lastUsed: c.now}
+	p := &caller{core: c, id: c.lastConnID, openedAt: c.now, lastUsed: c.now}
 	c.callers[p.id] = p
 	if len(c.callers) > c.cfg.callerBudget(len(c.switches)) {
 		c.Stats.EvictedCallers++
@@ -58,6 +58,8 @@
 	c.evictIdleCaller()
 }
 
+// evictIdleCaller closes the caller's connection whose loss costs least if it carries no call, and reports whether it
+// did.
 func (c *Core) evictIdleCaller() bool {
 	p := c.evictionCandidate()
 	if p == nil || p.openSetUps > 0 || p.standingCalls > 0 {
@@ -68,26 +70,27 @@
 	return true
 }
 
-// descriptorsInUse returns an upper bound of the descriptors in use.
+// descriptorsInUse returns an upper bound on the number of descriptors in use.
 func (c *Core) descriptorsInUse() int { return reservedDescriptors + len(c.links) + len(c.callers) }
 
-// enforceCallerBudget closes callers' connections without calls until the budget holds. The budget shrinks as the
-// exchange list grows.
+// enforceCallerBudget closes callers' connections without calls until the callers are within their budget, which
+// shrinks as the exchange list grows.
 func (c *Core) enforceCallerBudget() {
 	for len(c.callers) > c.cfg.callerBudget(len(c.switches)) && c.evictIdleCaller() {
 	}
 }
 
-// evictionCandidate returns the connection whose loss costs least: first one that never sent a request, then one without
-// open or standing calls, longest unused first, then the newest. Those with calls rank last: a release whose own
-// connection is gone can only be sent if the callers' connections can be distinguished from those of unknown peers.
+// evictionCandidate returns the connection whose loss costs least. Connections rank in three groups: without a request
+// after firstRequestGrace, without open or standing calls, and with calls. Of the first two groups, the connection that
+// was unused for longest is chosen, of the last the newest. Those with calls rank last so that a release whose own
+// connection is gone can still be sent: connections that carried calls are known to be callers', not unknown peers'.
 func (c *Core) evictionCandidate() *caller {
 	var best *caller
 	rank := func(p *caller) int {
 		switch {
 		case p.openSetUps > 0 || p.standingCalls > 0:
 			return 2
-		case p.hasRequested || c.now-p.opened < firstRequestGrace:
+		case p.hasRequested || c.now-p.openedAt < firstRequestGrace:
 			return 1
 		}
 		return 0
@@ -104,7 +107,7 @@
 	return best
 }
 
-// closeIdleCallers closes connections that sent no request in time or had no call for long.
+// closeIdleCallers closes connections without calls that sent no request in time or were unused for too long.
 func (c *Core) closeIdleCallers() {
 	var idle []*caller
 	for _, p := range c.callers {
@@ -121,7 +124,7 @@
 	}
 }
 
-// sortByAge sorts connections by age, which makes runs reproducible.
+// sortByAge sorts connections from oldest to newest. The fixed order makes runs reproducible.
 func sortByAge(list []*caller) []*caller {
 	slices.SortFunc(list, func(a, b *caller) int { return cmp.Compare(a.id, b.id) })
 	return list
@@ -129,7 +132,7 @@
 
 func (c *Core) callersByAge() []*caller { return sortByAge(slices.Collect(maps.Values(c.callers))) }
 
-// close closes a caller's connection, after sending the final answers of the set-ups that are open on it.
+// close closes a caller's connection after sending final answers to the set-ups that are open on it.
 func (p *caller) close(graceful bool) {
 	if p.closed {
 		return
@@ -140,8 +143,8 @@
 	p.core.close(p.id, graceful)
 }
 
-// answerOpenCalls ends the set-ups that are open on a connection and answers them: those without an attempt are refused,
-// the others have failed.
+// answerOpenCalls ends the set-ups that are open on a connection and sends their final answers: those without an
+// attempt are refused, the others fail.
 func (p *caller) answerOpenCalls() {
 	open := p.core.openCallsOf(p)
 	p.core.endOpenCalls(open)
@@ -156,17 +159,17 @@
 	}
 }
 
-func (p *caller) sendDown(ref string, cause int, wait time.Duration) {
-	p.core.write(p.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, wait) })
+func (p *caller) sendDown(ref string, cause int, retryAfter time.Duration) {
+	p.core.write(p.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, retryAfter) })
 }
 
-// parsedLine is one received line and its parse error.
+// parsedLine is one received line and the error of parsing it.
 type parsedLine struct {
 	jsonl.Message
 	err error
 }
 
-// parseInput parses received bytes into lines. handleLines acts on them.
+// parseInput splits received bytes into lines and parses these, up to the first invalid one. handleLines handles them.
 func (p *caller) parseInput(b []byte) {
 	err := p.lines.Push(b, func(line []byte) bool {
 		m, err := jsonl.Parse(line)
@@ -176,7 +179,8 @@
 	p.splitErr = cmp.Or(p.splitErr, err)
 }
 
-// handleLines handles the lines that were received together. A set-up that a later line abandons is not started.
+// handleLines handles the lines that parseInput has collected. A set-up that a later one of them abandons is not
+// started.
 func (p *caller) handleLines() {
 	lines, err := p.received, p.splitErr
 	p.received, p.splitErr = nil, nil
@@ -196,7 +200,7 @@
 	}
 }
 
-// protocolError answers an unusable line with a failure, if it names a call, and closes the connection.
+// protocolError answers an invalid line with a failure, if ref names its call, and closes the connection.
 func (p *caller) protocolError(ref string) {
 	p.core.Stats.CallerErrors++
 	if ref != "" {
@@ -231,20 +235,20 @@
 // callOffer is a caller's set-up request.
 type callOffer struct {
 	decide.Offer
-	standingAt decide.ExchangeID // the switch where the call stands already, if isStanding
-	isStanding bool
-	key        []byte // a JSON string; nil if absent
+	standingAt decide.ExchangeID // the switch where the call stands already; set if isStanding
+	isStanding bool              // the caller asks to adopt a standing call
+	key        []byte            // a JSON string; nil if absent
 }
 
 const (
 	maxTimeLeftMS  = int64(24 * time.Hour / time.Millisecond)
 	maxDestination = 1<<16 - 1
-	// A line to a switch is shorter than the caller's except for escapes in names. A longer description could exceed
-	// the line limit.
+	// maxDescription is the longest description, in bytes, that is forwarded. A line to a switch is shorter than the
+	// caller's line except for escapes in names, so with a longer one it could exceed jsonl.MaxLine.
 	maxDescription = jsonl.MaxLine - 512
 )
 
-// parseOffer validates a set-up's fields, so that nothing a switch cannot read is forwarded.
+// parseOffer parses and validates the fields of a set-up, so that nothing is forwarded that a switch cannot parse.
 func (p *caller) parseOffer(m *jsonl.Message) (o callOffer, ok bool) {
 	class, classOK := p.core.classes[m.Fields["class"]]
 	left, leftOK := m.IntField("left", 0, maxTimeLeftMS)
@@ -252,7 +256,7 @@
 		return o, false
 	}
 	o.Class, o.Patience = class, time.Duration(left)*time.Millisecond
-	// A call without a tenant belongs to none. A tenant missing from the settings is an error.
+	// A call may have no tenant. A tenant that is not in the settings is an error.
 	o.Tenant = decide.Unknown
 	if tenants := p.core.cfg.Setup.TenantNames; len(tenants) > 0 && m.Fields["tenant"] != "" {
 		if o.Tenant = slices.Index(tenants, m.Fields["tenant"]); o.Tenant < 0 {
@@ -279,7 +283,7 @@
 	return o, true
 }
 
-// parseExtras parses figures of the form dest:2;width:1;via:-1. Unknown names are ignored.
+// parseExtras parses the field "extras", such as dest:2;width:1;via:-1. Unknown names are ignored.
 func (o *callOffer) parseExtras(text string) bool {
 	via := decide.Unknown
 	for name, value := range pairs(text) {
@@ -312,25 +316,26 @@
 		}
 	}
 	if !o.Transit {
-		o.AdvisedTandem = via // on a transit call via is the exchange that the call comes from
+		o.AdvisedTandem = via // for a transit call, via is the exchange that it comes from
 	}
 	return o.Dest >= 0 || o.isStanding
 }
 
-// handleSetUp handles a set-up, which the caller may have abandoned by now.
+// handleSetUp handles a set-up or the adoption of a standing call. Abandoned is set if a later line abandons it.
 func (p *caller) handleSetUp(m *jsonl.Message, abandoned bool) {
 	c := p.core
 	o, ok := p.parseOffer(m)
 	if k := c.calls[m.Ref]; k != nil {
 		switch {
-		case ok && o.isStanding: // repeated adoption: the call is known already
+		case ok && o.isStanding: // the call is known already; it belongs to this connection from now on
 			if k.standing {
 				k.caller.standingCalls--
 				k.caller = p
 				p.standingCalls++
 			}
 		case k.caller == p && !k.standing:
-			// Both set-ups have the same reference, so only one answer can be sent: the failure ends both calls.
+			// Both set-ups have the same reference, so only one final answer can be sent. Closing the connection fails
+			// both.
 			p.protocolError("")
 		default:
 			p.protocolError(m.Ref)
@@ -360,7 +365,7 @@
 	c.offerCall(p, m, o)
 }
 
-// retryAfter returns the jittered retry-after time to send to a caller, or 0 if the settings do not allow it.
+// retryAfter returns a random retry-after time to send to a caller, or 0 if the settings do not allow one.
 func (c *Core) retryAfter() time.Duration {
 	if s := c.cfg.Setup.Settings; s.SendRetryAfter {
 		return c.jitter(s.MaxRetryAfter)
@@ -368,7 +373,7 @@
 	return 0
 }
 
-// handleRelease ends the named call: an open set-up, which only its own connection may abandon, or a standing call.
+// handleRelease ends the named call: a standing call, or an open set-up, which only its own connection may abandon.
 func (p *caller) handleRelease(m *jsonl.Message) {
 	k := p.core.calls[m.Ref]
 	switch {
@@ -381,7 +386,7 @@
 	}
 }
 
-// handleClose handles the end of a caller's connection: set-ups open on it are abandoned, standing calls stay.
+// handleClose handles the end of a caller's connection: set-ups that are open on it are abandoned, standing calls stay.
 func (p *caller) handleClose() {
 	if p.closed {
 		return
@@ -391,9 +396,9 @@
 	p.core.abandonCalls(p.core.openCallsOf(p))
 }
 
-// notifyCaller sends the release of a standing call: on its own connection, else on the one with the most answered
-// set-ups, else on the next connection that sends a request.
-func (c *Core) notifyCaller(k *call, cause int) {
+// sendReleaseToCaller sends the release of a standing call on its own connection. If that is closed, busiestCaller's is
+// used; if there is none, the release is stored for the next connection that sends a set-up.
+func (c *Core) sendReleaseToCaller(k *call, cause int) {
 	to := k.caller
 	if to.closed || to.eof {
 		to = c.busiestCaller()
@@ -411,8 +416,8 @@
 	})
 }
 
-// busiestCaller returns the connection with the most answered set-ups, since unknown peers have none. Without any it
-// returns the newest one that sent a request, or nil.
+// busiestCaller returns the connection with the most answered set-ups, as unknown peers have none, or the newest of
+// several. It returns nil if no connection has sent a request.
 func (c *Core) busiestCaller() (best *caller) {
 	for _, p := range c.callers {
 		if p.hasRequested && !p.eof && (best == nil || p.answeredSetUps > best.answeredSetUps ||
@@ -423,6 +428,7 @@
 	return best
 }
 
+// sendOrphanedReleases sends the stored releases to a caller.
 func (c *Core) sendOrphanedReleases(p *caller) {
 	if len(c.orphanedReleases) == 0 {
 		return
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -14,28 +14,28 @@
 type call struct {
 	ref         string
 	id          decide.CallID // 0 for a call adopted by "at", which was never offered to the decision module
-	caller      *caller       // connection of its set-up, or of its adoption
+	caller      *caller       // connection of its set-up, or of its latest adoption
 	class       int
 	key         []byte
 	desc        []byte
-	deadline    time.Duration // when the caller stops waiting
+	deadline    time.Duration // latest time for the final answer
 	attempts    int
 	openAttempt *attempt // the attempt that is sent or waits for a link; nil if none
 	timer       timers.Entry[func()]
 
-	standing  bool
-	neighbour *neighbour // the switch where it stands
-	link      *link      // the link of its set-up
+	standing   bool
+	standingAt *switchPeer // the switch where it stands; nil before
+	link       *link       // the link of its set-up; nil before, and if it was adopted
 }
 
-// attempt is one set-up sent to a switch.
+// attempt is one set-up of a call to a switch, from the decision module's SetUp to its answer or end.
 type attempt struct {
 	call      *call
 	number    int
-	neighbour *neighbour
+	peer      *switchPeer
 	link      *link // nil while it waits for a link
 	startedAt time.Duration
-	deadline  time.Duration // the attempt times out then
+	deadline  time.Duration // when the attempt times out
 	timer     timers.Entry[func()]
 }
 
@@ -55,7 +55,7 @@
 	c.feed(o.Offer)
 }
 
-// concludeSetUp records that a call no longer awaits a final answer.
+// concludeSetUp records that a set-up no longer awaits its final answer.
 func (c *Core) concludeSetUp(k *call) {
 	c.openSetUps--
 	k.caller.openSetUps--
@@ -71,16 +71,16 @@
 
 func (c *Core) refuseCall(a decide.Refuse) {
 	c.Stats.Refused++
-	c.answerDown(a.Call, jsonl.CauseCongestion, a.RetryAfter)
+	c.rejectCall(a.Call, jsonl.CauseCongestion, a.RetryAfter)
 }
 
 func (c *Core) failCall(id decide.CallID) {
 	c.Stats.Failed++
-	c.answerDown(id, jsonl.CauseTemporaryFailure, 0)
+	c.rejectCall(id, jsonl.CauseTemporaryFailure, 0)
 }
 
-// answerDown sends a call's final answer.
-func (c *Core) answerDown(id decide.CallID, cause int, wait time.Duration) {
+// rejectCall ends an open call with a rejection as its final answer.
+func (c *Core) rejectCall(id decide.CallID, cause int, retryAfter time.Duration) {
 	k := c.callsByID[id]
 	if k == nil || k.standing {
 		return
@@ -88,27 +88,27 @@
 	c.concludeSetUp(k)
 	c.removeCall(k)
 	if !k.caller.closed {
-		k.caller.sendDown(k.ref, cause, wait)
+		k.caller.sendDown(k.ref, cause, retryAfter)
 	}
-	if k.openAttempt != nil { // the module answers only between attempts, but none may stay open if it does not
+	if k.openAttempt != nil { // the decision module answers only between attempts; if it ever does not, no attempt may stay open
 		c.cancelAttempt(k.openAttempt, decide.Cancelled)
 	}
 }
 
-// abandonCalls ends calls that their callers have abandoned.
+// abandonCalls ends open calls that their callers have abandoned.
 func (c *Core) abandonCalls(calls []*call) {
 	c.Stats.Abandoned += uint64(len(calls))
 	c.endOpenCalls(calls)
 }
 
-// endOpenCalls ends calls without an answer. The decision module is notified of all of them before any attempt is
-// cancelled; otherwise it would use the circuit that one frees for the next.
+// endOpenCalls ends open calls and sends no final answer. The decision module is notified of all of them before any
+// attempt is cancelled; otherwise it could use a freed circuit for a call that is about to end.
 func (c *Core) endOpenCalls(calls []*call) {
 	c.dropCalls(calls)
 	c.cancelAttempts(calls)
 }
 
-// dropCalls removes calls that need no final answer. Their attempts may still be open.
+// dropCalls removes open calls without a final answer. Their attempts stay open; cancelAttempts ends them.
 func (c *Core) dropCalls(calls []*call) {
 	for _, k := range calls {
 		c.concludeSetUp(k)
@@ -117,8 +117,8 @@
 	}
 }
 
-// cancelAttempts cancels the open attempts of removed calls. An attempt that was open until the caller's deadline is
-// reported as timed out, which says more about the switch than a cancellation.
+// cancelAttempts cancels the open attempts of removed calls. An attempt that was open until the call's deadline is
+// reported as timed out, because the switch did not respond in time.
 func (c *Core) cancelAttempts(calls []*call) {
 	for _, k := range calls {
 		switch {
@@ -131,7 +131,7 @@
 	}
 }
 
-// cancelAttempt withdraws an attempt and reports its outcome to the decision module.
+// cancelAttempt withdraws an attempt from its switch and reports the outcome to the decision module.
 func (c *Core) cancelAttempt(a *attempt, o decide.Outcome) {
 	c.withdrawAttempt(a)
 	c.endAttempt(a, o)
@@ -151,10 +151,10 @@
 	return calls
 }
 
-// startAttempt sends a call's set-up to a switch, or reports why it was not sent.
+// startAttempt sends a call's set-up to a switch, or opens a link first. If it cannot be sent, it reports NotSent.
 func (c *Core) startAttempt(s decide.SetUp) {
 	k, to := c.callsByID[s.Call], c.switches[s.Exchange]
-	a := &attempt{call: k, neighbour: to, startedAt: c.now}
+	a := &attempt{call: k, peer: to, startedAt: c.now}
 	if k == nil || k.standing || k.openAttempt != nil || to == nil || to.phase != decide.Ready {
 		number := 0
 		if k != nil {
@@ -180,7 +180,7 @@
 		return
 	}
 	to.waitingAttempts = append(to.waitingAttempts, a)
-	a.timer.Value = func() { c.cancelAttempt(a, decide.Unreachable) } // no processor has worked on it
+	a.timer.Value = func() { c.cancelAttempt(a, decide.Unreachable) } // it was never sent, so no processor has worked on it
 	c.timerQueue.Set(&a.timer, min(a.deadline, c.now+c.cfg.Setup.ConnectTimeout))
 	to.connect()
 }
@@ -197,11 +197,12 @@
 	c.timerQueue.Set(&a.timer, a.deadline)
 }
 
-// withdrawAttempt withdraws an attempt that is sent or waits for a link. An answer that crosses the withdrawal is
-// dropped: the switch then treats the withdrawal as the release of a standing call.
+// withdrawAttempt withdraws an attempt that waits for a link, or cancels it at the switch. If the switch's answer
+// crosses the cancellation, the answer is dropped and the switch treats the cancellation as the release of a standing
+// call.
 func (c *Core) withdrawAttempt(a *attempt) {
 	if a.link == nil {
-		a.neighbour.removeWaiting(a)
+		a.peer.removeWaiting(a)
 		return
 	}
 	if a.link.openAttempts[a.call.ref] == a {
@@ -215,7 +216,8 @@
 	c.endAttemptWith(a, decide.AttemptEnded{Outcome: o, Report: decide.NoReport})
 }
 
-// endAttemptWith reports how an attempt ended, once. The call's final answer is still due unless the call was removed.
+// endAttemptWith reports how an attempt ended, unless that was reported before. The call still needs a final answer
+// unless it was removed.
 func (c *Core) endAttemptWith(a *attempt, e decide.AttemptEnded) {
 	k := a.call
 	if k.openAttempt != a {
@@ -227,54 +229,55 @@
 	}
 	k.openAttempt = nil
 	c.Stats.AttemptOutcomes[e.Outcome]++
-	e.Call, e.Attempt, e.Exchange, e.Took = k.id, a.number, a.neighbour.id, c.now-a.startedAt
+	e.Call, e.Attempt, e.Exchange, e.Took = k.id, a.number, a.peer.id, c.now-a.startedAt
 	e.Concluded = c.callsByID[k.id] == nil
 	c.feed(e)
 }
 
-// handleAnswer passes a switch's answer on to the caller. The call stands from now on.
+// handleAnswer forwards a switch's answer to the caller. The call stands from now on.
 func (c *Core) handleAnswer(a *attempt, desc []byte) {
 	k := a.call
 	c.Stats.Answered++
 	c.timerQueue.Stop(&a.timer)
 	delete(a.link.openAttempts, k.ref)
 	c.concludeSetUp(k)
-	k.standing, k.neighbour, k.link, k.desc, k.openAttempt = true, a.neighbour, a.link, nil, nil
-	a.neighbour.standingCalls++
+	k.standing, k.standingAt, k.link, k.desc, k.openAttempt = true, a.peer, a.link, nil, nil
+	a.peer.standingCalls++
 	k.caller.standingCalls++
 	k.caller.answeredSetUps++
 	c.write(k.caller.id, func(b []byte) []byte { return jsonl.AppendUp(b, k.ref, desc) })
-	c.feed(decide.Standing{Call: k.id, Attempt: a.number, Exchange: a.neighbour.id, Took: c.now - a.startedAt})
+	c.feed(decide.Standing{Call: k.id, Attempt: a.number, Exchange: a.peer.id, Took: c.now - a.startedAt})
 }
 
 // endStandingCall ends a standing call and reports it to the decision module.
 func (c *Core) endStandingCall(k *call, o decide.Outcome, r decide.Report) {
-	k.neighbour.standingCalls--
+	k.standingAt.standingCalls--
 	k.caller.standingCalls--
 	k.caller.lastUsed = c.now
 	c.removeCall(k)
 	if k.id != 0 {
-		c.feed(decide.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.neighbour.id, Outcome: o, Concluded: true, Report: r})
+		c.feed(decide.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.standingAt.id, Outcome: o, Concluded: true, Report: r})
 	}
 }
 
-// releaseFromSwitch handles a switch's release of a standing call and passes it on to the caller.
+// releaseFromSwitch ends a standing call that its switch released, or that was lost there, and notifies the caller.
 func (c *Core) releaseFromSwitch(k *call, cause int, r decide.Report) {
 	o := decide.Completed
 	if cause != jsonl.CauseNormal {
 		o = decide.Cut
 	}
-	c.notifyCaller(k, cause)
+	c.sendReleaseToCaller(k, cause)
 	c.endStandingCall(k, o, r)
 }
 
-// releaseFromCaller passes a caller's release of a standing call on to the switch.
+// releaseFromCaller ends a standing call that a caller released, and notifies the switch.
 func (c *Core) releaseFromCaller(k *call, cause int) {
-	k.neighbour.sendRelease(k, cause)
+	k.standingAt.sendRelease(k, cause)
 	c.endStandingCall(k, decide.Cancelled, decide.NoReport)
 }
 
-// adoptCall takes over a call that stood before this process started.
+// adoptCall takes over a call that stood before this process started. If the call is known to be over, or its switch is
+// not on the list, the caller gets its release at once.
 func (c *Core) adoptCall(p *caller, ref string, o callOffer) {
 	c.Stats.Adopted++
 	to := c.switches[o.standingAt]
@@ -286,7 +289,7 @@
 		p.sendDown(ref, e.cause, 0)
 		return
 	}
-	k := &call{ref: ref, caller: p, class: o.Class, standing: true, neighbour: to}
+	k := &call{ref: ref, caller: p, class: o.Class, standing: true, standingAt: to}
 	c.calls[ref] = k
 	to.standingCalls++
 	p.standingCalls++
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,7 +1,3 @@
-// Package platform is one signalling proxy of the users' platform, without I/O. It holds the callers and switches that
-// speak JSON lines, the exchange list from the coordinator, calls, attempts and standing calls. It feeds the decision
-// module the same events as the simulator does and executes its actions; it decides no route, load-based refusal or wait
-// itself.
 package platform
 
 import (
@@ -16,23 +12,23 @@
 	"pipitring/internal/wire"
 )
 
-// Config is a proxy's start-up configuration.
+// Config is the configuration that a proxy starts with.
 type Config struct {
 	Name        string
 	Listen      netip.AddrPort
 	Coordinator netip.AddrPort
 	Seed        uint64
-	Cores       float64
-	Memory      int64 // memory limit in bytes; 0 is no limit
-	Sockets     int   // limit of file descriptors
+	Cores       float64 // number of processor cores; 0 is no limit
+	Memory      int64   // memory limit in bytes; 0 is no limit
+	Sockets     int     // largest number of file descriptors
 	Setup       wire.InstanceSettings
-	KnownEvents []coordinator.Event
-	LastIndex   uint64 // index of the last known event
+	KnownEvents []coordinator.Event // the exchange list at the start, from a snapshot
+	LastIndex   uint64              // index of the last known event
 }
 
-const minSockets = 64 // descriptors; the minimum for a useful service
+const minSockets = 64 // least number of descriptors with which a proxy is useful
 
-// ParseConfig parses a configuration in JSON. An error names the key; unknown keys are ignored.
+// ParseConfig parses a configuration in JSON. Unknown keys are ignored. An error names the invalid keys.
 func ParseConfig(text []byte) (*Config, error) {
 	var t struct {
 		Name        string `json:"name"`
@@ -83,16 +79,16 @@
 	return a, nil
 }
 
-// callerBudget returns the number of descriptors available to callers' connections: the limit, less the reserved ones
-// and the links to each switch.
+// callerBudget returns the number of descriptors available to callers' connections: the limit less the reserved
+// descriptors and maxLinks for each switch, but at least minCallerDescriptors.
 func (c *Config) callerBudget(switches int) int {
 	return max(minCallerDescriptors, c.Sockets-reservedDescriptors-maxLinks*switches)
 }
 
 const (
-	reservedDescriptors  = 56 // standard streams, poller, listener, coordinator, connections being handed over or closed gracefully
-	minCallerDescriptors = 16 // lower limit of the callers' budget
-	maxLinks             = 4  // links to one switch; load reports arrive on each of them
+	reservedDescriptors  = 56 // for standard streams, poller, listener, coordinator, connections being handed over or closed gracefully
+	minCallerDescriptors = 16 // least number of descriptors for callers, whatever the number of switches
+	maxLinks             = 4  // largest number of links to one switch; load reports arrive on each of them
 
-	clockOffset = time.Hour // keeps starts before the proxy's own above 0 on the decision module's clock
+	clockOffset = time.Hour // decision module's clock minus the proxy's, so that start times before the proxy's own are above 0 there
 )
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -7,8 +7,8 @@
 	"pipitring/internal/standin"
 )
 
-// TestConfigKeys guards against a configuration key that changes with the Go name of its field. Unknown keys are ignored
-// and most keys are optional, so no other test would fail.
+// TestConfigKeys guards against a configuration key that changes with the Go name of its field. Unknown keys are
+// ignored and most keys are optional, so no other test would fail.
 func TestConfigKeys(t *testing.T) {
 	listen, coordinator := netip.MustParseAddrPort("127.0.0.2:5060"), netip.MustParseAddrPort("127.0.0.3:5061")
 	c, err := ParseConfig(standin.PlatformConfig(listen, coordinator, 70, netip.MustParseAddrPort("127.0.0.4:5062")))
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -1,3 +1,7 @@
+// Package platform is one signalling proxy of the users' platform, without I/O. It holds the callers and switches that
+// speak JSON lines, the exchange list from the coordinator, calls, attempts and standing calls. It feeds the decision
+// module the same events as the simulator does and executes its actions; it makes no routing, overload or
+// queueing decisions itself.
 package platform
 
 import (
@@ -20,12 +24,15 @@
 
 // Values of DialFailure.
 const (
-	DialTimedOut      DialFailure = iota // not established within the timeout
-	DialRefused                          // nothing listens at the address: the process is dead
-	DialNoDescriptors                    // the proxy has no descriptors left; the peer's state is unknown
+	// DialTimedOut means that the connection was not established within the timeout, or any failure not named below.
+	DialTimedOut DialFailure = iota
+	// DialRefused means that nothing listens at the address: the process is dead, or it drains.
+	DialRefused
+	// DialNoDescriptors means that the proxy has no descriptors left; the state of the other end is unknown.
+	DialNoDescriptors
 )
 
-// Output is an action for the runtime: one of the types below.
+// Output is an action for the runtime to execute: one of the output types below.
 type Output interface{ output() }
 
 type (
@@ -34,13 +41,13 @@
 		Conn  ConnID
 		Bytes []byte
 	}
-	// Close closes a connection. If Graceful, bytes already written are still delivered: the runtime shuts down its
-	// side and reads on for a short time.
+	// Close closes a connection. If Graceful is set, bytes already written are still delivered: the runtime shuts down
+	// the sending side and continues to read for a short time.
 	Close struct {
 		Conn     ConnID
 		Graceful bool
 	}
-	// Dial asks for a connection, which has the ID Conn from now on.
+	// Dial requests a connection, which has the ID Conn from now on.
 	Dial struct {
 		Conn    ConnID
 		To      netip.AddrPort
@@ -48,7 +55,7 @@
 	}
 	// LogLine is a line for the log.
 	LogLine struct{ Text string }
-	// Exit ends the process: it is shutting down, no call is left and no more can arrive.
+	// Exit ends the process: the proxy is shutting down, no call is left and no more can arrive.
 	Exit struct{}
 )
 
@@ -60,28 +67,32 @@
 
 // Limits that no setting covers.
 const (
-	readyTimeout    = 1500 * time.Millisecond // a switch that does not report delays readiness no longer than this
-	answerMargin    = 5 * time.Millisecond    // the proxy's answer leaves this long before the caller's deadline
-	clockTolerance  = 20 * time.Millisecond   // a caller that leaves this close to its deadline has waited it out: clocks and paths differ
-	minShutdownTime = 800 * time.Millisecond  // set-ups still arrive for this long after SIGTERM
-	// After SIGTERM the platform kills the process no sooner than the longest deadline, of which at most maxKillDeadline
-	// counts, plus killGrace. Transit calls keep arriving until then, so each must have its final answer
-	// answerDeadlineMargin before.
-	maxKillDeadline      = 3 * time.Second
-	killGrace            = 700 * time.Millisecond
+	readyTimeout    = 1500 * time.Millisecond // longest time after the start for which switches that do not report delay readiness
+	answerMargin    = 5 * time.Millisecond    // time between the proxy's latest final answer and the caller's deadline
+	clockTolerance  = 20 * time.Millisecond   // abandoned this close to the deadline, a call counts as timed out: clocks and paths differ
+	minShutdownTime = 800 * time.Millisecond  // the process runs at least this long after SIGTERM, as set-ups still arrive
+
+	// maxKillDeadline limits the class deadline that counts for SIGKILL: after SIGTERM the platform kills the process
+	// no sooner than the longest class deadline, but at most maxKillDeadline, plus killGrace.
+	maxKillDeadline = 3 * time.Second
+	// killGrace is the time that the platform adds to that deadline before SIGKILL.
+	killGrace = 700 * time.Millisecond
+	// answerDeadlineMargin is how long before the earliest SIGKILL every open call gets its final answer. Transit calls
+	// keep arriving until then.
 	answerDeadlineMargin = 100 * time.Millisecond
-	releaseLifetime      = 8 * time.Second  // a release that could not be sent within this time is dropped
-	adoptedCallLifetime  = 10 * time.Minute // a call adopted by "at" is removed after this time without a release
-	maxEarlyReleases     = 1024             // releases stored for calls that "at" may still name
-	maintenanceInterval  = 250 * time.Millisecond
+
+	releaseLifetime     = 8 * time.Second        // a release that cannot be forwarded within this time is dropped, an early release too
+	adoptedCallLifetime = 10 * time.Minute       // an adopted call is released after this time if the switch has not released it
+	maxEarlyReleases    = 1024                   // releases stored for calls that a caller may still ask to adopt
+	maintenanceInterval = 250 * time.Millisecond // interval of the periodic maintenance
 )
 
 // Stats counts what a proxy has done.
 type Stats struct {
 	Calls, Answered, Refused, Failed, Abandoned uint64
 	Attempts                                    uint64
-	AttemptOutcomes                             [decide.NotSent + 1]uint64 // attempts that ended before an answer, by outcome
-	Adopted                                     uint64                     // calls adopted by "at"
+	AttemptOutcomes                             [decide.NotSent + 1]uint64 // attempts that ended without an answer, by outcome
+	Adopted                                     uint64                     // calls that stood before the start and were adopted
 	CallerErrors, SwitchErrors, EvictedCallers  uint64
 }
 
@@ -103,7 +114,7 @@
 	c.logLine(text)
 }
 
-// Estimates returns the decision module's estimate of each neighbour's state.
+// Estimates returns the decision module's estimate of each neighbour's state, by rising exchange number.
 func (c *Core) Estimates(now time.Duration) []decide.Estimate {
 	c.advanceClock(now)
 	return c.controller.Estimates(c.moduleTime())
@@ -115,7 +126,7 @@
 // CallerConnections returns the number of callers' connections.
 func (c *Core) CallerConnections() int { return len(c.callers) }
 
-// Core is the state of one proxy. All times are since its start. It is not safe for concurrent use.
+// Core is the state of one proxy. All times are counted from its start. It is not safe for concurrent use.
 type Core struct {
 	Stats Stats
 
@@ -132,39 +143,39 @@
 	pendingEvents []decide.Event
 	feeding       bool
 
-	calls      map[string]*call // open and standing calls, by reference
+	calls      map[string]*call // open and standing calls, by reference (Message.Ref)
 	callsByID  map[decide.CallID]*call
 	openSetUps int // set-ups that await their final answer
 	lastCallID decide.CallID
 
 	callers          map[ConnID]*caller
-	orphanedReleases []string // encoded releases that could not be sent to any caller yet
+	orphanedReleases []string // encoded releases of standing calls that no caller's connection could take yet
 	classes          map[string]int
 	quotedClasses    [][]byte // class names as JSON strings
 
-	switches      map[decide.ExchangeID]*neighbour
+	switches      map[decide.ExchangeID]*switchPeer
 	links         map[ConnID]*link
 	earlyReleases map[string]earlyRelease
 
 	discovery     discoveryClient
 	stoppingSince time.Duration // when SIGTERM arrived; 0 if it has not
-	// After SIGTERM, open calls are answered at this time and later ones are refused at once.
+	// After SIGTERM all open calls get their final answer at this time, and later ones are refused at once.
 	answerDeadline   time.Duration
 	maintenanceTimer timers.Entry[func()]
 	exited           bool
 }
 
-// earlyRelease is the release of an unknown call, stored in case "at" names the call later.
+// earlyRelease is the release of an unknown call, stored in case a caller asks to adopt the call later.
 type earlyRelease struct {
 	receivedAt time.Duration
 	cause      int
 }
 
-// New returns a proxy at time 0, which is the wall-clock time wall.
+// New returns a proxy at time 0, which corresponds to the wall-clock time wall.
 func New(cfg *Config, wall time.Time) *Core {
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), wallStart: wall, controller: decide.New(cfg.Setup.Settings, cfg.Seed),
 		calls: map[string]*call{}, callsByID: map[decide.CallID]*call{}, callers: map[ConnID]*caller{}, classes: map[string]int{},
-		switches: map[decide.ExchangeID]*neighbour{}, links: map[ConnID]*link{}, earlyReleases: map[string]earlyRelease{}}
+		switches: map[decide.ExchangeID]*switchPeer{}, links: map[ConnID]*link{}, earlyReleases: map[string]earlyRelease{}}
 	for i, name := range cfg.Setup.ClassNames {
 		c.classes[name] = i
 		c.quotedClasses = append(c.quotedClasses, jsonl.Quote(name))
@@ -195,15 +206,16 @@
 // advanceClock sets the current time, which never goes back.
 func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Outputs returns the pending outputs and clears them. They are in order: what a switch is sent before a caller is
-// notified also leaves before.
+// Outputs returns the pending outputs and clears them. They have to be executed in order, so that bytes for a switch
+// that precede bytes for a caller also leave first.
 func (c *Core) Outputs() []Output {
 	outputs := c.outputs
 	c.outputs = nil
 	return outputs
 }
 
-// write appends bytes to a connection's output. The build function appends them to its argument.
+// write queues bytes for a connection: those that build appends to its argument. Consecutive writes to one connection
+// are merged.
 func (c *Core) write(id ConnID, build func(b []byte) []byte) {
 	if n := len(c.outputs); n > 0 {
 		if w, ok := c.outputs[n-1].(Write); ok && w.Conn == id {
@@ -228,8 +240,8 @@
 // moduleTime returns the current time on the decision module's clock.
 func (c *Core) moduleTime() time.Duration { return c.now + clockOffset }
 
-// feed passes an event to the decision module and executes the actions it returns, in order. Events caused by those
-// actions are queued behind it.
+// feed passes an event to the decision module and executes the returned actions in order. Events that these actions
+// cause are queued and passed on afterwards.
 func (c *Core) feed(ev decide.Event) {
 	c.pendingEvents = append(c.pendingEvents, ev)
 	if c.feeding {
@@ -263,16 +275,18 @@
 	}
 }
 
-// jitter returns a random time from d/2 to d, so that a fleet does not react to one cause at the same instant.
+// jitter returns a random duration from d/2 to d, so that the proxies of a fleet do not all react to one event at the
+// same time.
 func (c *Core) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(c.rng.Int64N(int64(d/2)+1))
 }
 
+// after calls f once d has passed. It cannot be cancelled.
 func (c *Core) after(d time.Duration, f func()) {
 	c.timerQueue.Set(&timers.Entry[func()]{Value: f}, c.now+max(d, 0))
 }
 
-// applyList applies events of the coordinator. Kind is the kind given to a full list.
+// applyList applies events of the coordinator. Full lists are passed to the decision module as kind.
 func (c *Core) applyList(kind decide.ListKind, events []coordinator.Event) {
 	for _, ev := range events {
 		list := decide.ListUpdate{Kind: decide.ListChanges}
@@ -285,15 +299,15 @@
 		}
 		changed := c.applyEvent(ev) // before the module can use the entries
 		c.feed(list)
-		for _, n := range changed { // after the module has handled the update
-			n.handleListChange()
+		for _, s := range changed { // after the module has handled the update
+			s.handleListChange()
 		}
 	}
 	c.enforceCallerBudget()
 }
 
-// moduleStart converts a start time in Unix milliseconds to the decision module's clock; 0 means long ago. The stamps
-// are from the clock that also sets the proxy's, so they are not corrected.
+// moduleStart converts a start time in Unix milliseconds to the decision module's clock; 0 means long ago. Start
+// times come from the same clock as the proxy's wall-clock time, so they need no correction.
 func (c *Core) moduleStart(unixMs int64) time.Duration {
 	if unixMs <= 0 {
 		return 0
@@ -301,8 +315,8 @@
 	return max(1, min(c.moduleTime(), time.UnixMilli(unixMs).Sub(c.wallStart)+clockOffset))
 }
 
-// Stop starts the shutdown: heartbeats fail from now on, and calls are still served as long as they can be answered
-// before the process may be killed.
+// Stop starts the shutdown: heartbeats fail from now on, and calls are still served as long as they can get their final
+// answer before the process may be killed.
 func (c *Core) Stop(now time.Duration) {
 	c.advanceClock(now)
 	if c.stoppingSince != 0 {
@@ -317,19 +331,19 @@
 	c.after(c.answerDeadline-c.now, c.answerAllOpenCalls)
 }
 
-// answerAllOpenCalls answers the open calls of all callers shortly before the process may be killed: those without an
-// attempt are refused, the others have failed.
+// answerAllOpenCalls gives all open calls their final answer shortly before the process may be killed: those without an
+// attempt are refused, the others fail.
 func (c *Core) answerAllOpenCalls() {
 	for _, p := range c.callersByAge() {
 		p.answerOpenCalls()
 	}
 }
 
-// pastAnswerDeadline reports whether it is too late in the shutdown to answer another call for certain.
+// pastAnswerDeadline reports whether the shutdown is so far that new calls are refused at once.
 func (c *Core) pastAnswerDeadline() bool { return c.stoppingSince != 0 && c.now >= c.answerDeadline }
 
-// Ready reports whether heartbeats succeed: the proxy is not shutting down, the list is known, and each switch has
-// reported, cannot be reached or needs no link. From readyTimeout on only the first counts.
+// Ready reports whether heartbeats succeed: the proxy is not shutting down, the exchange list is known, and each switch
+// has reported, cannot be reached or needs no link. After readyTimeout only the first condition counts.
 func (c *Core) Ready() bool {
 	if c.stoppingSince != 0 {
 		return false
@@ -337,27 +351,28 @@
 	if c.now >= readyTimeout {
 		return true
 	}
-	for _, n := range c.switches {
-		if n.needsLink() && !n.hasReported && !n.lastDialFailed {
+	for _, s := range c.switches {
+		if s.needsLink() && !s.hasReported && !s.lastDialFailed {
 			return false
 		}
 	}
 	return len(c.switches) > 0
 }
 
-// maintain does the periodic maintenance.
+// maintain closes idle connections, checks the liveness of the switches and the coordinator, and ends the process after
+// a shutdown. It runs every maintenanceInterval.
 func (c *Core) maintain() {
 	c.timerQueue.Set(&c.maintenanceTimer, c.now+maintenanceInterval)
 	c.closeIdleCallers()
-	for _, n := range c.switchesByID() {
-		n.checkLiveness()
+	for _, s := range c.switchesByID() {
+		s.checkLiveness()
 	}
 	for ref, e := range c.earlyReleases {
 		if c.now-e.receivedAt > releaseLifetime {
 			delete(c.earlyReleases, ref)
 		}
 	}
-	c.discovery.checkSilence()
+	c.discovery.checkIdle()
 	if c.stoppingSince != 0 && !c.exited && c.now-c.stoppingSince > minShutdownTime && len(c.calls) == 0 && len(c.orphanedReleases) == 0 {
 		c.exited = true
 		c.outputs = append(c.outputs, Exit{})
--- a/internal/platform/departed_test.go
+++ b/internal/platform/departed_test.go
@@ -10,8 +10,8 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestCallAbandonedInSameInput checks that set-ups abandoned by a later line of the same input are not started, and that
-// the others are.
+// TestCallAbandonedInSameInput checks that set-ups which a later line of the same input abandons are not started, and
+// that others are.
 func TestCallAbandonedInSameInput(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, sw := h.accept(), h.switchConns[1]
@@ -30,8 +30,9 @@
 	h.expectIdle()
 }
 
-// TestCallerDeparture checks that nothing is started for a caller that has left, and that its open set-ups are cancelled.
-// Releases of standing calls are handled whichever caller sends them, and releases for the lost caller go to another one.
+// TestCallerDeparture checks that nothing is started for a caller that has left, and that its open set-ups are
+// cancelled. Releases of standing calls are handled whichever caller sends them, and releases for the caller that left
+// go to another one.
 func TestCallerDeparture(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, q, sw := h.accept(), h.accept(), h.switchConns[1]
@@ -53,9 +54,9 @@
 	h.expectIdle()
 }
 
-// TestBatchOrderByInputType checks that, in whatever order the inputs of a batch were found, no set-up is sent for a caller
-// that has left or abandoned the call, to a draining switch or on a lost connection, and that an answer that crosses a
-// cancellation is not passed on.
+// TestBatchOrderByInputType checks that, in whatever order the inputs of a batch were read, no set-up is sent for a
+// caller that has left or abandoned the call, to a draining switch or on a lost connection, and that an answer that
+// crosses a cancellation is not passed on.
 func TestBatchOrderByInputType(t *testing.T) {
 	drain := coordinator.AppendFrame(nil, coordinator.Event{Index: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
 	free := joinLines(`{"t":"gauge","f":{"load":"idle:10;circuits:10"}}`)
@@ -108,9 +109,10 @@
 	}
 }
 
-// TestFreedSlotNotUsedForDepartedCaller: a caller leaves with one call at a cold switch and another queued for it. The
-// process was paused, so the second call is due, but must not be sent when the first is cancelled.
-func TestFreedSlotNotUsedForDepartedCaller(t *testing.T) {
+// TestQueuedCallOfDepartedCallerNotSent guards against a set-up for a caller that has left with one call at a cold
+// switch and another queued for it. As the process was paused, the slow-start limit allows the second call by then, and
+// the cancellation of the first makes the decision module serve its queue.
+func TestQueuedCallOfDepartedCallerNotSent(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, sw := h.accept(), h.switchConns[1]
 	coldSwitch := entry(1, 1, 2, decide.Ready)
@@ -118,7 +120,7 @@
 	h.updateList(2, coldSwitch)
 	n := 0
 	for h.QueuedCalls() == 0 || len(h.written[sw]) == 0 {
-		if h.QueuedCalls() == 1 { // queued although none is open yet: wait until it is sent
+		if h.QueuedCalls() == 1 { // the first call is queued by the slow-start limit: wait until it is sent
 			h.advance(10 * ms)
 			continue
 		}
@@ -136,9 +138,10 @@
 	h.expectIdle()
 }
 
-// TestFreedSlotNotUsedAtDrainingSwitch: another caller's call is queued for the same cold switch, and the drain is notified
-// in the same batch as the departure that frees a slot.
-func TestFreedSlotNotUsedAtDrainingSwitch(t *testing.T) {
+// TestQueuedCallNotSentToDrainingSwitch guards against a set-up to a cold switch whose drain is announced in the same
+// batch in which a caller leaves. The cancellation of that caller's calls makes the decision module serve its queue,
+// which holds another caller's call.
+func TestQueuedCallNotSentToDrainingSwitch(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, q, sw := h.accept(), h.accept(), h.switchConns[1]
 	coldSwitch := entry(1, 1, 2, decide.Ready)
@@ -162,8 +165,8 @@
 	}
 }
 
-// TestDialWithoutDescriptors checks that a dial that fails for lack of descriptors says nothing about the switch: no call
-// ends, the attempt that waits for the link stays, an idle caller is evicted and the dial is retried.
+// TestDialWithoutDescriptors checks that a dial that fails for lack of descriptors is not taken for a failure of the
+// switch: no call ends, the attempt that waits for the link stays, an idle caller is evicted and the dial is retried.
 func TestDialWithoutDescriptors(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := h.accept()
@@ -172,7 +175,7 @@
 	h.expectLines(p, "up 1")
 	idle := h.accept()
 	h.advance(time.Second)
-	h.Closed(h.clock, h.switchConns[1]) // its calls keep standing
+	h.Closed(h.clock, h.switchConns[1]) // its standing calls stay
 	h.receiveLines(p, setUp(2, 1, ""))
 	d := h.takeDials()
 	h.DialFailed(h.clock, d[0].Conn, DialNoDescriptors)
@@ -186,8 +189,8 @@
 	h.expectLines(h.switchConns[1], "new 2")
 }
 
-// TestCallersEvictedWhenListGrows checks that each new switch reduces the descriptors for callers, and that callers with
-// calls are kept.
+// TestCallersEvictedWhenListGrows checks that each new switch reduces the descriptors for callers, and that callers
+// with calls are not evicted.
 func TestCallersEvictedWhenListGrows(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := h.accept()
@@ -206,8 +209,8 @@
 	}
 }
 
-// TestLinesAfterInvalidLineIgnored checks that lines after an invalid one are not handled, and that it closes the connection
-// once.
+// TestLinesAfterInvalidLineIgnored checks that an invalid line closes the connection and that lines after it are not
+// handled.
 func TestLinesAfterInvalidLineIgnored(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := h.accept()
--- a/internal/platform/bed_test.go
+++ b/internal/platform/harness_test.go
@@ -34,21 +34,21 @@
 	line string
 }
 
-// harness is a proxy whose outputs are recorded: the lines written to each connection, and the connections that it dialled
-// and closed.
+// harness is a proxy without sockets. It records the outputs: the lines written to each connection, and the connections
+// dialled and closed.
 type harness struct {
 	t interface {
 		Helper()
 		Fatalf(string, ...any)
 	}
 	*Core
-	clock          time.Duration
+	clock          time.Duration // time passed to the proxy
 	written        map[ConnID][]string
 	writtenInOrder []writtenLine // the same lines, in the order in which they were written
 	pendingDials   []Dial
 	closed         map[ConnID]bool
 	exited         bool
-	switchConns    map[byte]ConnID // by last digit of the switch's ID
+	switchConns    map[byte]ConnID // newest link to each switch, by last digit of its ID
 	coordConn      ConnID
 }
 
@@ -73,8 +73,8 @@
 	return h
 }
 
-// newConnectedHarness returns a harness with established connections, in which every switch has reported ten free
-// circuits.
+// newConnectedHarness returns a harness that is connected to the coordinator and to all switches, each of which has
+// reported ten free circuits.
 func newConnectedHarness(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -87,6 +87,7 @@
 	return h
 }
 
+// connect establishes a connection that the proxy dialled. A switch reports ten free circuits on it.
 func (h *harness) connect(d Dial) {
 	h.Connected(h.clock, d.Conn)
 	if d.To.Port() == 7070 {
@@ -99,6 +100,7 @@
 	h.collectOutputs()
 }
 
+// takeDials returns the pending dials and clears them.
 func (h *harness) takeDials() []Dial {
 	h.collectOutputs()
 	d := h.pendingDials
@@ -182,8 +184,8 @@
 	return out
 }
 
-// expectLines takes the lines written to a connection and compares them in short form: type, last digits of the reference,
-// cause.
+// expectLines takes the lines written to a connection and compares them in short form: type, reference without leading
+// zeros, and the cause of a release.
 func (h *harness) expectLines(id ConnID, want ...string) []jsonl.Message {
 	h.t.Helper()
 	got := h.takeLines(id)
@@ -231,18 +233,18 @@
 		Addr: netip.MustParseAddrPort(fmt.Sprintf("127.0.1.%d:5060", host))}
 }
 
-// expectIdle checks that no call, attempt or unsent release is left.
+// expectIdle checks that no call, attempt or undelivered release is left.
 func (h *harness) expectIdle() {
 	h.t.Helper()
-	attemptsAndCalls := 0
+	atSwitches := 0
 	for _, l := range h.links {
-		attemptsAndCalls += len(l.openAttempts)
+		atSwitches += len(l.openAttempts)
 	}
-	for _, n := range h.Core.switches {
-		attemptsAndCalls += len(n.waitingAttempts) + n.standingCalls
+	for _, s := range h.Core.switches {
+		atSwitches += len(s.waitingAttempts) + s.standingCalls
 	}
-	if len(h.calls) != 0 || len(h.callsByID) != 0 || h.openSetUps != 0 || attemptsAndCalls != 0 || len(h.orphanedReleases) != 0 {
-		h.t.Fatalf("left over: %d calls, %d known to the module, %d without an answer, %d attempts, %d unsent releases",
-			len(h.calls), len(h.callsByID), h.openSetUps, attemptsAndCalls, len(h.orphanedReleases))
+	if len(h.calls) != 0 || len(h.callsByID) != 0 || h.openSetUps != 0 || atSwitches != 0 || len(h.orphanedReleases) != 0 {
+		h.t.Fatalf("left over: %d calls, %d known to the module, %d without a final answer, %d attempts and calls at switches, %d undelivered releases",
+			len(h.calls), len(h.callsByID), h.openSetUps, atSwitches, len(h.orphanedReleases))
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -57,8 +57,8 @@
 	h.expectIdle()
 }
 
-// TestReleaseBeforeAnswer checks how releases are reported to the decision module, also by its reaction: another route or
-// the final answer.
+// TestReleaseBeforeAnswer checks the outcome and cause that the decision module gets for a release before the answer,
+// and that after one because of busy lines the caller gets its final answer.
 func TestReleaseBeforeAnswer(t *testing.T) {
 	for _, c := range []struct {
 		cause   int
@@ -86,8 +86,8 @@
 	h.expectIdle()
 }
 
-// TestRetryDelayAfterReset checks that a call whose attempt was cut is not sent again before the configured delay, which
-// does not apply to an attempt that was never sent.
+// TestRetryDelayAfterReset checks that a call whose attempt was cut is not sent again before the release guard of 150
+// ms has passed.
 func TestRetryDelayAfterReset(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := h.accept()
@@ -274,7 +274,7 @@
 		if !h.closed[sw] {
 			t.Fatalf("%s: connection not closed", name)
 		}
-		h.expectLines(p, "up 1", "down 2 42") // the module does not retry on another route to the same processor
+		h.expectLines(p, "up 1", "down 2 42") // every other route would end at the same processor
 		for _, d := range h.takeDials() {
 			h.connect(d)
 		}
@@ -286,7 +286,8 @@
 
 const gauge = `{"t":"gauge","f":{"load":"idle:9;circuits:10"}}`
 
-// TestHalfOpenLinkClosed: an answer is incomplete, or nothing arrives, and the connection stays open.
+// TestHalfOpenLinkClosed checks that a link which stays open but delivers an incomplete answer, or nothing, is closed
+// once another link delivers.
 func TestHalfOpenLinkClosed(t *testing.T) {
 	for name, partial := range map[string]string{"incomplete answer": up(1)[:30], "nothing received": ""} {
 		h := newConnectedHarness(t)
@@ -311,15 +312,15 @@
 	}
 }
 
-// TestHalfOpenLinkDetectedBesideAnother: the half-open link has no open set-up, but releases of standing calls would be lost
-// on it.
+// TestHalfOpenLinkDetectedBesideAnother checks that a half-open link without open set-ups is closed too, since releases
+// of standing calls would be lost on it.
 func TestHalfOpenLinkDetectedBesideAnother(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, old := newStandingCall(h), h.switchConns[1]
 	h.advance(singleLinkIdleTimeout + 2*maintenanceInterval)
 	d := h.takeDials()
 	if len(d) != 1 {
-		t.Fatalf("%d dials beside a single idle link", len(d))
+		t.Fatalf("%d dials for a switch with one idle link, want 1", len(d))
 	}
 	h.connect(d[0])
 	h.advance(halfOpenTimeout)
@@ -339,9 +340,9 @@
 	h.expectLines(p, "down 1 16")
 }
 
-// TestReportsOnAllLinksKeepThem: each link reports a change of the trunk group in turn, in any order, and a new link's first
-// report is sent there alone. No link may count as half-open for that; otherwise each change would make a whole fleet
-// reconnect.
+// TestReportsOnAllLinksKeepThem guards against links that are taken for half-open while they work, which would make a
+// whole fleet reconnect at each change of a trunk group: a change is reported on one link after the other, in any
+// order, and the first report on a new link is sent on that link alone.
 func TestReportsOnAllLinksKeepThem(t *testing.T) {
 	h := newConnectedHarness(t)
 	links := []ConnID{h.switchConns[1]}
@@ -375,7 +376,8 @@
 	}
 }
 
-// TestHungSwitchKeepsLinks: the links of a hung process go silent together and work again together, so none is closed.
+// TestHungSwitchKeepsLinks checks that no link of a hung process is closed: its links stop delivering together and work
+// again together.
 func TestHungSwitchKeepsLinks(t *testing.T) {
 	h := newConnectedHarness(t)
 	p, old := h.accept(), h.switchConns[1]
@@ -392,11 +394,11 @@
 	h.advance(halfOpenGrace)
 	h.expectLines(p, "up 1")
 	if h.closed[old] {
-		t.Fatal("link closed though it works again")
+		t.Fatal("link closed although it works again")
 	}
 }
 
-// newStandingCall sets up a call that stands at switch 1 and returns its caller.
+// newStandingCall sets up call 1, which stands at switch 1, and returns its caller.
 func newStandingCall(h *harness) (p ConnID) {
 	p = h.accept()
 	h.receiveLines(p, setUp(1, 1, ""))
@@ -405,8 +407,8 @@
 	return p
 }
 
-// TestReleaseLostWithLink checks that a new link is opened after the loss of one, even if another is up, because the switch
-// repeats lost releases only on a new link.
+// TestReleaseLostWithLink checks that a new link is opened after the loss of one, even if another is established,
+// because the switch repeats lost releases only on a new link.
 func TestReleaseLostWithLink(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := newStandingCall(h)
@@ -454,7 +456,7 @@
 	h.expectIdle()
 }
 
-// failDials fails every dial to a switch in the same way, for the given time or until a line for the caller is written.
+// failDials fails every dial to a switch for the given reason, for time d or until a line to the caller is written.
 func (h *harness) failDials(reason DialFailure, d time.Duration, p ConnID) {
 	for until := h.clock + d; h.clock < until && len(h.written[p]) == 0; h.advance(50 * ms) {
 		for _, d := range h.takeDials() {
@@ -468,8 +470,8 @@
 	}
 }
 
-// TestCallsEndWhenNoLinkFollowsReset: a link may take a second to establish, so a process that reset its last link counts as
-// dead only if none is established for longer.
+// TestCallsEndWhenNoLinkFollowsReset checks that a process that reset its last link counts as dead if no new one is
+// established, but not before a second has passed, as a link may take that long to establish.
 func TestCallsEndWhenNoLinkFollowsReset(t *testing.T) {
 	h := newConnectedHarness(t)
 	p := newStandingCall(h)
@@ -484,7 +486,7 @@
 	h.expectIdle()
 }
 
-// newDrainingSwitch returns a call that stands at a draining switch, which has two links and accepts no new ones.
+// newDrainingSwitch returns a harness in which call 1 of caller p stands at switch 1, which drains and has two links.
 func newDrainingSwitch(t *testing.T) (h *harness, p ConnID, links [2]ConnID) {
 	h = newConnectedHarness(t)
 	links[0] = h.switchConns[1]
@@ -507,8 +509,8 @@
 	return n
 }
 
-// TestDrainingSwitchKeepsCalls: a draining switch is silent on its links as no set-ups arrive. Its calls stand until it
-// releases them, even if one of its links is reset before, and it is sent few heartbeats.
+// TestDrainingSwitchKeepsCalls checks that calls at a draining switch stand until it releases them, although it refuses
+// new links, sends nothing as no set-ups arrive, and resets one of its links. It is sent few heartbeats.
 func TestDrainingSwitchKeepsCalls(t *testing.T) {
 	h, p, links := newDrainingSwitch(t)
 	heartbeats := 0
@@ -528,8 +530,8 @@
 	h.expectLines(p, "down 1 16")
 }
 
-// TestSwitchDiedBehindHalfOpenLink: one link was reset, new ones are refused and the remaining one is half-open. The calls
-// are over within 3 s.
+// TestSwitchDiedBehindHalfOpenLink checks that the calls at a dead switch are over within 3 s if one link was reset,
+// new ones are refused and the remaining one is half-open.
 func TestSwitchDiedBehindHalfOpenLink(t *testing.T) {
 	h, p, links := newDrainingSwitch(t)
 	h.failDials(DialRefused, 3*time.Second, p)
@@ -561,7 +563,7 @@
 		}
 	}
 	h.expectLines(p, "down 1 41")
-	// The calls of a hung process stand: its machine accepts connections.
+	// The calls of a hung process stand, as its machine accepts connections.
 	h = newConnectedHarness(t)
 	p = newStandingCall(h)
 	for range 90 {
@@ -677,7 +679,7 @@
 		h.connect(d)
 	}
 	if heartbeat(h) != 1 {
-		t.Fatal("heartbeat fails though all switches have reported")
+		t.Fatal("heartbeat fails although all switches have reported")
 	}
 	p := newStandingCall(h)
 	h.Stop(h.clock)
@@ -690,7 +692,7 @@
 	h.expectLines(p, "up 2", "down 2 16")
 	h.advance(3 * time.Second)
 	if h.exited {
-		t.Fatal("exit while a call stands")
+		t.Fatal("process exits while a call stands")
 	}
 	h.receiveLines(h.switchConns[1], down(1, 16, ""))
 	h.expectLines(p, "down 1 16")
@@ -701,7 +703,7 @@
 	late := newHarness(t)
 	late.advance(readyTimeout)
 	if heartbeat(late) != 1 {
-		t.Fatal("heartbeat fails because of silent switches")
+		t.Fatal("heartbeat fails after readyTimeout because of switches that have not reported")
 	}
 }
 
@@ -709,7 +711,7 @@
 	frame := coordinator.AppendFrame(nil, coordinator.Event{Index: 2, Entries: []coordinator.Entry{entry(1, 1, 2, decide.Draining)}})
 	for name, lose := range map[string]func(h *harness){
 		"closed in the middle of an event": func(h *harness) { h.Receive(h.clock, h.coordConn, frame[:9]); h.Closed(h.clock, h.coordConn) },
-		"silent":                           func(h *harness) { h.advance(listSilenceTimeout + 2*maintenanceInterval) },
+		"silent":                           func(h *harness) { h.advance(coordinatorIdleTimeout + 2*maintenanceInterval) },
 		"spoilt":                           func(h *harness) { h.Receive(h.clock, h.coordConn, []byte{0xff, 0xff, 0xff, 0xff}) },
 		"moved":                            func(h *harness) { h.SetCoordinator(h.clock, entry(0, 0, 99, 0).Addr) },
 	} {
@@ -732,8 +734,8 @@
 	}
 }
 
-// TestReconnectsAreSpread checks that proxies that lose the coordinator at the same instant reconnect at different times,
-// which depend on the seed alone.
+// TestReconnectsAreSpread checks that proxies that lose the coordinator at the same instant reconnect at different
+// times, which depend on the seed alone.
 func TestReconnectsAreSpread(t *testing.T) {
 	dialTimes := func(seed string) (at []time.Duration) {
 		cfg, err := ParseConfig([]byte(strings.Replace(config, "8c1f30d27a5be964", seed, 1)))
@@ -770,8 +772,8 @@
 	}
 }
 
-// TestStartTimeConversion: start times are Unix milliseconds. A switch that started at 0 or before the cold period counts
-// as warm.
+// TestStartTimeConversion checks the conversion of start times, which are Unix milliseconds. A switch that started at
+// 0, or long before the proxy, counts as warm.
 func TestStartTimeConversion(t *testing.T) {
 	h := newHarness(t)
 	h.advance(2 * time.Second)
@@ -784,7 +786,8 @@
 	}
 }
 
-// TestAnyOrderOfEventsLeavesOneAnswer feeds events in any order, several at the same time, and checks the lines written.
+// TestAnyOrderOfEventsLeavesOneAnswer feeds random events one after the other and checks that each call gets one final
+// answer and one end, and has one open attempt at a time.
 func TestAnyOrderOfEventsLeavesOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newConnectedHarness(t)
--- a/internal/platform/stopping_test.go
+++ b/internal/platform/shutdown_test.go
@@ -8,9 +8,9 @@
 	"pipitring/internal/jsonl"
 )
 
-// TestCallsAnsweredBeforeKill: transit calls keep arriving after SIGTERM as long as the process runs, which a standing call
-// keeps alive, and the switch answers none of them. SIGKILL may come 0.7 s after the longest deadline, of which at most 3 s
-// count.
+// TestCallsAnsweredBeforeKill checks that every call has its final answer when SIGKILL may come: 0.7 s after the
+// longest class deadline, of which at most 3 s count. After SIGTERM transit calls keep arriving, none of which the
+// switch answers, and a standing call keeps the process running.
 func TestCallsAnsweredBeforeKill(t *testing.T) {
 	for _, c := range []struct {
 		deadlines [2]string // of classes voice and alarm
@@ -46,7 +46,7 @@
 			}
 		}
 		if refused == n {
-			t.Error("all calls refused despite enough time")
+			t.Error("all calls refused although there was time to set some up")
 		}
 		h.receiveLines(p, transitSetUp(n+1)) // in case SIGKILL comes late
 		h.expectLines(p, "down "+strings.TrimLeft(ref(n+1), "0")+" 42")
--- a/internal/platform/switches.go
+++ b/internal/platform/switches.go
@@ -19,61 +19,73 @@
 
 // Limits of links to switches.
 const (
-	setUpsPerLink         = 8                      // open set-ups on each link before another link is opened
-	linkRetryMin          = 50 * time.Millisecond  // before a failed dial is retried; doubled on each further failure
+	setUpsPerLink         = 8                      // number of open set-ups on each link at which another link is opened
+	linkRetryMin          = 50 * time.Millisecond  // delay before a failed dial is retried; doubled on each further failure
 	linkRetryMax          = 800 * time.Millisecond // upper limit of the retry delay
 	defaultConnectTimeout = 500 * time.Millisecond // connect timeout if the settings have none
-	// A lost machine sends nothing, and neither does a half-open connection. If calls stand and nothing was received for
-	// singleLinkIdleTimeout on a single link, or for multiLinkIdleTimeout on several, a new link is dialled as a liveness
-	// probe. A refusal proves life too, since a draining switch accepts no connections. If no link comes up within
-	// hostLossTimeout, the calls are over.
+
+	// singleLinkIdleTimeout is how long nothing may be received from a switch with one link and standing calls until a
+	// new link is dialled as a liveness probe: nothing arrives from a lost machine or on a half-open connection.
 	singleLinkIdleTimeout = 300 * time.Millisecond
-	multiLinkIdleTimeout  = 1500 * time.Millisecond
-	hostLossTimeout       = 5 * time.Second
-	maxResponseDelay      = time.Second // longest time to establish a connection, or for an overloaded processor to answer a heartbeat
-	// A switch also sends its releases on the next link that is opened. Releases that it wrote before it detected the
-	// loss of a link are repeated only on a link opened after that, so one is opened this long after a loss.
+	// multiLinkIdleTimeout is the same for a switch with several links, and the least time between two such probes.
+	multiLinkIdleTimeout = 1500 * time.Millisecond
+	// hostLossTimeout is how long nothing may be received while dials time out until standing calls are over. A refused
+	// dial shows that the machine is up: a draining switch refuses every dial.
+	hostLossTimeout = 5 * time.Second
+	// maxResponseDelay is the longest time that it takes to establish a connection, or an overloaded processor to
+	// answer a heartbeat.
+	maxResponseDelay = time.Second
+
+	// lossDetectionDelay is the time after the loss of a link at which a new one is opened. A switch repeats its
+	// releases on the next link that is opened, but those that it wrote before it detected the loss only on a link
+	// opened after that.
 	lossDetectionDelay = 150 * time.Millisecond
-	maxSetUpLinks      = maxLinks - 1 // the last link is reserved for repeated releases
-	// A set-up changes the trunk group's state, which the switch reports at once on every link and on each new one. A
-	// link that delivers no complete line for this long after one was due, while another link does, is half-open.
+	// maxSetUpLinks is the largest number of links opened for set-ups. The last link is reserved for repeated releases.
+	maxSetUpLinks = maxLinks - 1
+
+	// halfOpenTimeout is how long after a line is due on a link the link counts as half-open, if another link delivers
+	// lines. A line is due after a set-up, which changes the trunk group's state: the switch reports that at once on
+	// every link, and on each new one.
 	halfOpenTimeout = 200 * time.Millisecond
-	halfOpenGrace   = 50 * time.Millisecond // extra time for a half-open link once another link delivers, as both may have been delayed
-	maxUnsentBytes  = 256 << 10             // bytes of releases that wait for a link
+	// halfOpenGrace is the extra time for a half-open link once another link delivers, as both may have been delayed.
+	halfOpenGrace = 50 * time.Millisecond
+
+	maxUnsentBytes = 256 << 10 // limit of the encoded releases that wait for a link to one switch, in bytes
 )
 
-// neighbour is one switch on the exchange list. It is a process, identified by its ID, not its address.
-type neighbour struct {
+// switchPeer is one switch on the exchange list and the links to it. A switch is a process, identified by its ID and
+// not by its address; the decision module calls it a processor.
+type switchPeer struct {
 	core             *Core
 	id               decide.ExchangeID
 	number           int
 	addr             netip.AddrPort
 	phase            decide.Phase
 	started          int64
-	replaced         bool    // another ID has taken over its address
-	restarted        bool    // the list announced a new start
+	replaced         bool    // a switch with another ID has taken over its address
+	restarted        bool    // the list has a later start time; cleared by handleListChange
 	links            []*link // established links
 	dialling         ConnID  // 0 if no dial is in progress
-	retryScheduled   bool    // a dial is due after the retry delay
+	retryScheduled   bool    // maintainLinks is due after the retry delay
 	retryDelay       time.Duration
-	lastReceived     time.Duration // when something was last received from it
+	lastReceived     time.Duration // when bytes were last received from it, or a link was established
 	lastProbe        time.Duration
 	hasReported      bool
 	lastDialFailed   bool          // the last dial failed
 	lastDialTimedOut bool          // the last dial failed by timeout
-	linkClosedAt     time.Duration // when it last closed or reset a link; 0 after a link comes up or a heartbeat is answered
-	heartbeatSentAt  time.Duration // when a heartbeat was sent that nothing has answered yet; 0 if none
+	linkClosedAt     time.Duration // when it last closed or reset a link; 0 after a link is established or a heartbeat answered
+	heartbeatSentAt  time.Duration // when the pending heartbeat was sent; any line answers it; 0 if none
 	waitingAttempts  []*attempt
 	standingCalls    int
 	unsentReleases   []byte        // encoded releases that wait for a link
-	recoveryLinkAt   time.Duration // a link opened from then on repeats the releases lost with a link; 0 if none is due
+	recoveryLinkAt   time.Duration // from then on a new link is due, on which lost releases are repeated; 0 if none is
 	dialledAt        time.Duration
 }
 
 // link is one connection to a switch.
 type link struct {
 	id           ConnID
-	neighbour    *neighbour
+	peer         *switchPeer
 	lines        jsonl.LineSplitter
 	openAttempts map[string]*attempt // open attempts, by reference
 	closed       bool
@@ -89,16 +101,16 @@
 	if l.lineDueSince != 0 || l.closed {
 		return
 	}
-	l.lineDueSince = max(1, l.neighbour.core.now)
+	l.lineDueSince = max(1, l.peer.core.now)
 	if !l.checkTimer.Running() {
-		l.neighbour.core.timerQueue.Set(&l.checkTimer, l.lineDueSince+halfOpenTimeout)
+		l.peer.core.timerQueue.Set(&l.checkTimer, l.lineDueSince+halfOpenTimeout)
 	}
 }
 
-// checkOverdue checks whether the line that is due has arrived. A connection with an incomplete line is closed, since
-// the rest will not follow.
+// checkOverdue checks whether the line that is due has arrived. If not, a link with an incomplete line is closed, since
+// the rest will not follow; any other counts as half-open, and another link is opened to tell it from a hung switch.
 func (l *link) checkOverdue() {
-	c := l.neighbour.core
+	c := l.peer.core
 	switch {
 	case l.lineDueSince == 0:
 	case c.now < l.lineDueSince+halfOpenTimeout:
@@ -107,24 +119,25 @@
 		l.closeFaulty()
 	case !l.halfOpen:
 		l.halfOpen = true
-		l.neighbour.connect()
+		l.peer.connect()
 	}
 }
 
-// lineReceived records that a complete line arrived on the link. A change of the trunk group is reported on all links at
-// once, so a line is due on each link that has delivered none just now. This does not hold for the first report on a new
-// link, which is sent there alone. Half-open links are closed after a grace time.
+// lineReceived records that a complete line arrived on the link. A switch reports a change of the trunk group on all
+// links at once, so after a report a line is due on each other link that has delivered none just now. The first report
+// on a new link is an exception, as it is sent on that link alone. Other links that are half-open are closed after
+// halfOpenGrace.
 func (l *link) lineReceived(isReport bool) {
-	if l.neighbour.heartbeatSentAt != 0 {
-		l.neighbour.heartbeatSentAt, l.neighbour.linkClosedAt = 0, 0 // the switch is alive, whichever link has ended
+	if l.peer.heartbeatSentAt != 0 {
+		l.peer.heartbeatSentAt, l.peer.linkClosedAt = 0, 0 // the switch is alive, whichever of its links has ended
 	}
-	now, first := l.neighbour.core.now, l.lastLineAt == 0
+	now, first := l.peer.core.now, l.lastLineAt == 0
 	l.lineDueSince, l.halfOpen, l.lastLineAt = 0, false, max(1, now)
-	for _, other := range l.neighbour.links {
+	for _, other := range l.peer.links {
 		switch {
 		case other == l:
 		case other.halfOpen:
-			l.neighbour.core.after(halfOpenGrace, func() {
+			l.peer.core.after(halfOpenGrace, func() {
 				if other.halfOpen && !other.closed {
 					other.closeFaulty()
 				}
@@ -136,174 +149,178 @@
 }
 
 func (l *link) sendDown(ref string, cause int) {
-	l.neighbour.core.write(l.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, 0) })
+	l.peer.core.write(l.id, func(b []byte) []byte { return jsonl.AppendDown(b, ref, cause, 0) })
 }
 
-// needsLink reports whether a link is kept open: for load reports while set-ups may be sent, for releases while calls
-// stand.
-func (n *neighbour) needsLink() bool {
-	return n.phase == decide.Ready && n.number != n.core.cfg.Setup.Settings.OwnExchange || n.standingCalls > 0 || len(n.waitingAttempts) > 0 ||
-		len(n.unsentReleases) > 0
+// needsLink reports whether a link has to be open: for load reports if set-ups may be sent, for releases if calls
+// stand, and for attempts and releases that wait for one.
+func (s *switchPeer) needsLink() bool {
+	return s.phase == decide.Ready && s.number != s.core.cfg.Setup.Settings.OwnExchange || s.standingCalls > 0 || len(s.waitingAttempts) > 0 ||
+		len(s.unsentReleases) > 0
 }
 
-// pickLink returns the link with the fewest open set-ups, or nil if there is none, and opens another link when all have
-// many: the loss of a link cuts all set-ups on it.
-func (n *neighbour) pickLink() (best *link) {
-	for _, l := range n.links {
+// pickLink returns the link for the next set-up, or nil if there is none: the one with the fewest open set-ups, a
+// half-open one last. If it has setUpsPerLink or more, another link is opened, because the loss of a link cuts all
+// set-ups on it.
+func (s *switchPeer) pickLink() (best *link) {
+	for _, l := range s.links {
 		if best == nil || best.halfOpen && !l.halfOpen || best.halfOpen == l.halfOpen && len(l.openAttempts) < len(best.openAttempts) {
 			best = l
 		}
 	}
-	if best != nil && len(best.openAttempts) >= setUpsPerLink && len(n.links) < maxSetUpLinks {
-		n.connect()
+	if best != nil && len(best.openAttempts) >= setUpsPerLink && len(s.links) < maxSetUpLinks {
+		s.connect()
 	}
 	return best
 }
 
-// connect opens one more link unless a dial is in progress. The last descriptors are not spent on an additional link.
-func (n *neighbour) connect() {
-	if n.dialling != 0 || len(n.links) >= maxLinks || len(n.links) > 0 && n.core.descriptorsInUse() >= n.core.cfg.Sockets {
+// connect dials one more link unless a dial is in progress or the switch has maxLinks. If no descriptors are left, only
+// the first link to a switch is dialled.
+func (s *switchPeer) connect() {
+	if s.dialling != 0 || len(s.links) >= maxLinks || len(s.links) > 0 && s.core.descriptorsInUse() >= s.core.cfg.Sockets {
 		return
 	}
-	timeout := n.core.cfg.Setup.ConnectTimeout
+	timeout := s.core.cfg.Setup.ConnectTimeout
 	if timeout <= 0 {
 		timeout = defaultConnectTimeout
 	}
-	n.dialledAt = n.core.now
-	n.dialling = n.core.dial(n.addr, timeout)
-	l := &link{id: n.dialling, neighbour: n, openAttempts: map[string]*attempt{}}
+	s.dialledAt = s.core.now
+	s.dialling = s.core.dial(s.addr, timeout)
+	l := &link{id: s.dialling, peer: s, openAttempts: map[string]*attempt{}}
 	l.checkTimer.Value = l.checkOverdue
-	n.core.links[l.id] = l
+	s.core.links[l.id] = l
 }
 
-// maintainLinks opens a link if one is needed and none is up, and, while calls stand, a new one after a loss even if
-// others are up.
-func (n *neighbour) maintainLinks() {
-	needed := len(n.links) == 0 && n.needsLink() || n.recoveryLinkAt != 0 && n.core.now >= n.recoveryLinkAt && n.standingCalls > 0
-	if needed && !n.retryScheduled && n.phase != decide.Removed && !n.replaced {
-		n.connect()
+// maintainLinks opens a link if one is needed and none is established, and, if calls stand, a new one after the loss of
+// another.
+func (s *switchPeer) maintainLinks() {
+	needed := len(s.links) == 0 && s.needsLink() || s.recoveryLinkAt != 0 && s.core.now >= s.recoveryLinkAt && s.standingCalls > 0
+	if needed && !s.retryScheduled && s.phase != decide.Removed && !s.replaced {
+		s.connect()
 	}
 }
 
 // linkUp registers an established link.
-func (n *neighbour) linkUp(l *link) {
-	n.dialling, n.retryDelay, n.lastDialFailed, n.lastDialTimedOut, n.linkClosedAt = 0, 0, false, false, 0
-	if n.dialledAt >= n.recoveryLinkAt {
-		n.recoveryLinkAt = 0
+func (s *switchPeer) linkUp(l *link) {
+	s.dialling, s.retryDelay, s.lastDialFailed, s.lastDialTimedOut, s.linkClosedAt = 0, 0, false, false, 0
+	if s.dialledAt >= s.recoveryLinkAt {
+		s.recoveryLinkAt = 0
 	}
-	n.lastReceived = n.core.now
-	n.links = append(n.links, l)
+	s.lastReceived = s.core.now
+	s.links = append(s.links, l)
 	l.expectLine() // the first load report
-	if len(n.unsentReleases) > 0 {
-		n.core.write(l.id, func(b []byte) []byte { return append(b, n.unsentReleases...) })
-		n.unsentReleases = nil
+	if len(s.unsentReleases) > 0 {
+		s.core.write(l.id, func(b []byte) []byte { return append(b, s.unsentReleases...) })
+		s.unsentReleases = nil
 	}
-	waiting := n.waitingAttempts
-	n.waitingAttempts = nil
+	waiting := s.waitingAttempts
+	s.waitingAttempts = nil
 	for _, a := range waiting {
-		n.core.sendSetUp(a, l)
+		s.core.sendSetUp(a, l)
 	}
-	n.maintainLinks()
+	s.maintainLinks()
 }
 
-// handleDialFailure handles a failed dial. If the dial was refused and no link is up, the process is dead and its calls
-// are over. The same holds if the switch closed its last link and no new one is established within
-// maxResponseDelay. If the dial was refused while other links are up, the switch may be draining: it accepts no
-// connections but is alive. A lost machine leaves its connections open.
-func (n *neighbour) handleDialFailure(l *link, reason DialFailure) {
-	n.dialling = 0
-	delete(n.core.links, l.id)
-	if reason == DialNoDescriptors { // waiting attempts have their own timeout, and standing calls are not in doubt
-		n.core.evictIdleCaller()
-		n.scheduleReconnect()
+// handleDialFailure handles a failed dial. If the dial was refused and no other link is established, the process is
+// dead and its calls are over. The same holds if the switch closed its last link and no new one is established within
+// maxResponseDelay. If the dial was refused while other links are established, the switch may be draining and alive, or
+// dead behind half-open links, which probeLiveness finds out.
+func (s *switchPeer) handleDialFailure(l *link, reason DialFailure) {
+	s.dialling = 0
+	delete(s.core.links, l.id)
+	if reason == DialNoDescriptors { // this says nothing about the switch; waiting attempts have their own timeout
+		s.core.evictIdleCaller()
+		s.scheduleReconnect()
 		return
 	}
-	n.lastDialFailed, n.lastDialTimedOut = true, reason == DialTimedOut
-	n.endWaitingAttempts(decide.Unreachable)
+	s.lastDialFailed, s.lastDialTimedOut = true, reason == DialTimedOut
+	s.endWaitingAttempts(decide.Unreachable)
 	switch {
-	case len(n.links) == 0 && (reason == DialRefused || n.linkClosedAt != 0 && n.core.now-n.linkClosedAt > maxResponseDelay):
-		n.cutStandingCalls("accepts no new connections")
-	case len(n.links) > 0 && reason == DialRefused && n.standingCalls > 0:
-		n.probeLiveness()
-	}
-	n.scheduleReconnect()
-}
-
-// probeLiveness checks whether a switch that accepts no new link is alive. It may be draining, and silent as no set-ups
-// arrive, or its process is dead and the remaining links were half-open when it died, so that no reset ends them. A
-// heartbeat costs the switch work, so it is sent only after another link was closed or nothing was received for long:
-// first on the link that delivered last, then on all. If no line arrives, the calls are over.
-func (n *neighbour) probeLiveness() {
-	c := n.core
-	if n.heartbeatSentAt != 0 || n.linkClosedAt == 0 && c.now-n.lastReceived < hostLossTimeout {
+	case len(s.links) == 0 && (reason == DialRefused || s.linkClosedAt != 0 && s.core.now-s.linkClosedAt > maxResponseDelay):
+		s.cutStandingCalls("accepts no new connections")
+	case len(s.links) > 0 && reason == DialRefused && s.standingCalls > 0:
+		s.probeLiveness()
+	}
+	s.scheduleReconnect()
+}
+
+// probeLiveness checks whether a switch that refuses new links is alive. It may be draining, and send nothing as it
+// gets no set-ups, or its process is dead and the remaining links were half-open when it died, so that no reset ends
+// them. A heartbeat costs the switch work, so it is sent only if the switch closed a link or nothing was received for
+// hostLossTimeout: first on the link that delivered last, after halfOpenTimeout on all. If no line arrives within
+// maxResponseDelay, the calls are over.
+func (s *switchPeer) probeLiveness() {
+	c := s.core
+	if s.heartbeatSentAt != 0 || s.linkClosedAt == 0 && c.now-s.lastReceived < hostLossTimeout {
 		return
 	}
 	sentAt := max(1, c.now)
-	n.heartbeatSentAt = sentAt
-	newest := slices.MaxFunc(n.links, func(a, b *link) int { return cmp.Compare(a.lastLineAt, b.lastLineAt) })
+	s.heartbeatSentAt = sentAt
+	newest := slices.MaxFunc(s.links, func(a, b *link) int { return cmp.Compare(a.lastLineAt, b.lastLineAt) })
 	newest.sendHeartbeat()
 	c.after(halfOpenTimeout, func() {
-		for _, l := range n.links {
-			if n.heartbeatSentAt == sentAt && l != newest {
+		for _, l := range s.links {
+			if s.heartbeatSentAt == sentAt && l != newest {
 				l.sendHeartbeat()
 			}
 		}
 	})
 	c.after(maxResponseDelay, func() {
-		if n.heartbeatSentAt != sentAt {
+		if s.heartbeatSentAt != sentAt {
 			return
 		}
-		n.heartbeatSentAt = 0
-		for _, l := range slices.Clone(n.links) {
+		s.heartbeatSentAt = 0
+		for _, l := range slices.Clone(s.links) {
 			l.closeFaulty()
 		}
-		n.cutStandingCalls("answers no heartbeat and accepts no new connections")
+		s.cutStandingCalls("answers no heartbeat and accepts no new connections")
 	})
 }
 
 func (l *link) sendHeartbeat() {
-	c := l.neighbour.core
+	c := l.peer.core
 	c.write(l.id, func(b []byte) []byte { return jsonl.AppendHeartbeat(b, c.rng.Uint64()) })
 }
 
-// scheduleReconnect dials again after the retry delay.
-func (n *neighbour) scheduleReconnect() {
-	n.retryDelay = min(max(2*n.retryDelay, linkRetryMin), linkRetryMax)
-	n.retryScheduled = true
-	n.core.after(n.core.jitter(n.retryDelay), func() {
-		n.retryScheduled = false
-		n.maintainLinks()
+// scheduleReconnect opens a link after the retry delay if one is still needed.
+func (s *switchPeer) scheduleReconnect() {
+	s.retryDelay = min(max(2*s.retryDelay, linkRetryMin), linkRetryMax)
+	s.retryScheduled = true
+	s.core.after(s.core.jitter(s.retryDelay), func() {
+		s.retryScheduled = false
+		s.maintainLinks()
 	})
 }
 
 // endWaitingAttempts ends the attempts that wait for a link.
-func (n *neighbour) endWaitingAttempts(o decide.Outcome) {
-	waiting := n.waitingAttempts
-	n.waitingAttempts = nil
+func (s *switchPeer) endWaitingAttempts(o decide.Outcome) {
+	waiting := s.waitingAttempts
+	s.waitingAttempts = nil
 	for _, a := range waiting {
-		n.core.endAttempt(a, o)
+		s.core.endAttempt(a, o)
 	}
 }
 
 // removeWaiting removes an attempt from those that wait for a link.
-func (n *neighbour) removeWaiting(a *attempt) {
-	n.waitingAttempts = slices.DeleteFunc(n.waitingAttempts, func(o *attempt) bool { return o == a })
+func (s *switchPeer) removeWaiting(a *attempt) {
+	s.waitingAttempts = slices.DeleteFunc(s.waitingAttempts, func(o *attempt) bool { return o == a })
 }
 
-// cutStandingCalls ends the calls that stood at a process that is dead or removed.
-func (n *neighbour) cutStandingCalls(reason string) {
-	if n.standingCalls == 0 {
+// cutStandingCalls ends the calls that stand at a switch whose process is dead or removed. Reason completes the log
+// line.
+func (s *switchPeer) cutStandingCalls(reason string) {
+	if s.standingCalls == 0 {
 		return
 	}
-	n.core.logLine(fmt.Sprintf("switch at %v %s: releasing its %d standing calls", n.addr, reason, n.standingCalls))
-	for _, k := range n.core.standingCallsAt(n) {
-		n.core.releaseFromSwitch(k, jsonl.CauseTemporaryFailure, decide.NoReport)
+	s.core.logLine(fmt.Sprintf("switch at %v %s: releasing its %d standing calls", s.addr, reason, s.standingCalls))
+	for _, k := range s.core.standingCallsAt(s) {
+		s.core.releaseFromSwitch(k, jsonl.CauseTemporaryFailure, decide.NoReport)
 	}
 }
 
-func (c *Core) standingCallsAt(n *neighbour) (list []*call) {
+func (c *Core) standingCallsAt(s *switchPeer) (list []*call) {
 	for _, k := range c.calls {
-		if k.standing && k.neighbour == n {
+		if k.standing && k.standingAt == s {
 			list = append(list, k)
 		}
 	}
@@ -311,88 +328,90 @@
 	return list
 }
 
-// handleLoss handles the end of a link, closed by either side: the open set-ups on it are cut.
+// handleLoss handles the end of a link, closed by either side: the open attempts on it end as cut, and a new link is
+// opened if one is needed.
 func (l *link) handleLoss() {
 	if l.closed {
 		return
 	}
-	n := l.neighbour
+	s := l.peer
 	l.remove()
-	n.links = slices.DeleteFunc(n.links, func(o *link) bool { return o == l })
-	n.recoveryLinkAt = n.core.now + lossDetectionDelay
-	n.core.after(lossDetectionDelay, n.maintainLinks)
+	s.links = slices.DeleteFunc(s.links, func(o *link) bool { return o == l })
+	s.recoveryLinkAt = s.core.now + lossDetectionDelay
+	s.core.after(lossDetectionDelay, s.maintainLinks)
 	attempts := make([]*attempt, 0, len(l.openAttempts))
 	for _, a := range l.openAttempts {
 		attempts = append(attempts, a)
 	}
 	slices.SortFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.call.id, b.call.id) })
-	if len(n.links) == 0 && (n.phase == decide.Removed || n.replaced) {
-		n.cutStandingCalls("was removed from the list and has closed its connections")
+	if len(s.links) == 0 && (s.phase == decide.Removed || s.replaced) {
+		s.cutStandingCalls("was removed from the list and has closed its connections")
 	}
 	for _, a := range attempts {
-		n.core.endAttempt(a, decide.Cut)
+		s.core.endAttempt(a, decide.Cut)
 	}
-	n.maintainLinks()
-	n.core.removeIfIdle(n)
+	s.maintainLinks()
+	s.core.removeIfIdle(s)
 }
 
 // remove unregisters a link that has ended.
 func (l *link) remove() {
 	l.closed = true
-	l.neighbour.core.timerQueue.Stop(&l.checkTimer)
-	delete(l.neighbour.core.links, l.id)
+	l.peer.core.timerQueue.Stop(&l.checkTimer)
+	delete(l.peer.core.links, l.id)
 }
 
 // close closes the link from this side.
 func (l *link) close() {
-	l.neighbour.core.close(l.id, false)
+	l.peer.core.close(l.id, false)
 	l.handleLoss()
 }
 
-// closeFaulty closes a link that is unusable: its input was invalid, or nothing was received.
+// closeFaulty closes a link whose input was invalid or incomplete, or that is half-open.
 func (l *link) closeFaulty() {
-	l.neighbour.core.Stats.SwitchErrors++
+	l.peer.core.Stats.SwitchErrors++
 	l.close()
 }
 
-// sendRelease sends the release of a standing call: on the link of its set-up, else on any, else on the next one opened.
-func (n *neighbour) sendRelease(k *call, cause int) {
+// sendRelease sends the release of a standing call to the switch: on the link of its set-up, else on another one. If
+// none is established, the release is stored for the next one, unless the switch was removed or replaced.
+func (s *switchPeer) sendRelease(k *call, cause int) {
 	on := k.link
 	if on == nil || on.closed {
-		if len(n.links) == 0 {
-			if len(n.unsentReleases) < maxUnsentBytes && n.phase != decide.Removed && !n.replaced {
-				n.unsentReleases = jsonl.AppendDown(n.unsentReleases, k.ref, cause, 0)
-				n.maintainLinks()
+		if len(s.links) == 0 {
+			if len(s.unsentReleases) < maxUnsentBytes && s.phase != decide.Removed && !s.replaced {
+				s.unsentReleases = jsonl.AppendDown(s.unsentReleases, k.ref, cause, 0)
+				s.maintainLinks()
 			}
 			return
 		}
-		on = n.links[0]
+		on = s.links[0]
 	}
 	on.sendDown(k.ref, cause)
 }
 
-// checkLiveness detects switches that do not respond while calls stand, and maintains the links.
-func (n *neighbour) checkLiveness() {
-	n.maintainLinks()
-	if n.standingCalls == 0 {
+// checkLiveness maintains the links and, if calls stand, checks whether the switch responds.
+func (s *switchPeer) checkLiveness() {
+	s.maintainLinks()
+	if s.standingCalls == 0 {
 		return
 	}
-	now := n.core.now
-	switch quiet := now - n.lastReceived; {
-	case quiet > hostLossTimeout && n.lastDialTimedOut:
-		n.cutStandingCalls("sends nothing and connection attempts time out")
-	case quiet > singleLinkIdleTimeout && len(n.links) == 1, quiet > multiLinkIdleTimeout && now-n.lastProbe > multiLinkIdleTimeout:
-		n.lastProbe = now
-		if len(n.links) >= maxLinks {
-			n.pickLink().close()
+	now := s.core.now
+	switch idle := now - s.lastReceived; {
+	case idle > hostLossTimeout && s.lastDialTimedOut:
+		s.cutStandingCalls("sends nothing and connection attempts time out")
+	case idle > singleLinkIdleTimeout && len(s.links) == 1, idle > multiLinkIdleTimeout && now-s.lastProbe > multiLinkIdleTimeout:
+		s.lastProbe = now
+		if len(s.links) >= maxLinks {
+			s.pickLink().close()
 		}
-		n.connect()
+		s.connect()
 	}
 }
 
 func (l *link) receive(b []byte) {
-	n := l.neighbour
-	n.lastReceived = n.core.now
+	s := l.peer
+	s.lastReceived = s.core.now
 	err := l.lines.Push(b, func(line []byte) bool {
 		m, err := jsonl.Parse(line)
 		if err != nil {
@@ -413,7 +432,7 @@
 }
 
 func (l *link) handleMessage(m *jsonl.Message) {
-	n, c := l.neighbour, l.neighbour.core
+	s, c := l.peer, l.peer.core
 	switch m.Type {
 	case jsonl.TypeUp:
 		a := l.openAttempts[m.Ref]
@@ -433,18 +452,18 @@
 		}
 		k := c.calls[m.Ref]
 		switch {
-		case k != nil && k.standing && k.neighbour == n:
+		case k != nil && k.standing && k.standingAt == s:
 			c.releaseFromSwitch(k, m.Cause, report)
 		case k == nil && c.now < releaseLifetime && len(c.earlyReleases) < maxEarlyReleases:
 			c.earlyReleases[m.Ref] = earlyRelease{c.now, m.Cause}
 		}
 	case jsonl.TypeGauge:
-		n.hasReported = true
-		c.feed(decide.ReportReceived{Exchange: n.id, Outcome: decide.Completed, Report: c.parseReport(m)})
+		s.hasReported = true
+		c.feed(decide.ReportReceived{Exchange: s.id, Outcome: decide.Completed, Report: c.parseReport(m)})
 	}
 }
 
-// releaseOutcome converts a release before the answer to the decision module's terms.
+// releaseOutcome converts a release of a set-up before its answer to the decision module's outcome and cause.
 func releaseOutcome(m *jsonl.Message) (decide.Outcome, decide.Cause) {
 	cause := causeByNote[m.Fields["note"]]
 	switch m.Cause {
@@ -483,38 +502,38 @@
 	}
 }
 
-// applyEvent applies a list event to the switches' addresses and phases. It returns the switches that changed.
-func (c *Core) applyEvent(ev coordinator.Event) (changed []*neighbour) {
+// applyEvent applies a list event to the switches and returns those that changed.
+func (c *Core) applyEvent(ev coordinator.Event) (changed []*switchPeer) {
 	if ev.Full {
 		listed := map[decide.ExchangeID]bool{}
 		for _, e := range ev.Entries {
 			listed[decide.ExchangeID(e.ID)] = true
 		}
-		for _, n := range c.switchesByID() {
-			if !listed[n.id] {
-				n.phase = decide.Removed
-				changed = append(changed, n)
+		for _, s := range c.switchesByID() {
+			if !listed[s.id] {
+				s.phase = decide.Removed
+				changed = append(changed, s)
 			}
 		}
 	}
 	for _, e := range ev.Entries {
-		n := c.switches[decide.ExchangeID(e.ID)]
-		if n == nil {
+		s := c.switches[decide.ExchangeID(e.ID)]
+		if s == nil {
 			if e.Phase == decide.Removed {
 				continue
 			}
-			n = &neighbour{core: c, id: decide.ExchangeID(e.ID), started: e.Started, lastReceived: c.now}
-			c.switches[n.id] = n
+			s = &switchPeer{core: c, id: decide.ExchangeID(e.ID), started: e.Started, lastReceived: c.now}
+			c.switches[s.id] = s
 		}
-		n.restarted = n.restarted || e.Started > n.started
-		n.number, n.phase, n.started = e.Number, e.Phase, e.Started
-		changed = append(changed, n)
-		if e.Addr == n.addr {
+		s.restarted = s.restarted || e.Started > s.started
+		s.number, s.phase, s.started = e.Number, e.Phase, e.Started
+		changed = append(changed, s)
+		if e.Addr == s.addr {
 			continue
 		}
-		n.addr, n.replaced = e.Addr, false
+		s.addr, s.replaced = e.Addr, false
 		for _, other := range c.switchesByID() {
-			if other != n && other.addr == e.Addr {
+			if other != s && other.addr == e.Addr {
 				other.replaced = true
 				changed = append(changed, other)
 			}
@@ -524,44 +543,45 @@
 }
 
 // handleListChange acts on a change of the switch's list entry.
-func (n *neighbour) handleListChange() {
-	if n.phase != decide.Ready || n.replaced {
-		n.endWaitingAttempts(decide.NotSent) // the list changed while they waited for a link, so they are not sent
+func (s *switchPeer) handleListChange() {
+	if s.phase != decide.Ready || s.replaced {
+		s.endWaitingAttempts(decide.NotSent) // the switch takes no set-ups any more, so those that wait for a link are not sent
 	}
-	if len(n.links) == 0 && (n.phase == decide.Removed || n.replaced || n.restarted) {
-		n.cutStandingCalls("was removed, replaced or restarted according to the list") // calls from before its removal or start are over
+	if len(s.links) == 0 && (s.phase == decide.Removed || s.replaced || s.restarted) {
+		s.cutStandingCalls("was removed, replaced or restarted according to the list") // calls from before the removal or new start are over
 	}
-	n.restarted = false
-	n.maintainLinks()
-	n.core.removeIfIdle(n)
+	s.restarted = false
+	s.maintainLinks()
+	s.core.removeIfIdle(s)
 }
 
-// removeIfIdle removes a switch that left the list once no attempt or call is left there.
-func (c *Core) removeIfIdle(n *neighbour) {
-	if n.phase != decide.Removed || n.standingCalls > 0 || c.switches[n.id] != n {
+// removeIfIdle deletes a switch that was removed from the list and closes its links once it has no open attempt or
+// standing call.
+func (c *Core) removeIfIdle(s *switchPeer) {
+	if s.phase != decide.Removed || s.standingCalls > 0 || c.switches[s.id] != s {
 		return
 	}
-	for _, l := range n.links {
+	for _, l := range s.links {
 		if len(l.openAttempts) > 0 {
 			return
 		}
 	}
-	delete(c.switches, n.id)
-	links := n.links
-	n.links = nil
+	delete(c.switches, s.id)
+	links := s.links
+	s.links = nil
 	for _, l := range links {
 		l.remove()
 		c.close(l.id, false)
 	}
 }
 
-// switchesByID returns the switches sorted by ID, which makes runs reproducible.
-func (c *Core) switchesByID() []*neighbour {
-	list := make([]*neighbour, 0, len(c.switches))
-	for _, n := range c.switches {
-		list = append(list, n)
+// switchesByID returns the switches sorted by ID. The fixed order makes runs reproducible.
+func (c *Core) switchesByID() []*switchPeer {
+	list := make([]*switchPeer, 0, len(c.switches))
+	for _, s := range c.switches {
+		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *neighbour) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *switchPeer) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
 
@@ -572,17 +592,17 @@
 		c.discovery.connected()
 		return
 	}
-	if l := c.links[id]; l != nil && l.neighbour.dialling == id {
-		if l.neighbour.phase == decide.Removed && l.neighbour.standingCalls == 0 {
-			l.neighbour.dialling = 0
+	if l := c.links[id]; l != nil && l.peer.dialling == id {
+		if l.peer.phase == decide.Removed && l.peer.standingCalls == 0 {
+			l.peer.dialling = 0
 			delete(c.links, id)
 			c.close(id, false)
 			return
 		}
-		l.neighbour.linkUp(l)
+		l.peer.linkUp(l)
 		return
 	}
-	c.close(id, false) // no longer needed
+	c.close(id, false) // no longer needed, or unknown
 }
 
 // DialFailed reports that a connection was not established.
@@ -595,8 +615,8 @@
 		c.discovery.connectionLost()
 		return
 	}
-	if l := c.links[id]; l != nil && l.neighbour.dialling == id {
-		l.neighbour.handleDialFailure(l, reason)
+	if l := c.links[id]; l != nil && l.peer.dialling == id {
+		l.peer.handleDialFailure(l, reason)
 	}
 }
 
@@ -619,7 +639,7 @@
 	if p := c.callers[id]; p != nil {
 		p.handleClose()
 	} else if l := c.links[id]; l != nil {
-		l.neighbour.linkClosedAt = max(1, c.now)
+		l.peer.linkClosedAt = max(1, c.now)
 		l.handleLoss()
 	} else if id == c.discovery.conn {
 		c.discovery.connectionLost()
