--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator decodes the platform's exchange list: the events that the configuration holds at the start, and
-// the frames that bring later ones. Events are numbered from 1. After a disconnect the client resumes from the index of
-// the last event that it has.
+// Package coordinator decodes the platform's exchange list: the events in the snapshot that is part of the
+// configuration, and later ones in frames from the coordinator. Events are numbered from 1. On a new connection the
+// client resumes after the last event that it has.
 package coordinator
 
 import (
@@ -18,10 +18,10 @@
 
 // Frame layout. All numbers are big-endian.
 const (
-	lengthSize = 4  // bytes of the length field
-	headerSize = 9  // index (8 bytes) and kind (1 byte); both are counted by the length field
-	recordSize = 27 // bytes of one entry
-	maxFrame   = headerSize + recordSize*4096
+	lengthSize = 4                            // bytes of the length field
+	headerSize = 9                            // index (8 bytes) and kind (1 byte); both are counted by the length field
+	recordSize = 27                           // bytes of one record, which encodes one entry
+	maxFrame   = headerSize + recordSize*4096 // largest value of the length field that is accepted
 )
 
 // Frame kinds.
@@ -31,18 +31,20 @@
 	kindChanges          // changed entries
 )
 
-// Errors of Decoder.Push. After either the connection must be closed.
+// Errors of Decoder.Push. After either, the connection must be closed.
 var (
-	ErrInvalidFrame  = errors.New("coordinator: frame with invalid length, kind or state")
+	// ErrInvalidFrame means that the stream cannot be decoded any further.
+	ErrInvalidFrame = errors.New("coordinator: frame with invalid length, kind or state")
+	// ErrMissingEvents means that events between the last one and a frame of changes are missing.
 	ErrMissingEvents = errors.New("coordinator: gap in the event indexes before this frame")
 )
 
-// Entry is one switch on the exchange list.
+// Entry is the entry of one switch on the exchange list.
 type Entry struct {
 	ID      uint32
 	Addr    netip.AddrPort
 	Number  int // exchange number
-	Zone    int
+	Zone    int // index of a zone name in the settings; -1 if it is not there
 	Phase   decide.Phase
 	Started int64 // Unix milliseconds; 0 if the switch started long ago
 }
@@ -50,11 +52,11 @@
 // Event is one numbered change of the exchange list.
 type Event struct {
 	Index   uint64
-	Full    bool // Entries is the whole list, not a change of it
+	Full    bool // Entries is the whole list; otherwise it has only the entries that changed
 	Entries []Entry
 }
 
-// ParseID parses the text form of a switch's ID, "s-" and 8 hex digits.
+// ParseID parses the text form of a switch's ID: "s-" and 8 hex digits.
 func ParseID(s string) (uint32, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
@@ -85,8 +87,8 @@
 
 var phaseByLifecycle = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Removed}
 
-// ParseSnapshot parses the events that the configuration holds and returns them with the index of the last one. Zones
-// are the names in the settings; an entry's Zone is its index there, or -1.
+// ParseSnapshot parses the snapshot of the exchange list in the configuration. It returns its events and the index of
+// the last one. The first event always counts as the whole list. Zones are the zone names in the settings.
 func ParseSnapshot(text []byte, zones []string) (events []Event, last uint64, err error) {
 	var snapshot snapshotJSON
 	if err := json.Unmarshal(text, &snapshot); err != nil {
@@ -110,20 +112,21 @@
 	return events, max(last, snapshot.Index), nil
 }
 
-// Decoder decodes the byte stream of one connection to the coordinator. It keeps the last index across connections.
+// Decoder decodes the byte stream of a connection to the coordinator. It is used for one connection after the other,
+// with Reset in between, and stores the last index across them.
 type Decoder struct {
 	LastIndex uint64 // index of the last event decoded; the next connection resumes after it
-	// AllowGap accepts one gap in the indexes. It is set when the coordinator still lacks the events in between after a
-	// reconnect.
+	// AllowGap makes Push accept the next gap in the indexes. The client sets it when the same events are missing again
+	// after a reconnect. Decoding an event clears it.
 	AllowGap bool
 	buf      []byte
 }
 
-// Hello returns the first bytes to send on a connection: the last index, 8 bytes.
+// Hello returns the bytes to send first on a connection: the last index, 8 bytes.
 func (d *Decoder) Hello() []byte { return binary.BigEndian.AppendUint64(nil, d.LastIndex) }
 
-// Push decodes the next bytes and returns the events that are complete and new. Events returned together with an error
-// are valid.
+// Push decodes the next bytes of the stream and returns the events that are complete and newer than LastIndex. Events
+// returned together with an error are valid.
 func (d *Decoder) Push(b []byte) (events []Event, err error) {
 	d.buf = append(d.buf, b...)
 	for len(d.buf) >= lengthSize {
@@ -134,12 +137,12 @@
 		if len(d.buf) < lengthSize+n {
 			break
 		}
-		ev, fresh, err := d.decodeFrame(d.buf[lengthSize : lengthSize+n])
+		ev, isNew, err := d.decodeFrame(d.buf[lengthSize : lengthSize+n])
 		if err != nil {
 			return events, err
 		}
 		d.buf = d.buf[lengthSize+n:]
-		if fresh {
+		if isNew {
 			events = append(events, ev)
 		}
 	}
@@ -152,7 +155,9 @@
 // Reset discards an incomplete frame after the connection has ended.
 func (d *Decoder) Reset() { d.buf = nil }
 
-func (d *Decoder) decodeFrame(b []byte) (ev Event, fresh bool, err error) {
+// decodeFrame decodes a frame without its length. IsNew is false for a heartbeat and for an event that was decoded
+// before.
+func (d *Decoder) decodeFrame(b []byte) (ev Event, isNew bool, err error) {
 	index, kind, records := binary.BigEndian.Uint64(b), b[8], b[headerSize:]
 	switch {
 	case kind > kindChanges || kind != kindHeartbeat && len(records)%recordSize != 0:
@@ -176,7 +181,8 @@
 
 var phaseByState = [...]decide.Phase{decide.Ready, decide.Draining, decide.Removed}
 
-// parseRecord decodes one record: ID, address, port, state, zone, kind, cell, weight and start time.
+// parseRecord decodes the first record of b: ID, address, port, state, zone, kind, cell, weight and start time. Kind
+// and weight are not used.
 func parseRecord(b []byte) (Entry, error) {
 	if int(b[10]) >= len(phaseByState) {
 		return Entry{}, ErrInvalidFrame
@@ -186,7 +192,7 @@
 		Phase:  phaseByState[b[10]],
 		Zone:   int(b[11]),
 		Number: int(binary.BigEndian.Uint16(b[13:])),
-		// The four bytes of weight in between are not used.
+		// b[15:19] is the weight.
 		Started: int64(binary.BigEndian.Uint64(b[19:])),
 	}, nil
 }
@@ -211,7 +217,7 @@
 	return b
 }
 
-// AppendHeartbeat appends the frame without an event that the coordinator sends every second.
+// AppendHeartbeat appends a frame without an event, as the coordinator sends one every second.
 func AppendHeartbeat(b []byte, last uint64) []byte { return appendHeader(b, 0, last, kindHeartbeat) }
 
 func appendHeader(b []byte, payload int, index uint64, kind byte) []byte {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("%d events, %v, last %d", len(got), err, decoder.LastIndex)
 	}
 	decoder.Reset()
-	decoder.AllowGap = true // after a reconnect the coordinator still lacks the events in between
+	decoder.AllowGap = true // the events in between are missing again after a reconnect
 	if got, err := decoder.Push(frame(6)); len(got) != 1 || err != nil || decoder.LastIndex != 6 || decoder.AllowGap {
 		t.Fatalf("%d events, %v, last %d", len(got), err, decoder.LastIndex)
 	}
--- a/internal/coordinator/keys_test.go
+++ b/internal/coordinator/keys_test.go
@@ -10,11 +10,11 @@
 func TestSnapshotJSONKeys(t *testing.T) {
 	const text = `{"index":3,"updates":[{"index":2,"endpoints":{"reset":true,"instances":[{"instanceId":"s-00c41f7a",` +
 		`"hostPort":"127.0.0.9:5060","zone":"east","cell":2,"lifecycle":"Ready","startedAtMs":5}]}}]}`
-	var k snapshotJSON
-	if err := json.Unmarshal([]byte(text), &k); err != nil {
+	var snapshot snapshotJSON
+	if err := json.Unmarshal([]byte(text), &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := json.Marshal(k); err != nil || string(got) != text {
-		t.Errorf("read and written again:\n%s\nwant:\n%s\n(%v)", got, text, err)
+	if got, err := json.Marshal(snapshot); err != nil || string(got) != text {
+		t.Errorf("decoded and encoded again:\n%s\nwant:\n%s\n(%v)", got, text, err)
 	}
 }
--- a/internal/jsonl/jsonl_test.go
+++ b/internal/jsonl/jsonl_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// splitAt pushes a stream in two parts and returns the lines.
+// splitAt pushes a stream in two parts, split at an index, and returns the lines.
 func splitAt(t *testing.T, stream []byte, split int) (got []string, err error) {
 	t.Helper()
 	var l LineSplitter
@@ -104,7 +104,8 @@
 	}
 }
 
-// FuzzParse checks that a parsed message can be written as a set-up and parses to the same values again.
+// FuzzParse checks that a parsed message, sent as a set-up, is one line that parses to the same reference and
+// description.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"t":"new","ref":"9b1f03aa5c7e2d41","f":{"class":"voice","left":"1500"},"d":"9d\r\n"}`))
 	f.Add([]byte(`{"t":"down","ref":"9b1f03aa5c7e2d41","f":{},"c":34}`))
@@ -117,7 +118,7 @@
 		s := SetUp{Ref: m.Ref, Class: Quote(m.Fields["class"]), TimeLeft: time.Second, Desc: m.Desc}
 		out := s.Append(nil)
 		if bytes.IndexByte(out, '\n') != len(out)-1 {
-			t.Fatalf("more than one line: %q", out)
+			t.Fatalf("not exactly one line: %q", out)
 		}
 		again, err := Parse(out[:len(out)-1])
 		if len(out) <= MaxLine && (err != nil || !bytes.Equal(again.Desc, m.Desc) || again.Ref != m.Ref) {
--- a/internal/jsonl/lines.go
+++ b/internal/jsonl/lines.go
@@ -10,9 +10,9 @@
 // Partial reports whether the beginning of an incomplete line is buffered.
 func (l *LineSplitter) Partial() bool { return len(l.pending) > 0 }
 
-// Push splits the next bytes and calls handle with each complete line, without its line feed, until handle returns
-// false; the rest of the bytes is then discarded. A line is valid only during the call. Push returns ErrLineTooLong if
-// a line exceeds MaxLine bytes.
+// Push splits the next bytes and calls handle with each complete line, without its line feed. Once handle returns
+// false, the rest of the bytes is discarded. A line is valid only during the call. Push returns ErrLineTooLong if a
+// line exceeds MaxLine bytes.
 func (l *LineSplitter) Push(b []byte, handle func(line []byte) bool) error {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
--- a/internal/jsonl/message.go
+++ b/internal/jsonl/message.go
@@ -1,6 +1,6 @@
 // Package jsonl is the codec of the platform's protocol: JSON lines in which a reference identifies the call.
 //
-// It checks syntax (length, types, references, numbers) but not meaning, and does no I/O.
+// It checks the syntax of messages (length, types, references, numbers) but not their meaning, and does no I/O.
 package jsonl
 
 import (
@@ -32,16 +32,16 @@
 	TypeGauge       = "gauge" // load report of a trunk group
 )
 
-// Q.850 causes that the protocol uses, each with its meaning there.
+// Causes of Q.850 that the protocol uses. Each comment gives the cause's name in Q.850, then its meaning here.
 const (
-	CauseNormal              = 16  // normal call clearing; before an answer, the set-up is cancelled
+	CauseNormal              = 16  // normal call clearing: release; before an answer, the set-up is cancelled
 	CauseUserBusy            = 17  // user busy: error at the switch
 	CauseResourceUnavailable = 47  // resource unavailable: error at the switch
 	CauseNoCircuit           = 34  // no circuit available: the trunk group is full
 	CauseTemporaryFailure    = 41  // temporary failure: reset, cut or failed
 	CauseCongestion          = 42  // switching equipment congestion: refused
 	CauseTimerExpiry         = 102 // recovery on timer expiry: the set-up was not sent
-	maxCause                 = 127
+	maxCause                 = 127 // largest value of a cause
 )
 
 // Errors of LineSplitter.Push and Parse.
@@ -55,16 +55,16 @@
 	ErrInvalidDescription = errors.New("description is not a string or contains an unpaired surrogate")
 )
 
-// Message is one decoded line. Parse sets Ref on errors too, if the reference could be read.
+// Message is one decoded line.
 type Message struct {
-	Type   string
-	Ref    string
+	Type   string // one of the Type constants, or unknown
+	Ref    string // reference of the call: 16 hex digits; empty if absent
 	Fields map[string]string
-	Cause  int
+	Cause  int    // 0 if absent
 	Desc   []byte // description as received: a JSON string with its quotes; nil if absent
 }
 
-// Parse decodes one line, given without its line feed.
+// Parse decodes one line, without its line feed. On errors too, the message has the reference if one could be read.
 func Parse(line []byte) (Message, error) {
 	var m Message
 	if len(line) > MaxLine {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// parseString decodes a JSON string. It reports false for any other value.
+// parseString decodes a JSON string, and reports false for any other value. Raw must be valid JSON or empty.
 func parseString(raw json.RawMessage) (string, bool) {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) < 2 || raw[0] != '"' {
@@ -163,7 +163,7 @@
 	return s != ""
 }
 
-// IntField returns the field's value if it is an integer from least to most, and reports whether it is.
+// IntField returns a field's value and reports whether it is an integer from least to most.
 func (m *Message) IntField(name string, least, most int64) (int64, bool) {
 	n, err := strconv.ParseInt(m.Fields[name], 10, 64)
 	return n, err == nil && n >= least && n <= most
@@ -177,7 +177,7 @@
 	Desc       []byte
 }
 
-// Append appends the line of the set-up to b. A TimeLeft under 1 ms is sent as 1 ms.
+// Append appends the set-up's line to b. A TimeLeft of less than 1 ms is sent as 1 ms.
 func (s *SetUp) Append(b []byte) []byte {
 	b = append(b, `{"t":"new","ref":"`...)
 	b = append(b, s.Ref...)
@@ -201,7 +201,7 @@
 	return b
 }
 
-// AppendUp appends an answer to b.
+// AppendUp appends the line of an answer to b. Desc is a JSON string with its quotes.
 func AppendUp(b []byte, ref string, desc []byte) []byte {
 	b = append(b, `{"t":"up","ref":"`...)
 	b = append(b, ref...)
@@ -210,12 +210,12 @@
 	return append(b, "}\n"...)
 }
 
-// AppendDown appends a rejection or release to b. A wait of 1 ms or more is sent as the retry-after time.
-func AppendDown(b []byte, ref string, cause int, wait time.Duration) []byte {
+// AppendDown appends the line of a rejection or release to b. A retryAfter time of less than 1 ms is left out.
+func AppendDown(b []byte, ref string, cause int, retryAfter time.Duration) []byte {
 	b = append(b, `{"t":"down","ref":"`...)
 	b = append(b, ref...)
 	b = append(b, `","f":{`...)
-	if ms := wait.Milliseconds(); ms > 0 {
+	if ms := retryAfter.Milliseconds(); ms > 0 {
 		b = append(b, `"wait":"`...)
 		b = strconv.AppendInt(b, ms, 10)
 		b = append(b, '"')
@@ -225,13 +225,13 @@
 	return append(b, "}\n"...)
 }
 
-// AppendHeartbeat appends a heartbeat that requests no load report.
+// AppendHeartbeat appends the line of a heartbeat that requests no load report to b.
 func AppendHeartbeat(b []byte, ref uint64) []byte {
 	return fmt.Appendf(b, `{"t":"hb","ref":"%016x","f":{},"c":0}`+"\n", ref)
 }
 
-// AppendHeartbeatOK appends the reply to a heartbeat, with the heartbeat's reference unless that is empty.
-func AppendHeartbeatOK(b []byte, ref string, passed bool) []byte {
+// AppendHeartbeatOK appends the line of a heartbeat reply to b, with the heartbeat's reference unless that is empty.
+func AppendHeartbeatOK(b []byte, ref string, succeeded bool) []byte {
 	b = append(b, `{"t":"hb_ok",`...)
 	if ref != "" {
 		b = append(b, `"ref":"`...)
@@ -239,7 +239,7 @@
 		b = append(b, `",`...)
 	}
 	b = append(b, `"f":{},"c":`...)
-	if passed {
+	if succeeded {
 		return append(b, "1}\n"...)
 	}
 	return append(b, "0}\n"...)
