--- a/internal/runtime/platform.go
+++ b/internal/runtime/platform.go
@@ -22,20 +22,21 @@
 )
 
 const (
-	memoryShare        = 0.6                    // share of the memory limit for memory managed by the Go runtime
-	lingerTime         = 500 * time.Millisecond // a connection that closes gracefully is read on for at most this long
-	maxLingerBytes     = 256 << 10              // bytes read from a connection that closes gracefully
-	maxLingering       = 32                     // connections closing gracefully at the same time; further ones are closed at once
-	maxProxyOutbound   = 256 << 10              // bytes buffered for a peer that does not read; beyond that the connection is closed
-	proxyReadSize      = 16 << 10               // bytes of one read; no message is longer
-	maxCallerBytes     = 64 << 10               // bytes read from one caller in one pass of the loop
-	flushTimeout       = 2 * time.Second        // for writing buffered bytes before a connection closes or the proxy stops
-	flushPollInterval  = 20 * time.Millisecond  // between two checks whether they are written
-	acceptRetryDelay   = 5 * time.Millisecond   // after a failed accept; doubled on each further failure
-	maxAcceptDoublings = 6                      // number of times that the delay is doubled
+	memoryShare        = 0.6                    // share of the memory limit that is set as the Go runtime's soft limit
+	lingerTime         = 500 * time.Millisecond // how long a gracefully closed connection is still read, at most
+	maxLingerBytes     = 256 << 10              // bytes read from a gracefully closed connection, at most
+	maxLingering       = 32                     // gracefully closed connections still open at the same time; further ones are closed at once
+	maxProxyOutbound   = 256 << 10              // bytes buffered for a peer that does not read; with more its connection is closed
+	proxyReadSize      = 16 << 10               // size of the read buffer in bytes; no message is longer
+	maxCallerBytes     = 64 << 10               // bytes read from one caller in one pass of the event loop, at most
+	flushTimeout       = 2 * time.Second        // longest wait for buffered bytes to be written before a connection is closed or the proxy stops
+	flushPollInterval  = 20 * time.Millisecond  // interval of checks whether the buffered bytes are written
+	acceptRetryDelay   = 5 * time.Millisecond   // delay after a failed accept; doubled on each further failure
+	maxAcceptDoublings = 6                      // number of times that the delay after failed accepts is doubled, at most
 )
 
-// Platform runs one signalling proxy of the users' platform on its sockets. A single event loop owns it.
+// Platform runs one signalling proxy of the users' platform on its sockets. A single event loop owns its core and its
+// connections.
 type Platform struct {
 	gnet.BuiltinEventEngine
 
@@ -47,12 +48,12 @@
 	client    *gnet.Client
 	loop      gnet.EventLoop
 	conns     map[platform.ConnID]gnet.Conn
-	lingering int
+	lingering int // gracefully closed connections that are still open
 	wake      waker
 	done      chan struct{}
-	once      sync.Once
+	stopOnce  sync.Once
 	stopErr   error
-	handovers sync.WaitGroup // goroutines that dial or accept
+	handovers sync.WaitGroup // goroutines that dial or accept, and register connections with the loop
 	cancel    context.CancelFunc
 	ctx       context.Context
 	trace     TraceFunc
@@ -61,16 +62,16 @@
 	mu      sync.RWMutex // held for reading while work is passed to the loop
 	stopped bool         // the loop accepts no more work
 
-	// Events from the sockets since the last turn. They are handled together, so that a caller's departure is known
-	// before any of its requests is acted on.
-	inputs        []platform.Input
-	unreadConns   map[platform.ConnID]*proxyConn // connections with bytes in inputs
-	readBuffer    []byte
-	turnScheduled bool // a turn is scheduled
+	// Events from the sockets since the last batch. They are handled together, so that it is known that a caller has
+	// left before any of its requests is handled.
+	inputs         []platform.Input
+	unreadConns    map[platform.ConnID]*proxyConn // connections with bytes in inputs
+	readBuffer     []byte
+	batchScheduled bool // processBatch is queued for the loop
 }
 
-// TraceFunc is called for all socket traffic, with the time since the start, the connection, the event and the bytes. It
-// may be nil.
+// TraceFunc is called on the event loop for all socket traffic, with the time since the start, the connection, the
+// event (docs/ops/platform.md lists them) and the bytes. A nil TraceFunc is not called.
 type TraceFunc func(at time.Duration, id platform.ConnID, event string, b []byte)
 
 func (p *Platform) traceEvent(id platform.ConnID, event string, b []byte) {
@@ -79,20 +80,20 @@
 	}
 }
 
-// proxyConn is the context attached to a connection.
+// proxyConn is the state of a connection, which gnet holds as its context.
 type proxyConn struct {
 	id           platform.ConnID
 	caller       bool   // it was accepted, not dialled
 	registered   bool   // the loop has registered it
 	closedByCore bool   // the core has closed it
 	closedByLoop bool   // the loop has closed it
-	eof          bool   // the end of a caller's stream was read behind its bytes
-	graceful     bool   // it is being closed gracefully
+	eof          bool   // the end of a caller's stream was read after its bytes
+	graceful     bool   // the core has closed it gracefully
 	discarded    int    // bytes read since the core closed it
 	input        []byte // not yet passed to the core
 }
 
-// SetLimits applies the platform's limits of cores and memory to the process.
+// SetLimits applies the configured limits of cores and memory to the process. Absent limits are not applied.
 func SetLimits(cfg *platform.Config) {
 	if cfg.Cores > 0 {
 		goruntime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
@@ -102,7 +103,8 @@
 	}
 }
 
-// StartPlatform listens and serves until Stop, or until the core, shut down by Execute, requests its exit.
+// StartPlatform listens and serves until Stop is called, or until the core requests its exit after it was stopped with
+// Execute.
 func StartPlatform(cfg *platform.Config, log *zap.Logger, trace TraceFunc) (*Platform, error) {
 	listenConfig := net.ListenConfig{KeepAlive: -1} // the core detects peers that do not respond
 	listener, err := listenConfig.Listen(context.Background(), "tcp4", cfg.Listen.String())
@@ -120,8 +122,9 @@
 	p.start = time.Now()
 	p.core = platform.New(cfg, p.start)
 	var err error
-	// The listener is separate from gnet's, whose loop ends for good when an accept fails. Connections already have
-	// TCP_NODELAY set; gnet leaks a descriptor if it sets the option again and fails.
+	// gnet is used as a client, without a listener of its own, because its accept loop ends for good when an accept
+	// fails. Go has already set TCP_NODELAY on the connections; gnet would leak a descriptor if it set the option again
+	// and failed.
 	p.client, err = gnet.NewClient(p, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(proxyReadSize), gnet.WithTCPNoDelay(gnet.TCPDelay),
 		gnet.WithLogger(quiet{log.Sugar()}))
 	if err == nil {
@@ -138,13 +141,13 @@
 		}
 		return nil, fmt.Errorf("starting the event loop for %v: %w", cfg.Listen, err)
 	}
-	p.runOnLoop(p.turn)
+	p.runOnLoop(p.processBatch)
 	p.handovers.Go(p.acceptLoop)
 	log.Info("signalling proxy started", zap.String("name", cfg.Name), zap.Stringer("listen", cfg.Listen))
 	return p, nil
 }
 
-// findLoop learns the event loop from a connection to the proxy's own listener.
+// findLoop finds the client's event loop through a connection to the proxy's own listener.
 func (p *Platform) findLoop() error {
 	d := net.Dialer{Timeout: doWait, KeepAlive: -1}
 	conn, err := d.DialContext(p.ctx, "tcp4", p.listener.Addr().String())
@@ -159,9 +162,9 @@
 	return c.Close()
 }
 
-// acceptLoop accepts callers' connections, each after the loop has registered the one before, so that the core can evict
-// callers in time. If an accept fails for lack of descriptors, a caller is evicted and the accept is retried after a
-// delay.
+// acceptLoop accepts callers' connections one at a time: each is registered with the event loop before the next accept,
+// so that the core can evict callers in time. After a failed accept, as for lack of descriptors, a caller without calls
+// is evicted and the accept is retried after a delay.
 func (p *Platform) acceptLoop() {
 	for failures := 0; ; {
 		conn, err := p.listener.Accept()
@@ -175,10 +178,10 @@
 		case errors.Is(err, net.ErrClosed) || p.ctx.Err() != nil:
 			return
 		case errors.Is(err, syscall.ECONNABORTED):
-			continue // closed by the peer before it was accepted
+			continue // the peer closed the connection before it was accepted
 		}
 		p.log.Warn("accept failed, evicting a caller without calls, if any, and retrying", zap.Error(err))
-		p.runOnLoop(func() { p.core.EvictCaller(p.now()); p.scheduleTurn() })
+		p.runOnLoop(func() { p.core.EvictCaller(p.now()); p.scheduleBatch() })
 		select {
 		case <-p.ctx.Done():
 			return
@@ -188,12 +191,12 @@
 	}
 }
 
-// enroll registers a connection with the loop.
+// enroll registers a connection with the event loop.
 func (p *Platform) enroll(conn net.Conn, e *proxyConn) error {
 	if _, err := p.client.EnrollContext(conn, e); err != nil {
 		return err
 	}
-	if !e.registered { // gnet does not report that it failed to watch the connection
+	if !e.registered { // gnet returns no error if it fails to watch the connection
 		return errNotWatched
 	}
 	return nil
@@ -212,7 +215,7 @@
 	}
 	if e.caller {
 		e.id = p.core.Accept(p.now())
-		p.scheduleTurn()
+		p.scheduleBatch()
 	} else {
 		p.traceEvent(e.id, "up", nil)
 		p.queueInput(e.id, platform.InputOpened)
@@ -224,7 +227,7 @@
 // OnTraffic handles bytes received on a connection.
 func (p *Platform) OnTraffic(c gnet.Conn) gnet.Action {
 	e := c.Context().(*proxyConn)
-	b, _ := c.Next(-1) // -1 requests all buffered bytes, which cannot fail
+	b, _ := c.Next(-1) // -1 takes all buffered bytes, which cannot fail
 	if e.closedByCore {
 		if e.discarded += len(b); e.discarded > maxLingerBytes {
 			return gnet.Close
@@ -244,8 +247,8 @@
 	return gnet.None
 }
 
-// readRemaining reads the bytes that a caller sent after those already read, and reports whether the end of its stream
-// was reached. The loop detects the end again and closes the connection.
+// readRemaining reads the bytes that a caller sent after those already read, up to maxCallerBytes, and reports whether
+// the end of its stream was reached. The loop detects the end again and then closes the connection.
 func (p *Platform) readRemaining(e *proxyConn, fd int) (eof bool) {
 	for len(e.input) < maxCallerBytes {
 		n, err := unix.Read(fd, p.readBuffer)
@@ -278,11 +281,11 @@
 	return gnet.None
 }
 
-// onTimer is called when the timer fires, outside the loop.
-func (p *Platform) onTimer() { p.runOnLoop(func() { p.wake.rang(); p.turn() }) }
+// onTimer runs processBatch on the loop when the timer has fired. It is called outside the loop.
+func (p *Platform) onTimer() { p.runOnLoop(func() { p.wake.rang(); p.processBatch() }) }
 
-// runOnLoop runs f on the loop, after the input of the pass in which it arrives. It does nothing once the loop has
-// ended.
+// runOnLoop queues f to be run on the event loop, after the input of the pass in which it is run. It does nothing once
+// the proxy has stopped.
 func (p *Platform) runOnLoop(f func()) {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -292,21 +295,22 @@
 	_ = p.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error { f(); return nil }))
 }
 
-// queueInput queues an event for the next turn.
+// queueInput queues a connection's event for the next batch.
 func (p *Platform) queueInput(id platform.ConnID, kind platform.InputKind) {
 	p.inputs = append(p.inputs, platform.Input{Conn: id, Kind: kind})
-	p.scheduleTurn()
+	p.scheduleBatch()
 }
 
-func (p *Platform) scheduleTurn() {
-	if !p.turnScheduled {
-		p.turnScheduled = true
-		p.runOnLoop(func() { p.turnScheduled = false; p.turn() })
+// scheduleBatch queues processBatch for the loop unless it is queued already.
+func (p *Platform) scheduleBatch() {
+	if !p.batchScheduled {
+		p.batchScheduled = true
+		p.runOnLoop(func() { p.batchScheduled = false; p.processBatch() })
 	}
 }
 
-// turn passes the queued events to the core, applies its outputs and sets the timer.
-func (p *Platform) turn() {
+// processBatch passes the queued events to the core, applies its outputs and sets the timer.
+func (p *Platform) processBatch() {
 	inputs := p.inputs
 	p.inputs = nil
 	for i, input := range inputs {
@@ -321,7 +325,7 @@
 	p.applyOutputs(now)
 }
 
-// applyOutputs applies the core's outputs and sets the timer.
+// applyOutputs executes the core's outputs and sets the timer to the core's next wake-up.
 func (p *Platform) applyOutputs(now time.Duration) {
 	for outputs := p.core.Outputs(); len(outputs) > 0; outputs = p.core.Outputs() {
 		for _, o := range outputs {
@@ -357,8 +361,8 @@
 	}
 }
 
-// stopWhenFlushed stops the proxy once all buffered bytes are written, or at the deadline, as a slow reader may not
-// have received its answers yet.
+// stopWhenFlushed stops the proxy once all buffered bytes are written, at the deadline at the latest: a slow reader may
+// not have received its answers yet.
 func (p *Platform) stopWhenFlushed(deadline time.Duration) {
 	pending := false
 	for _, c := range p.conns {
@@ -389,11 +393,12 @@
 	p.closeGracefully(c, e, p.now()+flushTimeout)
 }
 
-// closeGracefully shuts down the sending side once the buffered bytes are written, and reads on for a while: closing with
-// unread bytes would reset the connection and discard what was just written.
+// closeGracefully shuts down the sending side once the buffered bytes are written, and closes the connection after
+// lingerTime. Until then input is read and discarded, because a close with unread bytes would reset the connection and
+// lose bytes that the peer has not received yet.
 func (p *Platform) closeGracefully(c gnet.Conn, e *proxyConn, deadline time.Duration) {
 	switch {
-	case e.closedByLoop: // its descriptor may belong to another connection by now
+	case e.closedByLoop: // closed already; its descriptor may belong to another connection by now
 	case c.OutboundBuffered() > 0 && p.now() < deadline:
 		time.AfterFunc(flushPollInterval, func() { p.runOnLoop(func() { p.closeGracefully(c, e, deadline) }) })
 	case c.OutboundBuffered() > 0 || unix.Shutdown(c.Fd(), unix.SHUT_WR) != nil:
@@ -403,7 +408,7 @@
 	}
 }
 
-// dial establishes a connection outside the loop and registers it.
+// dial establishes a connection outside the event loop and registers it with the loop, or reports to the core why not.
 func (p *Platform) dial(o platform.Dial) {
 	d := net.Dialer{Timeout: o.Timeout, KeepAlive: -1}
 	conn, err := d.DialContext(p.ctx, "tcp4", o.To.String())
@@ -423,21 +428,22 @@
 	p.runOnLoop(func() {
 		p.traceEvent(o.Conn, "dial failed", []byte(err.Error()))
 		p.core.DialFailed(p.now(), o.Conn, failure)
-		p.scheduleTurn()
+		p.scheduleBatch()
 	})
 }
 
-// Execute runs f on the loop, for events from outside such as signals.
+// Execute runs f on the event loop and then a batch. It is for events from outside, such as signals, and does not wait.
+// Once the proxy has stopped, f is not run.
 func (p *Platform) Execute(f func(core *platform.Core, now time.Duration)) {
 	p.runOnLoop(func() {
 		f(p.core, p.now())
-		p.scheduleTurn()
+		p.scheduleBatch()
 	})
 }
 
-// Stop ends the proxy at once.
+// Stop stops the proxy at once, with all its connections, and waits until it has ended.
 func (p *Platform) Stop() error {
-	p.once.Do(func() {
+	p.stopOnce.Do(func() {
 		p.cancel()
 		_ = p.listener.Close()
 		p.handovers.Wait() // while the loop still accepts their work
@@ -452,7 +458,7 @@
 	return p.stopErr
 }
 
-// Wait returns when the proxy has ended.
+// Wait waits until the proxy has stopped and returns the error of Stop.
 func (p *Platform) Wait() error {
 	<-p.done
 	return p.stopErr
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -18,16 +18,16 @@
 	"pipitring/internal/standin"
 )
 
-// pauseLoop stops the proxy's loop until the returned function is called, like a process that gets no processor time.
-// Meanwhile all that the test sends stays unread in the socket buffers; on loopback it is there when the write returns.
-func (h *proxyHarness) pauseLoop() (release func()) {
+// pauseLoop stops the proxy's event loop until resume is called, as if the process got no processor time. Meanwhile
+// what the test sends stays unread in the socket buffers; on loopback it is there when the write returns.
+func (h *proxyHarness) pauseLoop() (resume func()) {
 	paused, gate := make(chan bool), make(chan bool)
 	h.proxy.Execute(func(*platform.Core, time.Duration) { close(paused); <-gate })
 	<-paused
 	return func() { close(gate) }
 }
 
-// awaitProcessed waits until all that was sent before is handled: it sets up a call, which is answered after that.
+// awaitProcessed waits until everything sent before has been handled: it sets up another call, which is answered later.
 func (h *proxyHarness) awaitProcessed() { h.call(h.dial(), 99) }
 
 // expectNoSetUp checks that no set-up was sent for call 1, whose caller had left.
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestNoSetUpForDepartedCaller: while the proxy is paused, a caller requests a call and leaves. In whatever order the sockets
-// are read, no set-up may be sent for it.
+// TestNoSetUpForDepartedCaller checks that, in whatever order the sockets are read, no set-up is sent for a caller that
+// requested a call and left while the proxy was paused.
 func TestNoSetUpForDepartedCaller(t *testing.T) {
 	abandonment := string(jsonl.AppendDown(nil, callRef(1), jsonl.CauseNormal, 0))
 	for name, leave := range map[string]func(h *proxyHarness, send func(string)){
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newProxyHarness(t, 256)
 			p := h.dial()
-			release := h.pauseLoop()
+			resume := h.pauseLoop()
 			leave(h, func(text string) {
 				if err := p.Send(text); err != nil {
 					t.Fatal(err)
@@ -63,15 +63,15 @@
 			if name[0] == 'c' {
 				p.Close()
 			}
-			release()
+			resume()
 			h.expectNoSetUp()
 		})
 	}
 }
 
-// TestCloseAfterSetUpInSamePass: the loop is paused while it reads from another caller. Meanwhile a caller requests a call
-// and leaves, and work is queued for the loop, so that the next pass reads the set-up and acts on it at once. The close has
-// to be detected in that same pass.
+// TestCloseAfterSetUpInSamePass guards against a caller's close that is detected one pass of the event loop after its
+// set-up was handled. The loop is paused while it reads from another caller. Meanwhile a caller requests a call and
+// leaves, and work is queued for the loop, so that the next pass reads the set-up and handles it at once.
 func TestCloseAfterSetUpInSamePass(t *testing.T) {
 	h := newProxyHarness(t, 256)
 	p, q := h.dial(), h.dial()
@@ -97,8 +97,8 @@
 	h.expectNoSetUp()
 }
 
-// TestCircuitFreedAfterCallerLeft: the caller of a queued call closes its connection after the switch reported a free
-// circuit, while the proxy is paused and has not read the report.
+// TestCircuitFreedAfterCallerLeft guards against a set-up for the queued call of a caller that has left. Its close and
+// the switch's report of free circuits arrive while the proxy is paused, the report first.
 func TestCircuitFreedAfterCallerLeft(t *testing.T) {
 	h := newProxyHarness(t, 256)
 	await(t, "the group is full", func() bool {
@@ -112,26 +112,27 @@
 	await(t, "the call is queued", func() bool {
 		return queryCore(h, func(core *platform.Core, _ time.Duration) bool { return core.QueuedCalls() == 1 })
 	})
-	release := h.pauseLoop()
+	resume := h.pauseLoop()
 	h.sw.Broadcast(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}` + "\n")
 	p.Close()
-	release()
+	resume()
 	h.expectNoSetUp()
 }
 
-// TestDrainBesideSetUp: a set-up and the drain of its switch are both unread when the proxy resumes, the set-up first.
+// TestDrainBesideSetUp guards against a set-up to a draining switch. The set-up and the drain arrive while the proxy is
+// paused, the set-up first.
 func TestDrainBesideSetUp(t *testing.T) {
 	h := newProxyHarness(t, 256)
 	await(t, "the coordinator gets a request", func() bool { return len(h.coord.RequestedFrom()) > 0 })
 	h.awaitProcessed()
 	p := h.dial()
 	await(t, "the caller is accepted", func() bool { return h.callerCount() > 1 })
-	release := h.pauseLoop()
+	resume := h.pauseLoop()
 	if err := p.Send(setUpLine(1)); err != nil {
 		t.Fatal(err)
 	}
 	h.coord.Publish(coordinator.Event{Index: 2, Entries: []coordinator.Entry{{ID: 1, Addr: h.sw.Addr(), Number: 1, Phase: decide.Draining}}})
-	release()
+	resume()
 	h.expect(p, jsonl.TypeDown, 1)
 	if h.received("new " + callRef(1)) {
 		t.Fatal("set-up sent to a draining switch")
@@ -151,21 +152,22 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptErrorsAreRetried guards against a failed accept that ends the listener for good, as in gnet's own listener.
+// TestAcceptErrorsAreRetried guards against a proxy that accepts no callers any more after a failed accept, as with
+// gnet's own listener.
 func TestAcceptErrorsAreRetried(t *testing.T) {
 	h := newProxyHarnessOn(t, 256, func(lis net.Listener) net.Listener { return &failingListener{lis, 5} })
 	h.call(h.dial(), 1)
 }
 
-// TestStopWaitsForHandovers checks that a connection being handed to the loop when the proxy stops is not leaked. TestMain
-// checks for leaked goroutines.
+// TestStopWaitsForHandovers checks that a connection that is being registered with the loop when the proxy stops is not
+// leaked. TestMain checks for leaked goroutines.
 func TestStopWaitsForHandovers(t *testing.T) {
 	h := newProxyHarness(t, 256)
-	release := h.pauseLoop()
+	resume := h.pauseLoop()
 	p := h.dial()
 	stopped := make(chan error, 1)
 	go func() { stopped <- h.proxy.Stop() }()
-	release()
+	resume()
 	if err := <-stopped; err != nil {
 		t.Fatal(err)
 	}
@@ -175,16 +177,17 @@
 	h.proxy.Execute(func(*platform.Core, time.Duration) { t.Error("function run after Stop") })
 }
 
-// TestConnectionResetDuringHandover: the switch resets a new connection before the paused loop has registered it. Another
-// one is dialled, and set-ups that waited for the first are sent there or reported as not sent.
+// TestConnectionResetDuringHandover checks that calls are answered again after a switch has reset new connections
+// before the paused loop has registered them: another one is dialled, and set-ups that waited for the first are sent
+// there or reported as not sent.
 func TestConnectionResetDuringHandover(t *testing.T) {
 	h := newProxyHarness(t, 256)
 	resets := 0
 	greet := func(p *standin.JSONPeer) {
 		if resets++; resets <= 3 {
-			release := h.pauseLoop()
+			resume := h.pauseLoop()
 			_ = p.Reset() // if it fails, the connection is closed without a reset
-			release()
+			resume()
 		}
 	}
 	h.sw.Greet.Store(&greet)
@@ -216,8 +219,8 @@
 	return conn, err
 }
 
-// newSlowReader returns a caller that does not read and has sent requests until answers wait behind the socket buffers. Each
-// request is answered at once, with a failure for its unknown class.
+// newSlowReader returns a caller that does not read and has sent so many requests that the socket buffers are full and
+// the proxy buffers answers. Each request is answered at once, with a failure because of its unknown class.
 func newSlowReader(t *testing.T) (h *proxyHarness, p *standin.JSONPeer, requests int) {
 	h = newProxyHarnessOn(t, 256, func(lis net.Listener) net.Listener { return smallBufferListener{lis} })
 	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
@@ -229,7 +232,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(platformTestTimeout)) // so that a failure does not block for ever
+	_ = conn.SetDeadline(time.Now().Add(platformTestTimeout)) // so that a failing test does not block for ever
 	p = standin.NewJSONPeer(conn)
 	buffered := func(*platform.Core, time.Duration) (n int) {
 		for _, c := range h.proxy.conns {
@@ -246,8 +249,8 @@
 	return h, p, requests
 }
 
-// TestShutdownWaitsForSlowReader: a caller that reads slowly has more answers to read than the socket buffers hold when the
-// proxy, after Stop, has no calls left.
+// TestShutdownWaitsForSlowReader checks that a caller that reads slowly gets all its answers although the proxy is
+// shutting down, has no calls left and still buffers some of them.
 func TestShutdownWaitsForSlowReader(t *testing.T) {
 	h, p, requests := newSlowReader(t)
 	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
@@ -260,7 +263,8 @@
 	}
 }
 
-// TestCloseWaitsForSlowReader: the same holds when the proxy closes a connection after an invalid line.
+// TestCloseWaitsForSlowReader checks that a caller that reads slowly gets all its answers although the proxy closes its
+// connection after an invalid line.
 func TestCloseWaitsForSlowReader(t *testing.T) {
 	h, p, requests := newSlowReader(t)
 	before := h.callerCount()
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -30,14 +30,14 @@
 	addr          netip.AddrPort
 	sw            *standin.PlatformSwitch
 	coord         *standin.PlatformCoordinator
-	trace         atomic.Pointer[TraceFunc] // called on the loop for socket traffic, as soon as it is read
+	trace         atomic.Pointer[TraceFunc] // called on the event loop for socket traffic, as soon as it is read
 	mu            sync.Mutex
 	receivedLines []string // set-ups and releases received by the switch
 }
 
 const platformTestTimeout = 20 * time.Second // reached only by a failing test
 
-// answer handles a message at the switch: it answers every set-up, and never releases a call by itself.
+// answer handles a message at the switch: it answers every set-up and never releases a call.
 func (h *proxyHarness) answer(p *standin.JSONPeer, m jsonl.Message) {
 	h.mu.Lock()
 	h.receivedLines = append(h.receivedLines, m.Type+" "+m.Ref)
@@ -53,7 +53,7 @@
 	}
 }
 
-// queryCore runs f on the loop and returns its result.
+// queryCore runs f on the event loop and returns its result.
 func queryCore[T any](h *proxyHarness, f func(core *platform.Core, now time.Duration) T) T {
 	result := make(chan T)
 	h.proxy.Execute(func(core *platform.Core, now time.Duration) { result <- f(core, now) })
@@ -85,7 +85,8 @@
 	return newProxyHarnessOn(t, sockets, func(lis net.Listener) net.Listener { return lis })
 }
 
-// newProxyHarnessOn starts a proxy that accepts on the listener that wrap returns.
+// newProxyHarnessOn starts a proxy with a limit of descriptors that accepts callers on the listener that wrap returns,
+// and waits until its heartbeats succeed.
 func newProxyHarnessOn(t *testing.T, sockets int, wrap func(net.Listener) net.Listener) *proxyHarness {
 	t.Helper()
 	h := &proxyHarness{t: t}
@@ -188,7 +189,7 @@
 	h.call(p, 1)
 	h.sw.Reset()
 	h.call(p, 2) // over a new connection
-	h.sw.Kill()  // now the process is dead and nothing listens
+	h.sw.Kill()  // the process is dead and nothing listens at its address
 	first, err := p.Receive()
 	second, err2 := p.Receive()
 	if err != nil || err2 != nil || first.Cause != jsonl.CauseTemporaryFailure || second.Cause != jsonl.CauseTemporaryFailure || first.Ref == second.Ref {
@@ -244,15 +245,15 @@
 	select {
 	case <-exited:
 	case <-time.After(platformTestTimeout):
-		t.Fatal("proxy does not exit")
+		t.Fatal("proxy does not exit after SIGTERM")
 	}
 	if !h.received("down "+callRef(1)) || !h.received("down "+callRef(2)) {
 		t.Fatal("exited before the releases were forwarded")
 	}
 }
 
-// TestPlatformSurvivesInvalidCallers checks that each invalid caller gets a failure or a close, and that a valid caller
-// beside it gets its answers.
+// TestPlatformSurvivesInvalidCallers checks that a caller that sends invalid input gets a failure or its connection is
+// closed, and that a valid caller beside it gets its answers.
 func TestPlatformSurvivesInvalidCallers(t *testing.T) {
 	h := newProxyHarness(t, 256)
 	valid := h.dial()
@@ -271,7 +272,8 @@
 	}
 }
 
-// TestPlatformDescriptorLimit checks that hundreds of connections that send nothing do not keep a valid caller out.
+// TestPlatformDescriptorLimit checks that connections that send nothing neither keep a valid caller out nor exceed the
+// limit of descriptors.
 func TestPlatformDescriptorLimit(t *testing.T) {
 	const sockets = 128
 	before := descriptors(t)
@@ -290,7 +292,7 @@
 		}
 	}()
 	h.call(h.dial(), 1)
-	// Both ends are in this process, so the callers' own ends are subtracted.
+	// Both ends of each connection are in this process, so the callers' ends are subtracted.
 	await(h.t, "descriptors are within the limit", func() bool { return descriptors(t)-before-2*sockets-8 <= sockets })
 }
 
