--- a/decide/decide.go
+++ b/decide/decide.go
@@ -124,7 +124,7 @@
 const (
 	// tokenQueueTimer serves the wait queue.
 	tokenQueueTimer uint64 = iota
-	// tokenSubscribe tries again to subscribe.
+	// tokenSubscribe repeats a failed subscription.
 	tokenSubscribe
 )
 
@@ -186,7 +186,7 @@
 	}
 	c.calls[k.id] = k
 	k.value *= c.quotaFactor(e)
-	if first, again := c.firstTries[k.calledNumber]; again && !k.transit &&
+	if first, known := c.firstTries[k.calledNumber]; known && !k.transit &&
 		(e.Redial || !c.settings.RedialsMarked) {
 		k.firstTry = first
 	}
@@ -237,12 +237,12 @@
 	if k == nil || k.nextHop == nil || k.attempts != e.Attempt+1 {
 		return
 	}
-	to, stood := k.nextHop, k.standing
+	to, wasStanding := k.nextHop, k.standing
 	c.releaseCircuits(k)
 	if e.Concluded {
 		k.concluded = true
 	}
-	if !stood {
+	if !wasStanding {
 		c.learnFromFailure(to, k, e)
 	}
 	if k.concluded {
@@ -325,9 +325,9 @@
 func (c *Controller) bandShares(n *neighbour) []float64 {
 	share, sum := make([]float64, c.bandCount), 0.0
 	for i, cl := range c.settings.Classes {
-		f := n.offered[i] * cl.HoldTime.Seconds()
-		share[c.classBand[i]] += f
-		sum += f
+		load := n.offered[i] * cl.HoldTime.Seconds()
+		share[c.classBand[i]] += load
+		sum += load
 	}
 	if sum == 0 {
 		share[0], sum = 1, 1
@@ -349,7 +349,8 @@
 
 // fitsDirectGroup reports whether a call may take circuits of its direct group. While many are free, any call
 // may; near a full group, only calls for which the bands up to their own have capacity. A class in the last
-// band may use all free circuits.
+// band may use all free circuits. The reported free circuits are the limit in any case, as this proxy knows
+// only its own calls.
 func (c *Controller) fitsDirectGroup(n *neighbour, k *call) bool {
 	if n.free < 0 {
 		return true // not reported yet
@@ -440,15 +441,16 @@
 		return nil
 	}
 	tryAny := to.size <= 0 || c.tandemSuccess >= minTandemSuccess
-	list, tryUnproven := c.tandemsTo(to), tryAny || c.settings.Pools || !c.coldOrSlow(to, unprovenTandemShare)
+	tandems, tryUnproven := c.tandemsTo(to),
+		tryAny || c.settings.Pools || !c.coldOrSlow(to, unprovenTandemShare)
 	var advised *neighbour
-	if i := to.tandemIndex(k.advisedTandem); i >= 0 && c.tandemUsable(k, list[i].via, maxShare) {
-		advised = list[i].via
+	if i := to.tandemIndex(k.advisedTandem); i >= 0 && c.tandemUsable(k, tandems[i].via, maxShare) {
+		advised = tandems[i].via
 	}
 	if advised != nil && len(k.triedTandems) > 0 {
 		return advised
 	}
-	for _, t := range list {
+	for _, t := range tandems {
 		share := maxShare
 		if !t.lastSucceeded && !tryAny {
 			share = unprovenTandemShare
@@ -572,7 +574,8 @@
 	}
 }
 
-// compareQueued orders queued calls: by value per circuit and second, then wider first, then older first.
+// compareQueued orders queued calls: highest value per circuit and second first, then the widest, then the
+// oldest.
 func (c *Controller) compareQueued(a, b *call) int {
 	if da, db := c.valueDensity(a), c.valueDensity(b); da != db {
 		return sign(db - da)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -161,9 +161,9 @@
 
 func TestHoldTimeBands(t *testing.T) {
 	for _, tc := range []struct {
-		holds []float64
-		band  []int
-		n     int
+		holdTimes []float64
+		band      []int
+		n         int
 	}{
 		{[]float64{10}, []int{0}, 1},
 		{[]float64{10, 10}, []int{0, 0}, 1},
@@ -175,12 +175,12 @@
 		{[]float64{10, 30, 81}, []int{0, 1, 2}, 3},
 	} {
 		var cl []Class
-		for _, h := range tc.holds {
+		for _, h := range tc.holdTimes {
 			cl = append(cl, Class{HoldTime: time.Duration(h * float64(time.Second))})
 		}
 		band, n := holdTimeBands(cl)
 		if n != tc.n || fmt.Sprint(band) != fmt.Sprint(tc.band) {
-			t.Errorf("hold times %v: bands %v of %d, want %v of %d", tc.holds, band, n, tc.band, tc.n)
+			t.Errorf("hold times %v: bands %v of %d, want %v of %d", tc.holdTimes, band, n, tc.band, tc.n)
 		}
 	}
 }
@@ -456,12 +456,12 @@
 
 func TestRepeatsOfUnsafeAndKeyedCalls(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		repeat  Repeat
-		scope   KeyScope
-		outcome Outcome
-		again   bool
-		fail    bool
+		name      string
+		repeat    Repeat
+		scope     KeyScope
+		outcome   Outcome
+		sentAgain bool
+		fail      bool
 	}{
 		{"unsafe may have run", RepeatUnsafe, ScopeAll, Cut, false, true},
 		{"unsafe never ran", RepeatUnsafe, ScopeAll, Rejected, true, false},
@@ -474,8 +474,8 @@
 		h.reportFree(2, 0, 40)
 		first := firstSetup(h.offer(1, 2))
 		acts := append(h.endAttempt(1, first, tc.outcome, TandemRejected), h.run(3*time.Second)...)
-		if got := firstSetup(acts) != Unknown; got != tc.again {
-			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.again)
+		if got := firstSetup(acts) != Unknown; got != tc.sentAgain {
+			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.sentAgain)
 		}
 		if failed(acts) != tc.fail {
 			t.Errorf("%s: failed %v, want %v", tc.name, failed(acts), tc.fail)
@@ -805,16 +805,16 @@
 func TestLowValueCallsGetNoLastCircuitsOrTandems(t *testing.T) {
 	s := settings()
 	s.Classes[0].LateValue = 0.25
-	again := func(o *Offer) { o.CalledNumber = 5 }
+	sameNumber := func(o *Offer) { o.CalledNumber = 5 }
 	h := newHarness(t, s)
 	for n := 1; n < 4; n++ {
 		h.reportFree(n, 0, 40)
 	}
-	h.offer(1, 2, again)
+	h.offer(1, 2, sameNumber)
 	h.run(1500 * ms)
 	h.reportFree(1, 30, 40)
 	h.reportFree(2, 2, 40)
-	if got := firstSetup(h.offer(2, 2, again)); got != Unknown {
+	if got := firstSetup(h.offer(2, 2, sameNumber)); got != Unknown {
 		t.Fatalf("a late redial was sent to %d over last circuits or a tandem", got)
 	}
 	if got := firstSetup(h.offer(3, 2)); got != 2 {
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -339,7 +339,7 @@
 	}
 }
 
-// pastAnswerDeadline reports whether the shutdown is so far that new calls are refused at once.
+// pastAnswerDeadline reports whether the answer deadline of a shutdown has passed, after which new calls are refused.
 func (c *Core) pastAnswerDeadline() bool { return c.stoppingSince != 0 && c.now >= c.answerDeadline }
 
 // Ready reports whether heartbeats succeed: the proxy is not shutting down, the exchange list is known, and each switch
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -365,7 +365,7 @@
 		h.advance(time.Duration(50+25*i) * ms)
 	}
 	for _, d := range h.takeDials() {
-		if d.To.Port() != 7070 { // the coordinator is silent in this test, so the proxy reconnects to it
+		if d.To.Port() != 7070 { // the coordinator sends nothing in this test, so the proxy reconnects to it
 			t.Errorf("dialled %v", d.To)
 		}
 	}
