--- a/internal/call/cause.go
+++ b/internal/call/cause.go
@@ -2,34 +2,34 @@
 
 import "pipitring/decide"
 
-// Cause is a cause value of Q.850, which IAX2 and ISUP share.
+// Cause is a Q.850 cause value. IAX2 and ISUP use the same values.
 type Cause uint8
 
-// Causes that routers and switches give.
+// Q.850 causes that routers and switches send.
 const (
-	Unallocated         Cause = 1
-	NoRoute             Cause = 3
-	NormalClearing      Cause = 16
-	UserBusy            Cause = 17
-	NoUserResponding    Cause = 18
-	NoAnswer            Cause = 19
-	Rejected            Cause = 21
-	NumberChanged       Cause = 22
-	RoutingError        Cause = 25
-	OutOfOrder          Cause = 27
-	InvalidNumber       Cause = 28
-	NormalUnspecified   Cause = 31
-	NoCircuit           Cause = 34
-	NetworkDown         Cause = 38
-	TemporaryFailure    Cause = 41
-	Congestion          Cause = 42
-	CircuitUnavailable  Cause = 44
-	ResourceUnavailable Cause = 47
-	TimerExpired        Cause = 102
+	Unallocated         Cause = 1   // unallocated number
+	NoRoute             Cause = 3   // no route to destination
+	NormalClearing      Cause = 16  // normal call clearing
+	UserBusy            Cause = 17  // user busy
+	NoUserResponding    Cause = 18  // no user responding
+	NoAnswer            Cause = 19  // user alerted, no answer
+	Rejected            Cause = 21  // call rejected
+	NumberChanged       Cause = 22  // number changed
+	RoutingError        Cause = 25  // exchange routing error, used for routing loops
+	OutOfOrder          Cause = 27  // destination out of order
+	InvalidNumber       Cause = 28  // address incomplete or invalid number format
+	NormalUnspecified   Cause = 31  // normal, unspecified
+	NoCircuit           Cause = 34  // no circuit available
+	NetworkDown         Cause = 38  // network out of order
+	TemporaryFailure    Cause = 41  // temporary failure
+	Congestion          Cause = 42  // switching equipment congestion
+	CircuitUnavailable  Cause = 44  // requested circuit not available
+	ResourceUnavailable Cause = 47  // resource unavailable, unspecified
+	TimerExpired        Cause = 102 // recovery on timer expiry
 )
 
-// Refusal tells whether a final answer with this cause is a refusal; every other but a normal release is a
-// failure. It is the one table that callers, checkers and records go by.
+// Refusal reports whether a final answer with this cause counts as a refusal. Any other cause, except a normal
+// release, counts as a failure. Callers, checkers and records must all use this table.
 func (c Cause) Refusal() bool {
 	switch c {
 	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber, NoCircuit,
@@ -39,12 +39,13 @@
 	return false
 }
 
-// outcome puts a release before the answer in the module's terms. Over a tandem the same cause tells another
-// thing: the group or the processor that lacked room is the one beyond.
-func outcome(c Cause, tandem bool) (decide.Outcome, decide.Cause) {
+// releaseOutcome maps the cause of a release before the answer to the controller's outcome and cause. The same
+// cause means something else on a call sent via a tandem: the trunk group or processor without capacity is then
+// the one behind the tandem.
+func releaseOutcome(c Cause, tandem bool) (decide.Outcome, decide.Cause) {
 	switch c {
 	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber:
-		return decide.Busy, decide.LinesBusy // it is the number that cannot be reached, whatever the route
+		return decide.Busy, decide.LinesBusy // the called number is unreachable by any route
 	case NoCircuit, CircuitUnavailable:
 		if tandem {
 			return decide.Rejected, decide.TandemRejected
@@ -59,13 +60,13 @@
 		if tandem {
 			return decide.Rejected, decide.TandemRejected
 		}
-		return decide.Busy, decide.LinesBusy // the same way once more would end the same
+		return decide.Busy, decide.LinesBusy // a retry on the same route would end the same way
 	}
 	return decide.Busy, decide.CauseUnknown
 }
 
-// finalCause is the cause of a final answer after the last attempt ended as told. cause is what the far end
-// gave, 0 if nothing.
+// finalCause returns the cause of the final answer after the last attempt ended with outcome last. cause is the
+// far end's cause, 0 if it gave none.
 func finalCause(last decide.Outcome, cause Cause) Cause {
 	switch last {
 	case decide.TimedOut:
@@ -82,5 +83,5 @@
 		}
 		return TemporaryFailure
 	}
-	return Congestion // never tried: held or turned away for lack of room
+	return Congestion // no attempt was made: the call was queued or rejected for lack of capacity
 }
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -10,257 +10,266 @@
 	"pipitring/internal/trunk"
 )
 
-// Settings are what a Core is given.
+// Settings configure a Core.
 type Settings struct {
 	Decide decide.Settings
-	Seed   uint64 // of the module's random choices
+	Seed   uint64 // seeds the controller's random choices
 	Groups map[int]int
-	// OwnCircuits is the number of circuits to the own switch, or of its lines where they are only counted; 0 is not known.
+	// OwnCircuits is the number of circuits to the own switch, or of its lines where circuits are only counted.
+	// 0 means unknown.
 	OwnCircuits int
 	Plan        *Plan
-	// Patience is how long callers of each class wait before they give up one try.
+	// Patience is how long callers of each class wait for an answer before they abandon a try, indexed by
+	// class.
 	Patience []time.Duration
-	// AnswerMargin is taken off it, so that the answer is with the caller in time.
+	// AnswerMargin is subtracted from Patience so that the final answer reaches the caller in time.
 	AnswerMargin time.Duration
-	// DrainGrace is how long after a drain was told a set-up may still reach the exchange.
+	// DrainGrace is how long a set-up may still reach an exchange after the list marked it as draining.
 	DrainGrace time.Duration
-	MaxCalls   int // at once; 0 is no limit
-	// DurableTimeout holds final answers back until Durable tells that their record is, for this long at the most; 0 is not.
+	MaxCalls   int // limit of concurrent calls; 0 means no limit
+	// DurableTimeout is how long a final answer waits at most for MarkDurable to confirm its record. 0 sends
+	// answers without waiting.
 	DurableTimeout time.Duration
 }
 
-// Core is the call state of one router.
+// Core holds the call state of one router.
 type Core struct {
-	Outputs []Output // for the fronts to carry out and reset, in order
-	Records []Record // calls that are over, for the user to take and reset
+	Outputs []Output // for the fronts, in order; the user executes and resets them
+	Records []Record // new records; the user takes and resets them
 	Stats   Stats
 
-	set      Settings
-	ctl      *decide.Controller
-	groups   *trunk.GroupTable
-	calls    map[decide.CallID]*call
-	legs     map[LegID]*leg
-	list     map[decide.ExchangeID]*listed
-	lastCall decide.CallID
-	lastLeg  LegID
-	queue    timers.Queue[func(now time.Duration)]
-	pending  []decide.Event
-	feeding  bool
-	closing  bool
-	shut     bool              // no new calls for a while
-	seq      uint64            // calls taken
-	ticket   uint64            // records made
-	held     []*held           // answers that wait for their record, oldest first
-	ownUsed  int               // circuits of legs to the own switch
-	ownTold  decide.ExchangeID // the own processor that the module was told the size of,
-	ownFree  int               // and its free circuits then
+	settings        Settings
+	controller      *decide.Controller
+	groups          *trunk.GroupTable
+	calls           map[decide.CallID]*call
+	legs            map[LegID]*leg
+	exchanges       map[decide.ExchangeID]*listedExchange
+	lastCall        decide.CallID
+	lastLeg         LegID
+	queue           timers.Queue[func(now time.Duration)]
+	pendingEvents   []decide.Event
+	processing      bool
+	closing         bool
+	suspended       bool              // new calls are rejected until SetSuspended(false)
+	lastCallSeq     uint64            // CallSeq of the last accepted call
+	lastRecordSeq   uint64            // RecordSeq of the last record
+	deferred        []*deferredAnswer // answers that wait for a durable record, oldest first
+	ownInUse        int               // circuits in use by legs to the own switch
+	reportedOwn     decide.ExchangeID // own processor last reported to the controller
+	reportedOwnFree int               // free circuits in that report
 }
 
-// listed is an exchange on the list, and when this router was told of its phase.
-type listed struct {
+// listedExchange is an entry of the exchange list and the time at which its current phase was received.
+type listedExchange struct {
 	decide.Entry
-	told time.Duration
+	phaseSince time.Duration
 }
 
-// call is one call that this router has taken and not finished.
+// call is an accepted call that has not ended.
 type call struct {
-	id       decide.CallID
-	seq      uint64
-	request  Request
-	origin   Origin
-	class    int
-	tenant   int
-	dest     int
-	width    int
-	transit  bool
-	in, out  *leg // out is nil while no attempt is out
-	offered  time.Duration
-	deadline time.Duration // of the final answer
-	answered time.Duration
-	proving  bool    // answered, and its record not durable yet
-	farEnd   *farEnd // what the far end did meanwhile
-	stood    bool
-	attempts int
-	tried    []Attempt
-	first    [1]Attempt // most calls need no more
-	last     decide.Outcome
-	cause    Cause // the far end gave with it
-	limit    timers.Entry[func(time.Duration)]
-	watch    timers.Entry[func(time.Duration)]
+	id             decide.CallID
+	seq            uint64
+	request        Request
+	origin         Origin
+	class          int
+	tenant         int
+	dest           int
+	width          int
+	transit        bool
+	inLeg, outLeg  *leg // outLeg is nil while no attempt is in progress
+	offered        time.Duration
+	deadline       time.Duration // of the final answer
+	answered       time.Duration
+	awaitingRecord bool        // answered, but the record is not durable yet
+	earlyRelease   *legRelease // set if the far end released the call while awaitingRecord
+	standing       bool
+	attempts       int
+	attemptRecords []Attempt
+	firstAttempt   [1]Attempt // storage of attemptRecords: most calls need one attempt
+	lastOutcome    decide.Outcome
+	lastCause      Cause // the far end's cause of lastOutcome
+	attemptTimer   timers.Entry[func(time.Duration)]
+	watchdog       timers.Entry[func(time.Duration)]
 }
 
-// leg is a call's relation to one end. It outlives its call until the far end has let go.
+// leg connects a call with one far end. It outlives its call until the far end has confirmed the release.
 type leg struct {
-	id       LegID
-	call     *call // nil once the call has no more to do with it
-	exchange decide.ExchangeID
-	group    *trunk.Group
-	width    int
-	incoming bool
-	heard    bool // the far end showed that it has the set-up
-	tandem   bool
-	attempt  int
-	tried    int // its place among the call's
-	sent     time.Duration
+	id           LegID
+	call         *call // nil once the leg is detached from its call
+	exchange     decide.ExchangeID
+	group        *trunk.Group
+	width        int
+	incoming     bool
+	acknowledged bool // the far end has confirmed receipt of the set-up
+	tandem       bool
+	attempt      int
+	recordIndex  int // index in the call's attemptRecords
+	sentAt       time.Duration
 }
 
-// Clock is now on the module's clock, on which 0 is long ago. It runs ahead of the router's by the time that a processor
-// takes to be warm, so that a start shortly before the router's own has a time above 0 on it.
-func (c *Core) Clock(now time.Duration) time.Duration { return now + c.set.Decide.ColdDuration + 1 }
+// Clock converts the router's clock to the controller's, on which 0 means long ago. The controller's clock is
+// ahead by ColdDuration, so that a processor that started shortly before the router still has a start time
+// above 0.
+func (c *Core) Clock(now time.Duration) time.Duration {
+	return now + c.settings.Decide.ColdDuration + 1
+}
 
-// New returns a core without calls. Its settings must be valid.
+// New returns a Core without calls. The settings must be valid.
 func New(s Settings) *Core {
-	c := &Core{set: s, ctl: decide.New(s.Decide, s.Seed), groups: trunk.NewGroupTable(s.Groups),
-		calls: map[decide.CallID]*call{}, legs: map[LegID]*leg{}, list: map[decide.ExchangeID]*listed{}}
+	c := &Core{settings: s, controller: decide.New(s.Decide, s.Seed), groups: trunk.NewGroupTable(s.Groups),
+		calls: map[decide.CallID]*call{}, legs: map[LegID]*leg{}, exchanges: map[decide.ExchangeID]*listedExchange{}}
 	return c
 }
 
-// Reconfigure takes new settings for calls that come from now on; the module and its beliefs stay.
-func (c *Core) Reconfigure(now time.Duration, plan *Plan, groups map[int]int, own, maxCalls int) {
-	c.set.Plan, c.set.MaxCalls, c.set.OwnCircuits = plan, maxCalls, own
+// Reconfigure applies new settings to future calls. The controller keeps its state and its estimates.
+func (c *Core) Reconfigure(now time.Duration, plan *Plan, groups map[int]int, ownCircuits, maxCalls int) {
+	c.settings.Plan, c.settings.MaxCalls, c.settings.OwnCircuits = plan, maxCalls, ownCircuits
 	c.groups.Resize(groups)
-	c.run(now)
+	c.processEvents(now)
 }
 
-// HasRoute tells whether the plan knows a way to a called number.
+// HasRoute reports whether the numbering plan has a destination for a called number.
 func (c *Core) HasRoute(number string) bool {
-	_, _, _, ok := c.set.Plan.Lookup(Request{Called: number})
+	_, _, _, ok := c.settings.Plan.Lookup(Request{Called: number})
 	return ok
 }
 
-// Close refuses new calls from now on; those taken go on.
+// Close rejects all new calls from now on. Calls in progress continue.
 func (c *Core) Close() { c.closing = true }
 
-// SetSuspended refuses new calls, or takes them again; what refuses them is not what Close does: it may pass.
-func (c *Core) SetSuspended(shut bool) { c.shut = shut }
+// SetSuspended starts or stops rejecting new calls. Unlike Close, it can be undone.
+func (c *Core) SetSuspended(suspended bool) { c.suspended = suspended }
 
-// OpenCalls is the number of calls taken and not finished, Legs that of legs which any end still holds.
+// OpenCalls returns the number of accepted calls that have not ended.
 func (c *Core) OpenCalls() int { return len(c.calls) }
 
-// Legs is the number of legs that are not closed.
+// Legs returns the number of legs that are not closed.
 func (c *Core) Legs() int { return len(c.legs) }
 
-// Groups lists the trunk groups.
+// Groups returns the trunk groups, ordered by exchange number.
 func (c *Core) Groups() []*trunk.Group { return c.groups.All() }
 
-// Timers is the number of running timers.
+// Timers returns the number of running timers.
 func (c *Core) Timers() int { return c.queue.Len() }
 
-// Next is when Advance has something to do.
+// Next returns the time at which Advance is due; ok is false if no timer is running.
 func (c *Core) Next() (at time.Duration, ok bool) { return c.queue.Next() }
 
-// Advance does what is due.
+// Advance runs all timers that are due at now.
 func (c *Core) Advance(now time.Duration) {
 	for e := c.queue.Due(now); e != nil; e = c.queue.Due(now) {
 		e.Value(now)
-		c.run(now)
+		c.processEvents(now)
 	}
 }
 
-// SetList takes news of the exchanges. Set-ups that were sent to an exchange now draining or gone and that it
-// has not shown to have are called off when the grace ends: repeats of them would be new to it.
+// SetList applies an update of the exchange list. Set-ups to an exchange that is now draining or removed, and
+// that it has not acknowledged, are withdrawn before the grace period ends, because the exchange would take a
+// retransmission as a new set-up.
 func (c *Core) SetList(now time.Duration, l decide.ListUpdate) {
 	if l.Kind != decide.ListChanges && l.Kind != decide.ListFailed {
 		named := map[decide.ExchangeID]bool{}
 		for _, e := range l.Entries {
 			named[e.Exchange] = true
 		}
-		for _, id := range slices.Sorted(maps.Keys(c.list)) { // in order: two runs agree
-			if x := c.list[id]; !named[id] {
-				x.Phase, x.told = decide.Removed, now
-				c.endGrace(now, id)
+		for _, id := range slices.Sorted(maps.Keys(c.exchanges)) { // sorted, so that runs are deterministic
+			if x := c.exchanges[id]; !named[id] {
+				x.Phase, x.phaseSince = decide.Removed, now
+				c.scheduleWithdrawal(now, id)
 			}
 		}
 	}
 	for _, e := range l.Entries {
-		x := c.list[e.Exchange]
+		x := c.exchanges[e.Exchange]
 		if x == nil {
-			x = &listed{told: now}
-			c.list[e.Exchange] = x
+			x = &listedExchange{phaseSince: now}
+			c.exchanges[e.Exchange] = x
 		}
 		if x.Phase != e.Phase {
-			x.told = now
+			x.phaseSince = now
 			if e.Phase != decide.Ready {
-				c.endGrace(now, e.Exchange)
+				c.scheduleWithdrawal(now, e.Exchange)
 			}
 		}
 		x.Entry = e
 	}
-	c.feed(l)
-	c.run(now)
+	c.enqueue(l)
+	c.processEvents(now)
 }
 
-// endGrace calls off what an exchange has not shown to have, a little before the grace is over.
-func (c *Core) endGrace(now time.Duration, id decide.ExchangeID) {
-	c.after(now, c.set.DrainGrace*3/4, func(now time.Duration) {
-		var late []*leg
+// scheduleWithdrawal withdraws the unacknowledged set-ups to an exchange at three quarters of the grace period.
+func (c *Core) scheduleWithdrawal(now time.Duration, id decide.ExchangeID) {
+	c.schedule(now, c.settings.DrainGrace*3/4, func(now time.Duration) {
+		var unacknowledged []*leg
 		for _, l := range c.legs {
-			if l.exchange == id && !l.heard && l.call != nil && l.call.out == l {
-				late = append(late, l)
+			if l.exchange == id && !l.acknowledged && l.call != nil && l.call.outLeg == l {
+				unacknowledged = append(unacknowledged, l)
 			}
 		}
-		slices.SortFunc(late, func(a, b *leg) int { return int(a.id) - int(b.id) })
-		for _, l := range late {
+		slices.SortFunc(unacknowledged, func(a, b *leg) int { return int(a.id) - int(b.id) })
+		for _, l := range unacknowledged {
 			c.Stats.Withdrawn++
-			c.attemptOver(now, l, decide.TimedOut, decide.CauseUnknown, 0, TimerExpired)
+			c.endAttempt(now, l, decide.TimedOut, decide.CauseUnknown, 0, TimerExpired)
 		}
-		if x := c.list[id]; x != nil && x.Phase == decide.Removed {
-			delete(c.list, id) // or the list of the dead grows for ever
+		if x := c.exchanges[id]; x != nil && x.Phase == decide.Removed {
+			delete(c.exchanges, id) // otherwise removed exchanges would accumulate
 		}
 	})
 }
 
-// after calls f once.
-func (c *Core) after(now, d time.Duration, f func(now time.Duration)) {
+// schedule calls f once, after d.
+func (c *Core) schedule(now, d time.Duration, f func(now time.Duration)) {
 	c.queue.Set(&timers.Entry[func(time.Duration)]{Value: f}, now+d)
 }
 
-// feed queues an event for the module.
-func (c *Core) feed(e decide.Event) { c.pending = append(c.pending, e) }
+// enqueue adds an event for the controller.
+func (c *Core) enqueue(e decide.Event) { c.pendingEvents = append(c.pendingEvents, e) }
 
-// run feeds queued events and carries out the actions until nothing is left; free circuits are told as they
-// change.
-func (c *Core) run(now time.Duration) {
-	if c.feeding {
+// processEvents feeds the queued events to the controller and executes its actions until none is left. Changes
+// of free circuits are reported as they occur.
+func (c *Core) processEvents(now time.Duration) {
+	if c.processing {
 		return
 	}
-	c.feeding = true
+	c.processing = true
 	for {
-		c.tellCircuits()
-		if len(c.pending) == 0 {
+		c.reportCircuits()
+		if len(c.pendingEvents) == 0 {
 			break
 		}
-		e := c.pending[0]
-		c.pending = append(c.pending[:0], c.pending[1:]...)
-		for _, a := range c.ctl.Feed(c.Clock(now), e) {
-			c.carryOut(now, a)
+		e := c.pendingEvents[0]
+		c.pendingEvents = append(c.pendingEvents[:0], c.pendingEvents[1:]...)
+		for _, a := range c.controller.Feed(c.Clock(now), e) {
+			c.execute(now, a)
 		}
 	}
-	c.feeding = false
+	c.processing = false
 }
 
-// tellCircuits reports groups whose circuits changed, and what the own switch has: no group leads there, and its size
-// is what the module goes by while a processor is cold.
-func (c *Core) tellCircuits() {
+// reportCircuits reports the trunk groups whose circuits changed. It also reports the own switch, which no
+// trunk group leads to: the controller derives the slow-start limit of a cold processor from its size.
+func (c *Core) reportCircuits() {
 	c.groups.ForEachChanged(func(g *trunk.Group) {
 		if x := c.processorAt(g.Neighbour()); x != nil {
-			c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
+			c.enqueue(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
 		}
 	})
-	if x := c.processorAt(c.set.Decide.OwnExchange); c.set.OwnCircuits > 0 && x != nil && (x.Exchange != c.ownTold || c.ownFree != c.ownRoom()) {
-		c.ownTold, c.ownFree = x.Exchange, c.ownRoom()
+	if x := c.processorAt(c.settings.Decide.OwnExchange); c.settings.OwnCircuits > 0 && x != nil &&
+		(x.Exchange != c.reportedOwn || c.reportedOwnFree != c.ownFreeCircuits()) {
+		c.reportedOwn, c.reportedOwnFree = x.Exchange, c.ownFreeCircuits()
 		r := decide.NoReport
-		r.Free, r.Size = float64(c.ownFree), float64(c.set.OwnCircuits)
-		c.feed(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
+		r.Free, r.Size = float64(c.reportedOwnFree), float64(c.settings.OwnCircuits)
+		c.enqueue(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
 	}
 }
 
-func (c *Core) ownRoom() int { return max(0, c.set.OwnCircuits-c.ownUsed) }
+func (c *Core) ownFreeCircuits() int { return max(0, c.settings.OwnCircuits-c.ownInUse) }
 
-// processorAt finds an exchange of a number on the list: the least of several, so that runs agree.
-func (c *Core) processorAt(number int) *listed {
-	var best *listed
-	for _, x := range c.list {
+// processorAt returns the listed exchange with a number, or nil. If there are several it returns the one with
+// the lowest ID, so that runs are deterministic.
+func (c *Core) processorAt(number int) *listedExchange {
+	var best *listedExchange
+	for _, x := range c.exchanges {
 		if x.Number == number && x.Phase != decide.Removed && (best == nil || x.Exchange < best.Exchange) {
 			best = x
 		}
@@ -276,19 +285,20 @@
 	return r
 }
 
-func (c *Core) carryOut(now time.Duration, a decide.Action) {
+func (c *Core) execute(now time.Duration, a decide.Action) {
 	switch a := a.(type) {
 	case decide.SetUp:
 		c.setUp(now, a)
 	case decide.Refuse:
-		c.finish(now, a.Call, a.RetryAfter)
+		c.sendFinalAnswer(now, a.Call, a.RetryAfter)
 	case decide.Fail:
-		c.finish(now, a.Call, 0)
+		c.sendFinalAnswer(now, a.Call, 0)
 	case decide.Timer:
-		c.after(now, a.After, func(time.Duration) { c.feed(decide.TimerExpired{Token: a.Token}) })
+		c.schedule(now, a.After, func(time.Duration) { c.enqueue(decide.TimerExpired{Token: a.Token}) })
 	case decide.Subscribe, decide.LogLine:
-		// The registry pushes by itself; notes are the module's log.
+		// The discovery client delivers updates without a subscription; the controller's log lines are not
+		// used.
 	}
 }
 
-func (c *Core) out(o Output) { c.Outputs = append(c.Outputs, o) }
+func (c *Core) emit(o Output) { c.Outputs = append(c.Outputs, o) }
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -13,13 +13,14 @@
 
 const ms = time.Millisecond
 
-// bed is a core at exchange 0 with groups to 1, 2 and 3; numbers begin with the exchange's digit.
-type bed struct {
+// harness is a Core at exchange 0 with trunk groups to 1, 2 and 3. Numbers begin with the digit of their
+// exchange.
+type harness struct {
 	*Core
 	now time.Duration
 }
 
-func newBed(t interface{ Fatal(...any) }, groups map[int]int) *bed {
+func newHarness(t interface{ Fatal(...any) }, groups map[int]int) *harness {
 	plan := NewPlan()
 	for n := range 4 {
 		if err := plan.AddDest(fmt.Sprint(n), n); err != nil {
@@ -38,7 +39,7 @@
 	if err := s.Decide.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{Core: New(s), now: time.Second}
+	b := &harness{Core: New(s), now: time.Second}
 	l := decide.ListUpdate{Kind: decide.ListFull}
 	for n := range 4 {
 		l.Entries = append(l.Entries, decide.Entry{Exchange: decide.ExchangeID(100 + n), Number: n, Phase: decide.Ready})
@@ -47,15 +48,15 @@
 	return b
 }
 
-// take returns the outputs since the last time.
-func (b *bed) take() []Output {
+// takeOutputs returns the outputs since the last call.
+func (b *harness) takeOutputs() []Output {
 	out := slices.Clone(b.Outputs)
 	b.Outputs = b.Outputs[:0]
 	return out
 }
 
-// pass moves the clock on, doing what is due on the way.
-func (b *bed) pass(d time.Duration) {
+// advanceClock moves the clock forward and runs the timers that are due on the way.
+func (b *harness) advanceClock(d time.Duration) {
 	until := b.now + d
 	for {
 		at, ok := b.Next()
@@ -68,37 +69,37 @@
 	}
 }
 
-func (b *bed) offer(called string) (LegID, Output) {
+func (b *harness) offer(called string) (LegID, Output) {
 	in := b.Offer(b.now, Origin{Exchange: Subscriber}, Request{Called: called, Calling: "9"})
-	out := b.take()
+	out := b.takeOutputs()
 	if len(out) != 1 {
 		return in, Output{}
 	}
 	return in, out[0]
 }
 
-func TestCallStandsAndEnds(t *testing.T) {
-	b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
+func TestStandingCallEnds(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
 	in, o := b.offer("15")
 	if o.Kind != Connect || o.Exchange != 101 || o.Request.ViaTandem {
 		t.Fatalf("got %+v", o)
 	}
-	b.pass(100 * ms)
+	b.advanceClock(100 * ms)
 	b.Answered(b.now, o.Leg)
-	if got := b.take(); len(got) != 1 || got[0].Kind != Answer || got[0].Leg != in || got[0].Other != o.Leg {
+	if got := b.takeOutputs(); len(got) != 1 || got[0].Kind != Answer || got[0].Leg != in || got[0].Other != o.Leg {
 		t.Fatalf("got %+v", got)
 	}
 	if free := b.groups.Group(1).Free(); free != 3 {
-		t.Errorf("%d circuits free while it stands", free)
+		t.Errorf("%d circuits free while the call is standing", free)
 	}
-	b.pass(time.Second)
+	b.advanceClock(time.Second)
 	b.Released(b.now, in, NormalClearing)
-	if got := b.take(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
+	if got := b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
 		t.Fatalf("got %+v", got)
 	}
 	b.Closed(b.now, in)
 	if free := b.groups.Group(1).Free(); free != 3 {
-		t.Errorf("%d circuits free before the far end let go", free)
+		t.Errorf("%d circuits free before the far end closed its leg", free)
 	}
 	b.Closed(b.now, o.Leg)
 	if free := b.groups.Group(1).Free(); free != 4 || b.OpenCalls()+b.Legs() != 0 {
@@ -113,13 +114,13 @@
 	}
 }
 
-// The far end is silent: one failure answer in time, and nothing for the call after it.
-func TestSilentFarEnd(t *testing.T) {
-	b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
+// If the far end does not respond, the caller gets one failure answer in time, and no second attempt is made.
+func TestUnresponsiveFarEnd(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
 	in, o := b.offer("15")
-	b.pass(5 * time.Second)
+	b.advanceClock(5 * time.Second)
 	var finals, again int
-	for _, x := range b.take() {
+	for _, x := range b.takeOutputs() {
 		if x.Kind == Release && x.Leg == in {
 			finals++
 			if x.Cause.Refusal() {
@@ -131,19 +132,20 @@
 		}
 	}
 	if finals != 1 || again != 0 || b.Records[0].End != Failed || b.Stats.Overdue != 0 {
-		t.Errorf("%d final answers, %d further attempts, %+v", finals, again, b.Records)
+		t.Errorf("%d final answers, %d further attempts, records %+v", finals, again, b.Records)
 	}
 }
 
-// A caller that leaves while an attempt is out: it is called off, and a late answer changes nothing.
-func TestCallerLeaves(t *testing.T) {
-	b := newBed(t, map[int]int{1: 4})
+// If the caller hangs up while an attempt is in progress, the attempt is cancelled and a late answer is
+// ignored.
+func TestCallerAbandonsCall(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 4})
 	in, o := b.offer("15")
 	b.Released(b.now, in, NormalClearing)
 	b.Closed(b.now, in)
 	b.Answered(b.now, o.Leg)
 	b.Released(b.now, o.Leg, NormalClearing)
-	got := b.take()
+	got := b.takeOutputs()
 	if len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
 		t.Errorf("got %+v", got)
 	}
@@ -153,8 +155,8 @@
 	}
 }
 
-func TestCallsThatAreNeverTaken(t *testing.T) {
-	b := newBed(t, map[int]int{1: 4, 2: 0})
+func TestRejectedOffers(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 4, 2: 0})
 	for _, c := range []struct {
 		name  string
 		from  int
@@ -163,11 +165,11 @@
 	}{
 		{"unknown number", Subscriber, Request{Called: "8"}, Unallocated},
 		{"passed on twice", 1, Request{Called: "2", ViaTandem: true}, RoutingError},
-		{"no circuit on the group it came over", 2, Request{Called: "1"}, NoCircuit},
-		{"over no group", 3, Request{Called: "1"}, NoCircuit},
+		{"no circuit on the incoming group", 2, Request{Called: "1"}, NoCircuit},
+		{"no group with the exchange", 3, Request{Called: "1"}, NoCircuit},
 	} {
 		leg := b.Offer(b.now, Origin{Exchange: c.from}, c.r)
-		got := b.take()
+		got := b.takeOutputs()
 		if len(got) != 1 || got[0].Kind != Release || got[0].Leg != leg || got[0].Cause != c.cause {
 			t.Errorf("%s: %+v", c.name, got)
 		}
@@ -178,26 +180,26 @@
 		t.Errorf("closing: %+v", o)
 	}
 	if b.OpenCalls() != 0 || b.Stats.Offered != 0 {
-		t.Errorf("%d calls were taken", b.Stats.Offered)
+		t.Errorf("%d calls were accepted, want none", b.Stats.Offered)
 	}
 }
 
-// A call in transit goes on to its destination as passed on, or is turned back; one that ends here goes to the
-// own processor and takes no circuit beyond those it came over.
+// A call in transit is forwarded to its destination marked ViaTandem, or rejected. A call to the own exchange
+// goes to the own processor and uses only the circuit that it arrived on.
 func TestTransitAndDelivery(t *testing.T) {
-	b := newBed(t, map[int]int{1: 20, 2: 20})
+	b := newHarness(t, map[int]int{1: 20, 2: 20})
 	b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "2"})
-	got := b.take()
+	got := b.takeOutputs()
 	if len(got) != 1 || got[0].Exchange != 102 || !got[0].Request.ViaTandem {
 		t.Fatalf("in transit: %+v", got)
 	}
 	in := b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "3"})
-	if got = b.take(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || !got[0].Cause.Refusal() {
-		t.Fatalf("without a way on: %+v", got)
+	if got = b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || !got[0].Cause.Refusal() {
+		t.Fatalf("without a route onward: %+v", got)
 	}
 	b.Offer(b.now, Origin{Exchange: 2}, Request{Called: "0", ViaTandem: true})
-	if got = b.take(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.ViaTandem {
-		t.Fatalf("ends here: %+v", got)
+	if got = b.takeOutputs(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.ViaTandem {
+		t.Fatalf("to the own exchange over a group: %+v", got)
 	}
 	if one, two := b.groups.Group(1), b.groups.Group(2); one.Free() != 18 || two.Free() != 18 {
 		t.Errorf("%d and %d circuits free", one.Free(), two.Free())
@@ -207,58 +209,59 @@
 	}
 }
 
-// A direct group without circuits: the call goes by a tandem, and one turned back goes by another or is refused.
-func TestTurnedBackGoesOn(t *testing.T) {
-	b := newBed(t, map[int]int{1: 0, 2: 30, 3: 30})
+// Without circuits in the direct group, the call goes via a tandem. A call rejected by one tandem is tried via
+// another, and then refused.
+func TestRejectedByTandemIsRerouted(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 0, 2: 30, 3: 30})
 	in, o := b.offer("15")
 	if o.Kind != Connect || o.Exchange == 101 {
 		t.Fatalf("got %+v", o)
 	}
 	b.Released(b.now, o.Leg, NoCircuit)
-	got := b.take()
+	got := b.takeOutputs()
 	if len(got) != 1 || got[0].Kind != Connect || got[0].Exchange == o.Exchange || got[0].Exchange == 101 {
-		t.Fatalf("after the first was turned back: %+v", got)
+		t.Fatalf("after the first tandem rejected it: %+v", got)
 	}
 	b.Released(b.now, got[0].Leg, NoCircuit)
-	b.pass(time.Second) // it waits for a circuit of its direct group, and no longer than helps
-	if got = b.take(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || got[0].Cause != NoCircuit {
-		t.Fatalf("after the second: %+v", got)
+	b.advanceClock(time.Second) // queued for a circuit of its direct group only as long as that can help
+	if got = b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || got[0].Cause != NoCircuit {
+		t.Fatalf("after the second tandem rejected it: %+v", got)
 	}
 }
 
-// Set-ups that a draining exchange has not shown to have are called off before the grace is over; one that it
-// has goes on.
-func TestGraceEndsSilentSetUps(t *testing.T) {
-	b := newBed(t, map[int]int{1: 9})
-	_, silent := b.offer("15")
-	_, heard := b.offer("16")
-	b.Acknowledged(b.now, heard.Leg)
+// Set-ups that a draining exchange has not acknowledged are withdrawn before the grace period ends; an
+// acknowledged one continues.
+func TestGraceWithdrawsUnacknowledgedSetUps(t *testing.T) {
+	b := newHarness(t, map[int]int{1: 9})
+	_, unacknowledged := b.offer("15")
+	_, acknowledged := b.offer("16")
+	b.Acknowledged(b.now, acknowledged.Leg)
 	b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 		{Exchange: 101, Number: 1, Phase: decide.Draining}}})
-	b.pass(900 * ms)
-	var off []LegID
-	for _, o := range b.take() {
+	b.advanceClock(900 * ms)
+	var withdrawn []LegID
+	for _, o := range b.takeOutputs() {
 		if o.Kind == Release {
-			off = append(off, o.Leg)
+			withdrawn = append(withdrawn, o.Leg)
 		}
 		if o.Kind == Connect {
 			t.Errorf("a set-up after the drain: %+v", o)
 		}
 	}
-	if !slices.Contains(off, silent.Leg) || slices.Contains(off, heard.Leg) || b.Stats.Withdrawn != 1 {
-		t.Errorf("called off %v, of %v silent and %v heard", off, silent.Leg, heard.Leg)
+	if !slices.Contains(withdrawn, unacknowledged.Leg) || slices.Contains(withdrawn, acknowledged.Leg) || b.Stats.Withdrawn != 1 {
+		t.Errorf("withdrawn legs %v, of %v unacknowledged and %v acknowledged", withdrawn, unacknowledged.Leg, acknowledged.Leg)
 	}
 }
 
 func TestCauses(t *testing.T) {
 	for c := range Cause(128) {
-		direct, why := outcome(c, false)
-		tandem, twhy := outcome(c, true)
-		if direct == decide.Rejected && why == decide.CauseUnknown || direct == decide.Completed || tandem == decide.Completed {
-			t.Errorf("cause %d: %v %v, %v %v", c, direct, why, tandem, twhy)
+		direct, reason := releaseOutcome(c, false)
+		tandem, tandemReason := releaseOutcome(c, true)
+		if direct == decide.Rejected && reason == decide.CauseUnknown || direct == decide.Completed || tandem == decide.Completed {
+			t.Errorf("cause %d: %v %v, %v %v", c, direct, reason, tandem, tandemReason)
 		}
-		// What reads as a refusal at one router must not reach the caller as a failure.
-		if o, _ := outcome(c, false); c.Refusal() && !finalCause(o, c).Refusal() {
+		// A refusal by one router must not reach the caller as a failure.
+		if o, _ := releaseOutcome(c, false); c.Refusal() && !finalCause(o, c).Refusal() {
 			t.Errorf("cause %d: a refusal became failure %d", c, finalCause(o, c))
 		}
 	}
@@ -291,53 +294,54 @@
 		}
 	}
 	if p.AddDest("61", 5) == nil || p.AddDest("6x", 5) == nil || p.AddClass(KeyUser, "lift", 1) == nil {
-		t.Error("a double or undiallable entry was taken")
+		t.Error("a duplicate or undiallable entry was accepted")
 	}
 }
 
-// Whatever callers and far ends do, and when: each call taken gets one final answer, never two attempts are out,
-// a failed one is waited for, and in the end no circuit, leg, call or timer is left.
+// For any sequence of events from callers and far ends, each accepted call gets exactly one final answer, never
+// has two attempts in progress, and observes the release wait after a failed one. In the end no circuit, leg,
+// call or timer is left.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBed(t, map[int]int{1: 3, 2: 3, 3: 3})
+		b := newHarness(t, map[int]int{1: 3, 2: 3, 3: 3})
 		type state struct {
-			final, left bool
-			out         LegID
-			quietUntil  time.Duration
-			lastFrom    LegID
+			final, abandoned bool
+			out              LegID
+			notBefore        time.Duration
+			lastRelease      LegID
 		}
 		calls := map[LegID]*state{}   // by incoming leg
 		callOf := map[string]*state{} // by calling number
-		legs := map[LegID]*state{}    // outgoing
-		var open []LegID              // to be closed by the front
+		legs := map[LegID]*state{}    // by outgoing leg
+		var open []LegID              // legs that the front has yet to close
 		handle := func() {
-			for _, o := range b.take() {
+			for _, o := range b.takeOutputs() {
 				switch o.Kind {
 				case Connect:
 					k := callOf[o.Request.Calling]
-					if k.out != 0 || k.final || k.left {
-						t.Fatalf("attempt out of turn: %+v", o)
+					if k.out != 0 || k.final || k.abandoned {
+						t.Fatalf("attempt while another is in progress or the call has ended: %+v", o)
 					}
-					if b.now < k.quietUntil {
-						t.Fatalf("sent again %v before its release was awaited", k.quietUntil-b.now)
+					if b.now < k.notBefore {
+						t.Fatalf("sent again %v before the end of the release wait", k.notBefore-b.now)
 					}
 					k.out, legs[o.Leg] = o.Leg, k
 				case Answer:
 					k := calls[o.Leg]
-					if k.final || k.left {
-						t.Fatal("answered after the end")
+					if k.final || k.abandoned {
+						t.Fatal("answered after the final answer")
 					}
 					k.final = true
 				case Release:
 					if k := legs[o.Leg]; k != nil {
 						if !k.final {
-							k.quietUntil = b.now + 300*ms
+							k.notBefore = b.now + 300*ms
 						}
 						k.out = 0
 						open = append(open, o.Leg)
 					} else if k := calls[o.Leg]; k != nil {
 						open = append(open, o.Leg)
-						if k.out == 0 && k.final && k.lastFrom == 0 {
+						if k.out == 0 && k.final && k.lastRelease == 0 {
 							t.Fatal("two final answers")
 						}
 						k.final = true
@@ -375,15 +379,15 @@
 				b.Answered(b.now, l)
 			case what == 3 && len(out) > 0:
 				l, k := pick()
-				k.out, k.lastFrom = 0, l
+				k.out, k.lastRelease = 0, l
 				b.Released(b.now, l, rapid.SampledFrom([]Cause{NormalClearing, UserBusy, NoCircuit, Congestion, NetworkDown}).Draw(t, "cause"))
 				open = append(open, l)
 			case what == 4 && len(out) > 0:
 				l, k := pick()
 				if !k.final {
-					k.quietUntil = b.now + 300*ms
+					k.notBefore = b.now + 300*ms
 				}
-				k.out, k.lastFrom = 0, l
+				k.out, k.lastRelease = 0, l
 				b.Lost(b.now, l, rapid.Bool().Draw(t, "reset"))
 				open = append(open, l)
 			case what == 5 && len(open) > 0:
@@ -409,14 +413,14 @@
 			}
 			handle()
 		}
-		for range 200 { // all callers hang up in the end
-			b.pass(100 * ms)
+		for range 200 { // finally all callers hang up
+			b.advanceClock(100 * ms)
 			handle()
 			for in, k := range calls {
 				if k.final && k.out != 0 {
 					b.Released(b.now, in, NormalClearing)
 					open = append(open, in)
-					k.left = true
+					k.abandoned = true
 					handle()
 				}
 			}
@@ -427,51 +431,51 @@
 		for in := range calls {
 			b.Closed(b.now, in)
 		}
-		b.pass(time.Minute)
+		b.advanceClock(time.Minute)
 		for i, k := range callOf {
 			if !k.final {
 				t.Fatalf("call %s got no final answer", i)
 			}
 		}
 		if b.OpenCalls()+b.Legs()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.ActionFaults != 0 {
-			t.Fatalf("left: %d calls, %d legs, %d timers; %+v", b.OpenCalls(), b.Legs(), b.Timers(), b.Stats)
+			t.Fatalf("left over: %d calls, %d legs, %d timers; %+v", b.OpenCalls(), b.Legs(), b.Timers(), b.Stats)
 		}
 		for _, g := range b.Groups() {
 			if g.Free() != g.Size() {
 				t.Fatalf("circuits of the group to %d: %d free of %d", g.Neighbour(), g.Free(), g.Size())
 			}
 		}
-		began, ended := map[uint64]bool{}, map[uint64]bool{}
+		answered, ended := map[uint64]bool{}, map[uint64]bool{}
 		for i, r := range b.Records {
 			if r.RecordSeq != uint64(i+1) {
-				t.Fatalf("record %d has ticket %d", i+1, r.RecordSeq)
+				t.Fatalf("record %d has number %d", i+1, r.RecordSeq)
 			}
 			if r.Kind == AnswerRecord {
-				if began[r.CallSeq] || ended[r.CallSeq] {
-					t.Fatalf("call %d began twice or after its end", r.CallSeq)
+				if answered[r.CallSeq] || ended[r.CallSeq] {
+					t.Fatalf("call %d has two answer records or one after its final record", r.CallSeq)
 				}
-				began[r.CallSeq] = true
+				answered[r.CallSeq] = true
 				continue
 			}
 			if ended[r.CallSeq] {
-				t.Fatalf("call %d ended twice", r.CallSeq)
+				t.Fatalf("call %d has two final records", r.CallSeq)
 			}
 			ended[r.CallSeq] = true
-			if (r.End == Answered || r.End == CutOff) && !began[r.CallSeq] {
-				t.Fatalf("call %d stood and never began", r.CallSeq)
+			if (r.End == Answered || r.End == CutOff) && !answered[r.CallSeq] {
+				t.Fatalf("call %d was answered and has no answer record", r.CallSeq)
 			}
 			if (r.End == Refused) != r.Cause.Refusal() && (r.End == Refused || r.End == Failed) {
 				t.Fatalf("recorded as %v with cause %d", r.End, r.Cause)
 			}
 		}
 		if int(b.Stats.Offered) != len(ended) {
-			t.Fatalf("%d records of %d calls", len(ended), b.Stats.Offered)
+			t.Fatalf("%d final records of %d calls", len(ended), b.Stats.Offered)
 		}
 	})
 }
 
 func BenchmarkCall(b *testing.B) {
-	core := newBed(b, map[int]int{1: 100, 2: 100, 3: 100})
+	core := newHarness(b, map[int]int{1: 100, 2: 100, 3: 100})
 	b.ReportAllocs()
 	for b.Loop() {
 		core.now += ms
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -7,59 +7,60 @@
 	"pipitring/internal/timers"
 )
 
-// held is a final answer that waits until its record is durable.
-type held struct {
-	ticket  uint64
-	call    *call  // to be answered, or nil:
-	release Output // the final answer of a call that is over
-	limit   timers.Entry[func(time.Duration)]
+// deferredAnswer is a final answer that waits until its record is durable.
+type deferredAnswer struct {
+	recordSeq uint64
+	call      *call  // the call to answer; nil if release is to be sent
+	release   Output // final answer of a call that has ended
+	timer     timers.Entry[func(time.Duration)]
 }
 
-// farEnd is what the far end did after its answer while that was held.
-type farEnd struct {
+// legRelease is how the far end of a leg ended it.
+type legRelease struct {
 	cause Cause
 	lost  bool
 }
 
-// hold keeps an answer back until its record is durable, or for Settings.Prove.
-func (c *Core) hold(now time.Duration, h *held) {
-	h.limit.Value = func(now time.Duration) {
-		if h.call == nil || h.call.proving {
+// deferAnswer delays an answer until its record is durable, for DurableTimeout at most.
+func (c *Core) deferAnswer(now time.Duration, d *deferredAnswer) {
+	d.timer.Value = func(now time.Duration) {
+		if d.call == nil || d.call.awaitingRecord {
 			c.Stats.AnsweredNotDurable++
 		}
-		c.held = slices.DeleteFunc(c.held, func(o *held) bool { return o == h })
-		c.let(now, h)
+		c.deferred = slices.DeleteFunc(c.deferred, func(o *deferredAnswer) bool { return o == d })
+		c.sendDeferred(now, d)
 	}
-	c.held = append(c.held, h)
-	c.queue.Set(&h.limit, now+c.set.DurableTimeout)
+	c.deferred = append(c.deferred, d)
+	c.queue.Set(&d.timer, now+c.settings.DurableTimeout)
 }
 
-// MarkDurable tells that all records up to a ticket are: their answers go out.
-func (c *Core) MarkDurable(now time.Duration, ticket uint64) {
+// MarkDurable reports that all records up to and including recordSeq are durable. It sends the answers that
+// waited for them.
+func (c *Core) MarkDurable(now time.Duration, recordSeq uint64) {
 	n := 0
-	for n < len(c.held) && c.held[n].ticket <= ticket {
+	for n < len(c.deferred) && c.deferred[n].recordSeq <= recordSeq {
 		n++
 	}
-	ready := c.held[:n]
-	c.held = c.held[n:]
-	if len(c.held) == 0 {
-		c.held = nil
+	ready := c.deferred[:n]
+	c.deferred = c.deferred[n:]
+	if len(c.deferred) == 0 {
+		c.deferred = nil
 	}
-	for _, h := range ready {
-		c.queue.Stop(&h.limit)
-		c.let(now, h)
+	for _, d := range ready {
+		c.queue.Stop(&d.timer)
+		c.sendDeferred(now, d)
 	}
 }
 
-// let lets a held answer go. A call to be answered may have ended meanwhile: its caller left.
-func (c *Core) let(now time.Duration, h *held) {
+// sendDeferred sends a deferred answer. Nothing is sent if the caller abandoned the call in the meantime.
+func (c *Core) sendDeferred(now time.Duration, d *deferredAnswer) {
 	switch {
-	case h.call == nil:
-		c.out(h.release)
-	case h.call.proving && c.calls[h.call.id] == h.call:
-		c.stand(now, h.call)
+	case d.call == nil:
+		c.emit(d.release)
+	case d.call.awaitingRecord && c.calls[d.call.id] == d.call:
+		c.completeAnswer(now, d.call)
 	}
 }
 
-// PendingAnswers is the number of answers that wait for their record.
-func (c *Core) PendingAnswers() int { return len(c.held) }
+// PendingAnswers returns the number of answers that wait for a durable record.
+func (c *Core) PendingAnswers() int { return len(c.deferred) }
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// proving is a bed whose answers wait for their records, 30 ms at the most.
-func proving(t *testing.T) *bed {
-	b := newBed(t, map[int]int{1: 4, 2: 4, 3: 4})
-	b.set.DurableTimeout = 30 * ms
+// newDurableHarness returns a harness whose answers wait up to 30 ms for their records.
+func newDurableHarness(t *testing.T) *harness {
+	b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
+	b.settings.DurableTimeout = 30 * ms
 	return b
 }
 
-func kinds(out []Output) (k []OutputKind) {
+func outputKinds(out []Output) (k []OutputKind) {
 	for _, o := range out {
 		k = append(k, o.Kind)
 	}
 	return k
 }
 
-func (b *bed) expect(t *testing.T, what string, want ...OutputKind) []Output {
+func (b *harness) expect(t *testing.T, what string, want ...OutputKind) []Output {
 	t.Helper()
-	got := b.take()
-	k := kinds(got)
+	got := b.takeOutputs()
+	k := outputKinds(got)
 	if len(k) != len(want) {
 		t.Fatalf("%s: outputs %v, want %v", what, k, want)
 	}
@@ -34,14 +34,14 @@
 	return got
 }
 
-func (b *bed) closeAll(t *testing.T, legs ...LegID) {
+func (b *harness) closeAll(t *testing.T, legs ...LegID) {
 	t.Helper()
 	for _, l := range legs {
 		b.Closed(b.now, l)
 	}
-	b.pass(10 * time.Second)
+	b.advanceClock(10 * time.Second)
 	if b.OpenCalls()+b.Legs()+b.PendingAnswers()+b.Timers() != 0 || b.Stats.ActionFaults+b.Stats.Overdue != 0 {
-		t.Errorf("left: %d calls, %d legs, %d held, %d timers; %+v", b.OpenCalls(), b.Legs(), b.PendingAnswers(), b.Timers(), b.Stats)
+		t.Errorf("left over: %d calls, %d legs, %d pending answers, %d timers; %+v", b.OpenCalls(), b.Legs(), b.PendingAnswers(), b.Timers(), b.Stats)
 	}
 	ends := 0
 	for _, r := range b.Records {
@@ -50,15 +50,15 @@
 		}
 	}
 	if ends != int(b.Stats.Offered) {
-		t.Errorf("%d ends of %d calls recorded", ends, b.Stats.Offered)
+		t.Errorf("%d final records of %d calls", ends, b.Stats.Offered)
 	}
 }
 
 func TestAnswerWaitsForItsRecord(t *testing.T) {
-	b := proving(t)
+	b := newDurableHarness(t)
 	in, o := b.offer("15")
 	b.Answered(b.now, o.Leg)
-	b.expect(t, "before it is durable")
+	b.expect(t, "before the record is durable")
 	b.MarkDurable(b.now, b.Records[0].RecordSeq)
 	b.expect(t, "durable", Answer)
 	b.Released(b.now, in, NormalClearing)
@@ -66,29 +66,30 @@
 	b.closeAll(t, in, o.Leg)
 }
 
-// A disk that does not answer holds an answer for the stated time and no longer, and it is counted.
-func TestAnswerGoesWithoutItsRecord(t *testing.T) {
-	b := proving(t)
+// If the disk does not respond, an answer waits for DurableTimeout and no longer, and is counted.
+func TestAnswerSentAfterDurableTimeout(t *testing.T) {
+	b := newDurableHarness(t)
 	in, o := b.offer("15")
 	b.Answered(b.now, o.Leg)
-	b.pass(29 * ms)
-	b.expect(t, "in time")
-	b.pass(ms)
-	b.expect(t, "over time", Answer)
+	b.advanceClock(29 * ms)
+	b.expect(t, "before the timeout")
+	b.advanceClock(ms)
+	b.expect(t, "after the timeout", Answer)
 	if b.Stats.AnsweredNotDurable != 1 {
-		t.Errorf("%d counted", b.Stats.AnsweredNotDurable)
+		t.Errorf("%d answers counted as not durable, want 1", b.Stats.AnsweredNotDurable)
 	}
-	b.MarkDurable(b.now, 100) // late: nothing is sent twice
+	b.MarkDurable(b.now, 100) // too late: nothing is sent twice
 	b.expect(t, "late")
 	b.Released(b.now, in, NormalClearing)
-	b.take()
+	b.takeOutputs()
 	b.closeAll(t, in, o.Leg)
 }
 
-// The far end answers and hangs up at once: the caller gets its answer and then the release, and no second attempt.
+// If the far end answers and hangs up at once, the caller gets the answer and then the release, and no second
+// attempt is made.
 func TestFarEndHangsUpBeforeTheRecord(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		b := proving(t)
+		b := newDurableHarness(t)
 		in, o := b.offer("15")
 		b.Answered(b.now, o.Leg)
 		if lost {
@@ -108,9 +109,9 @@
 	}
 }
 
-// The caller hangs up while its answer waits: it left, and is not answered after.
-func TestCallerLeavesBeforeTheRecord(t *testing.T) {
-	b := proving(t)
+// If the caller hangs up while its answer waits, the call is recorded as abandoned and not answered afterwards.
+func TestCallerAbandonsBeforeTheRecord(t *testing.T) {
+	b := newDurableHarness(t)
 	in, o := b.offer("15")
 	b.Answered(b.now, o.Leg)
 	b.Released(b.now, in, NormalClearing)
@@ -124,11 +125,11 @@
 }
 
 func TestRefusalWaitsForItsRecord(t *testing.T) {
-	b := proving(t)
+	b := newDurableHarness(t)
 	in, o := b.offer("15")
 	b.Released(b.now, o.Leg, UserBusy)
 	b.Closed(b.now, o.Leg)
-	b.expect(t, "before it is durable")
+	b.expect(t, "before the record is durable")
 	b.MarkDurable(b.now, b.Records[0].RecordSeq)
 	if got := b.expect(t, "durable", Release); got[0].Leg != in || got[0].Cause != UserBusy {
 		t.Errorf("got %+v", got)
@@ -136,8 +137,8 @@
 	b.closeAll(t, in)
 }
 
-func TestShutRouterTakesNoCall(t *testing.T) {
-	b := proving(t)
+func TestSuspendedRouterRejectsCalls(t *testing.T) {
+	b := newDurableHarness(t)
 	b.SetSuspended(true)
 	in := b.Offer(b.now, Origin{Exchange: Subscriber}, Request{Called: "15"})
 	if got := b.expect(t, "shut", Release); got[0].Cause != Congestion {
@@ -150,6 +151,6 @@
 		t.Fatalf("got %+v", o)
 	}
 	b.Released(b.now, in, NormalClearing)
-	b.take()
+	b.takeOutputs()
 	b.closeAll(t, in, o.Leg)
 }
--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -1,8 +1,8 @@
-// Package call is the call core of one router: it knows calls, legs and causes, and no protocol.
+// Package call implements the protocol-independent call core of a router: calls, legs and causes.
 //
-// Fronts tell the Core what callers and far ends do; the Core tells decide.Controller, carries out what it
-// decides and leaves Outputs for the fronts. It takes no decision on routing or admission itself. A Core has
-// no I/O, is told the time, and is not safe for concurrent use.
+// Fronts report the events of callers and far ends to the Core. The Core passes them to decide.Controller,
+// executes its actions and produces Outputs for the fronts. It makes no routing or admission decisions. A Core
+// does no I/O, receives the time as an argument, and is not safe for concurrent use.
 package call
 
 import (
@@ -11,46 +11,47 @@
 	"pipitring/decide"
 )
 
-// LegID is one end-to-end signalling relation of a call: with its caller, or with the exchange it is sent to.
+// LegID identifies one end-to-end signalling relation of a call, either with its caller or with the exchange
+// that it is sent to.
 type LegID uint64
 
-// Request is what is known of a call when it is offered.
+// Request is the set-up information of an offered call.
 type Request struct {
 	Called    string
 	Calling   string
-	Name      string // of the caller
+	Name      string // display name of the caller
 	Context   string
 	User      string
-	ViaTandem bool // a tandem has passed it on already
+	ViaTandem bool // a tandem has already forwarded the call
 }
 
-// Origin tells where a call came from.
+// Origin is where a call came from.
 type Origin struct {
-	Exchange int // number of the exchange whose trunk group it came over; Subscriber if none
+	Exchange int // number of the exchange at the other end of the incoming trunk group, or Subscriber
 	Bearer   Bearer
 }
 
-// Bearer is what carries a leg: the front's name, and the circuit it is on, 0 where circuits have no identity.
+// Bearer is what carries a leg: the name of the front, and the circuit, 0 where circuits have no identity.
 type Bearer struct {
 	Front   string
 	Circuit int
 }
 
-// Subscriber is the origin of calls that came over no trunk group.
+// Subscriber is the origin of calls that did not arrive over a trunk group.
 const Subscriber = decide.Unknown
 
-// OutputKind tells what an Output asks of a front.
+// OutputKind is the kind of an Output.
 type OutputKind uint8
 
 // Kinds of Output.
 const (
-	Connect OutputKind = iota + 1 // set Leg up toward Exchange with Request
-	Proceed                       // tell the caller on Leg that its call is under way
-	Answer                        // the call stands: Leg is answered and joined with Other
-	Release                       // end Leg with Cause
+	Connect OutputKind = iota + 1 // set up Leg toward Exchange with Request
+	Proceed                       // indicate to the caller on Leg that the call is proceeding
+	Answer                        // answer Leg and join it with Other
+	Release                       // release Leg with Cause
 )
 
-// Output is one thing that a front has to do.
+// Output is an instruction to a front.
 type Output struct {
 	Kind     OutputKind
 	Leg      LegID
@@ -61,61 +62,61 @@
 	Text     string
 }
 
-// End tells how a call ended for its caller.
+// End is how a call ended, as its caller sees it.
 type End uint8
 
 // Ends of a call.
 const (
-	Answered  End = iota + 1 // it was answered, and released by either end
-	CutOff                   // it was answered, and cut
-	Refused                  // final answer: turned away
-	Failed                   // final answer: given up
-	Abandoned                // the caller hung up before any answer
+	Answered  End = iota + 1 // answered, and released normally by either end
+	CutOff                   // answered, and cut afterwards
+	Refused                  // the final answer was a refusal
+	Failed                   // the final answer was a failure
+	Abandoned                // the caller hung up before the answer
 )
 
 func (e End) String() string {
 	return [...]string{"none", "stood", "cut", "refused", "failed", "left"}[e]
 }
 
-// RecordKind tells at which moment of its call a Record was made.
+// RecordKind is the point of a call at which a Record is made.
 type RecordKind uint8
 
 // Kinds of Record.
 const (
-	FinalRecord  RecordKind = iota // the call is over
-	AnswerRecord                   // it is answered; its Ended follows
+	FinalRecord  RecordKind = iota // the call has ended
+	AnswerRecord                   // the call was answered; its FinalRecord follows
 )
 
-// EndSource tells how the end of a call is known.
+// EndSource is how the router learnt that a call ended.
 type EndSource uint8
 
-// Ways to know a call's end.
+// Sources of a call's end.
 const (
 	EndedByRouter EndSource = iota + 1 // this router gave the final answer
-	EndedByCaller                      // the caller's end released it
-	EndedByFarEnd                      // the far end released it
-	EndedByLoss                        // an end was lost
-	EndedByTimer                       // the watchdog ended it
+	EndedByCaller                      // the caller's end released the call
+	EndedByFarEnd                      // the far end released the call
+	EndedByLoss                        // the connection with one of the ends was lost
+	EndedByTimer                       // the watchdog timer ended the call
 )
 
-// Attempt is one set-up of a call, or one that could not leave.
+// Attempt is one attempt to set up a call, including one that could not be sent.
 type Attempt struct {
-	Exchange  int // number it was sent to
+	Exchange  int // number of the exchange that it was sent to
 	Processor decide.ExchangeID
 	Tandem    bool
 	Bearer    Bearer
-	Sent      time.Duration // clock
-	Duration  time.Duration // until its end, or its answer
+	Sent      time.Duration // on the router's clock
+	Duration  time.Duration // until its answer, or its end without one
 	Outcome   decide.Outcome
-	Cause     Cause // the far end's, 0 if it gave none
+	Cause     Cause // cause from the far end, 0 if none
 }
 
-// Record tells of one call.
+// Record describes a call at its answer or at its end.
 type Record struct {
 	Kind      RecordKind
 	Call      decide.CallID
-	CallSeq   uint64 // of calls taken since the start: never used twice, as Call may be
-	RecordSeq uint64 // of the records made; see Core.Durable
+	CallSeq   uint64 // counts accepted calls from 1; unlike Call it is never reused
+	RecordSeq uint64 // counts records from 1; see Core.MarkDurable
 	Origin    int
 	Bearer    Bearer // of the caller's leg
 	Class     int
@@ -127,23 +128,23 @@
 	Cause     Cause
 	EndSource EndSource
 	Attempts  []Attempt
-	Offered   time.Duration // clock
-	SetupTime time.Duration // from offer to answer, 0 if it never stood
-	Duration  time.Duration // it stood for
+	Offered   time.Duration // on the router's clock
+	SetupTime time.Duration // from offer to answer, 0 if not answered
+	Duration  time.Duration // time since the answer, 0 if not answered
 	Called    string
 	Calling   string
 	User      string
 	Context   string
 }
 
-// Stats count since the start.
+// Stats are counters since the router started.
 type Stats struct {
-	Offered            uint64 // calls taken
-	Rejected           uint64 // calls rejected before they were taken
+	Offered            uint64 // calls accepted
+	Rejected           uint64 // calls rejected without a record
 	Ends               [Abandoned + 1]uint64
 	Attempts           uint64
-	Overdue            uint64 // calls answered by the watchdog: a defect of the module
-	Withdrawn          uint64 // set-ups called off at the end of a drain's grace
-	AnsweredNotDurable uint64 // answers that went out before their record was durable
-	ActionFaults       uint64 // actions of the module that could not be carried out: a defect
+	Overdue            uint64 // calls answered by the watchdog timer: a defect of the controller
+	Withdrawn          uint64 // set-ups withdrawn before the end of a drain's grace period
+	AnsweredNotDurable uint64 // answers sent before their record was durable
+	ActionFaults       uint64 // actions of the controller that could not be executed: a defect
 }
--- a/internal/call/plan.go
+++ b/internal/call/plan.go
@@ -6,24 +6,25 @@
 	"strconv"
 )
 
-// Plan tells a call's class, tenant and destination from what was dialled and by whom. A user's own entry goes
-// before a context's, a context's before the longest prefix of the called number, and that before the default.
+// Plan is the numbering plan: it maps a call's dialled number, user and context to its class, tenant and
+// destination. For class and tenant an entry for the user takes precedence, then one for the context, then the
+// longest matching prefix of the called number, then the default.
 type Plan struct {
-	dest, class, tenant       prefixes
-	classByUser, classByCtx   map[string]int
-	tenantByUser, tenantByCtx map[string]int
-	DefaultClass              int
-	DefaultTenant             int
+	destPrefixes, classPrefixes, tenantPrefixes prefixTrie
+	classByUser, classByContext                 map[string]int
+	tenantByUser, tenantByContext               map[string]int
+	DefaultClass                                int
+	DefaultTenant                               int
 }
 
-// NewPlan returns a plan that knows no number.
+// NewPlan returns an empty plan.
 func NewPlan() *Plan {
-	return &Plan{classByUser: map[string]int{}, classByCtx: map[string]int{}, tenantByUser: map[string]int{},
-		tenantByCtx: map[string]int{}}
+	return &Plan{classByUser: map[string]int{}, classByContext: map[string]int{}, tenantByUser: map[string]int{},
+		tenantByContext: map[string]int{}}
 }
 
-// prefixes is a trie over the characters of dialled numbers: digits, star and hash.
-type prefixes struct {
+// prefixTrie maps prefixes of dialled numbers (digits, star and hash) to values.
+type prefixTrie struct {
 	root prefixNode
 }
 
@@ -33,7 +34,8 @@
 	set   bool
 }
 
-func dialled(c byte) int {
+// digitIndex returns the trie index of a dialled character, or -1 if it cannot be dialled.
+func digitIndex(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -45,11 +47,12 @@
 	return -1
 }
 
-// add sets the value of a prefix; it fails where the prefix has one already.
-func (p *prefixes) add(prefix string, value int) error {
+// add sets the value of a prefix. It returns an error if the prefix contains a character that cannot be
+// dialled, or already has a value.
+func (p *prefixTrie) add(prefix string, value int) error {
 	n := &p.root
 	for i := range len(prefix) {
-		d := dialled(prefix[i])
+		d := digitIndex(prefix[i])
 		if d < 0 {
 			return fmt.Errorf("prefix %q: %q cannot be dialled", prefix, prefix[i])
 		}
@@ -68,8 +71,8 @@
 	return nil
 }
 
-// longest finds the value of the longest prefix of a number.
-func (p *prefixes) longest(number string) (value int, ok bool) {
+// longestMatch returns the value of the longest prefix that matches a number; ok is false if none does.
+func (p *prefixTrie) longestMatch(number string) (value int, ok bool) {
 	n := &p.root
 	for i := 0; ; i++ {
 		if n.set {
@@ -78,7 +81,7 @@
 		if i == len(number) || n.next == nil {
 			return value, ok
 		}
-		d := dialled(number[i])
+		d := digitIndex(number[i])
 		if d < 0 || n.next[d] == nil {
 			return value, ok
 		}
@@ -87,34 +90,41 @@
 }
 
 // AddDest routes numbers with a prefix to an exchange.
-func (p *Plan) AddDest(prefix string, exchange int) error { return p.dest.add(prefix, exchange) }
+func (p *Plan) AddDest(prefix string, exchange int) error {
+	return p.destPrefixes.add(prefix, exchange)
+}
 
-// AddClassPrefix gives calls to numbers with a prefix a class.
-func (p *Plan) AddClassPrefix(prefix string, class int) error { return p.class.add(prefix, class) }
+// AddClassPrefix assigns a class to calls to numbers with a prefix.
+func (p *Plan) AddClassPrefix(prefix string, class int) error {
+	return p.classPrefixes.add(prefix, class)
+}
 
-// AddTenantPrefix gives calls to numbers with a prefix a tenant.
-func (p *Plan) AddTenantPrefix(prefix string, tenant int) error { return p.tenant.add(prefix, tenant) }
+// AddTenantPrefix assigns a tenant to calls to numbers with a prefix.
+func (p *Plan) AddTenantPrefix(prefix string, tenant int) error {
+	return p.tenantPrefixes.add(prefix, tenant)
+}
 
-// PlanKey tells whether an entry names a user or a context.
+// PlanKey is what an entry of the plan is keyed by, besides prefixes.
 type PlanKey uint8
 
-// What an entry can name.
+// Kinds of PlanKey.
 const (
-	KeyUser PlanKey = iota
-	KeyContext
+	KeyUser    PlanKey = iota // the caller's user name
+	KeyContext                // the context that the call arrived with
 )
 
-// AddClass gives the calls of a user or a context a class.
+// AddClass assigns a class to the calls of a user or context.
 func (p *Plan) AddClass(by PlanKey, name string, class int) error {
-	return addName([]map[string]int{p.classByUser, p.classByCtx}[by], name, class)
+	return addUnique([]map[string]int{p.classByUser, p.classByContext}[by], name, class)
 }
 
-// AddTenant gives the calls of a user or a context a tenant.
+// AddTenant assigns a tenant to the calls of a user or context.
 func (p *Plan) AddTenant(by PlanKey, name string, tenant int) error {
-	return addName([]map[string]int{p.tenantByUser, p.tenantByCtx}[by], name, tenant)
+	return addUnique([]map[string]int{p.tenantByUser, p.tenantByContext}[by], name, tenant)
 }
 
-func addName(m map[string]int, name string, value int) error {
+// addUnique adds an entry to a map and returns an error if the name already has one.
+func addUnique(m map[string]int, name string, value int) error {
 	if _, ok := m[name]; ok {
 		return fmt.Errorf("%q is given twice", name)
 	}
@@ -122,28 +132,30 @@
 	return nil
 }
 
-// Lookup tells a request's class, tenant and destination; ok is false where no prefix fits the number.
+// Lookup returns the class, tenant and destination of a request; ok is false if no destination prefix matches
+// the called number.
 func (p *Plan) Lookup(r Request) (class, tenant, dest int, ok bool) {
-	dest, ok = p.dest.longest(r.Called)
-	return look(p.classByUser, p.classByCtx, &p.class, p.DefaultClass, r),
-		look(p.tenantByUser, p.tenantByCtx, &p.tenant, p.DefaultTenant, r), dest, ok
+	dest, ok = p.destPrefixes.longestMatch(r.Called)
+	return lookupValue(p.classByUser, p.classByContext, &p.classPrefixes, p.DefaultClass, r),
+		lookupValue(p.tenantByUser, p.tenantByContext, &p.tenantPrefixes, p.DefaultTenant, r), dest, ok
 }
 
-func look(byUser, byCtx map[string]int, byPrefix *prefixes, otherwise int, r Request) int {
+// lookupValue returns the value of the entry with the highest precedence, or fallback if none matches.
+func lookupValue(byUser, byContext map[string]int, byPrefix *prefixTrie, fallback int, r Request) int {
 	if v, ok := byUser[r.User]; ok && r.User != "" {
 		return v
 	}
-	if v, ok := byCtx[r.Context]; ok {
+	if v, ok := byContext[r.Context]; ok {
 		return v
 	}
-	if v, ok := byPrefix.longest(r.Called); ok {
+	if v, ok := byPrefix.longestMatch(r.Called); ok {
 		return v
 	}
-	return otherwise
+	return fallback
 }
 
-// numberKey is a called number as the module counts it.
-func numberKey(called string) uint64 {
+// calledNumberKey returns the key under which the controller counts calls to a number.
+func calledNumberKey(called string) uint64 {
 	if n, err := strconv.ParseUint("1"+called, 10, 64); err == nil {
 		return n
 	}
