--- a/internal/front/iaxfront/front.go
+++ b/internal/front/iaxfront/front.go
@@ -1,4 +1,4 @@
-// Package iaxfront binds IAX2 dialogs to the legs of the call core. It decides nothing.
+// Package iaxfront maps IAX2 dialogs to the legs of the call core.
 package iaxfront
 
 import (
@@ -10,57 +10,58 @@
 	"pipitring/internal/iax2"
 )
 
-// Front joins one Endpoint and one Core.
+// Front connects one IAX2 endpoint with one call core.
 type Front struct {
-	ep      *iax2.Endpoint
-	core    *call.Core
-	own     int
-	dialogs map[call.LegID]*iax2.Dialog
-	peers   map[iax2.Addr]int // exchange number by the address that its router sends from
-	routes  map[decide.ExchangeID]iax2.Addr
+	endpoint    *iax2.Endpoint
+	core        *call.Core
+	ownExchange int
+	dialogs     map[call.LegID]*iax2.Dialog
+	peers       map[iax2.Addr]int // exchange number by the source address of its router
+	routes      map[decide.ExchangeID]iax2.Addr
 }
 
-// bearer is what legs of this front go over: its circuits are counted and have no identity.
+// bearer is the bearer of all IAX2 legs: their circuits are counted and have no identity.
 var bearer = call.Bearer{Front: "iax2"}
 
-// New returns a front; own is the number of the own exchange, cfg the endpoint's settings. Routers of other
-// exchanges are trusted.
-func New(core *call.Core, own int, cfg iax2.Config) *Front {
-	f := &Front{core: core, own: own, dialogs: map[call.LegID]*iax2.Dialog{}, peers: map[iax2.Addr]int{},
+// New returns a front for the exchange with number ownExchange. cfg configures the endpoint, except for its
+// Trusted function, which New sets to trust the routers of other exchanges.
+func New(core *call.Core, ownExchange int, cfg iax2.Config) *Front {
+	f := &Front{core: core, ownExchange: ownExchange, dialogs: map[call.LegID]*iax2.Dialog{}, peers: map[iax2.Addr]int{},
 		routes: map[decide.ExchangeID]iax2.Addr{}}
 	cfg.Trusted = func(a iax2.Addr) bool { _, ok := f.peers[a]; return ok }
-	f.ep = iax2.NewEndpoint(cfg)
+	f.endpoint = iax2.NewEndpoint(cfg)
 	return f
 }
 
-// Endpoint is the protocol's side.
-func (f *Front) Endpoint() *iax2.Endpoint { return f.ep }
+// Endpoint returns the IAX2 endpoint.
+func (f *Front) Endpoint() *iax2.Endpoint { return f.endpoint }
 
-// Dialogs is the number of dialogs that belong to a leg.
+// Dialogs returns the number of dialogs that belong to a leg.
 func (f *Front) Dialogs() int { return len(f.dialogs) }
 
-// AddRoute tells where set-ups to a processor go.
+// AddRoute sets the address to which set-ups for a processor are sent.
 func (f *Front) AddRoute(id decide.ExchangeID, to iax2.Addr) { f.routes[id] = to }
 
-// RemoveRoute forgets a processor that is gone.
+// RemoveRoute removes the address of a processor that left the exchange list.
 func (f *Front) RemoveRoute(id decide.ExchangeID) { delete(f.routes, id) }
 
-// SetPeers tells which routers calls over trunk groups come from, by address.
+// SetPeers sets the routers of other exchanges, by source address. Their calls count as arriving over a trunk
+// group.
 func (f *Front) SetPeers(peers map[iax2.Addr]int) { f.peers = peers }
 
-// Pump hands the endpoint's events to the core; it reports whether there were any.
+// Pump passes the endpoint's events to the core and reports whether there were any.
 func (f *Front) Pump(now time.Duration) bool {
-	if len(f.ep.Events) == 0 {
+	if len(f.endpoint.Events) == 0 {
 		return false
 	}
-	for i := 0; i < len(f.ep.Events); i++ {
-		f.event(now, f.ep.Events[i])
+	for i := 0; i < len(f.endpoint.Events); i++ {
+		f.handleEvent(now, f.endpoint.Events[i])
 	}
-	f.ep.Events = f.ep.Events[:0]
+	f.endpoint.Events = f.endpoint.Events[:0]
 	return true
 }
 
-func (f *Front) event(now time.Duration, e iax2.Event) {
+func (f *Front) handleEvent(now time.Duration, e iax2.Event) {
 	if e.Dialog == nil {
 		return
 	}
@@ -92,7 +93,7 @@
 	}
 }
 
-// Execute does what the core asks of one of this front's legs; false if the leg is none of them.
+// Execute carries out an output of the core. It returns false if the leg does not belong to this front.
 func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
@@ -123,10 +124,10 @@
 	r := iax2.Request{Called: o.Request.Called, Calling: o.Request.Calling, CallingName: o.Request.Name,
 		Context: o.Request.Context, User: o.Request.User}
 	if o.Request.ViaTandem {
-		r.Redirecting = strconv.Itoa(f.own)
+		r.Redirecting = strconv.Itoa(f.ownExchange)
 	}
-	d, err := f.ep.Call(now, to, r)
-	if err != nil { // no call number: this router has no room for it
+	d, err := f.endpoint.Call(now, to, r)
+	if err != nil { // all call numbers are in use
 		f.core.Released(now, o.Leg, call.NoCircuit)
 		f.core.Closed(now, o.Leg)
 		return true
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -1,4 +1,4 @@
-// Package isupfront binds ISUP calls, carried by M3UA associations, to the legs of the call core. It decides nothing.
+// Package isupfront maps ISUP calls, carried by M3UA associations, to the legs of the call core.
 package isupfront
 
 import (
@@ -11,56 +11,56 @@
 	"pipitring/internal/m3ua"
 )
 
-// ConnID names one connection of the runtime's.
+// ConnID identifies a connection of the runtime.
 type ConnID uint64
 
-// GroupConfig sets one group of circuits.
+// GroupConfig configures one circuit group.
 type GroupConfig struct {
 	Exchange int // number of the exchange at the other end
 	Circuits isup.Config
 }
 
-// Config sets a front.
+// Config configures a Front.
 type Config struct {
 	Groups []GroupConfig
 	Link   m3ua.Config
-	Mode   uint32 // of traffic over several associations to one exchange
-	Own    int    // number of the own exchange: calls from its switch are subscribers'
+	Mode   uint32 // traffic mode of several associations to one exchange
+	Own    int    // number of the own exchange; calls from its switch come from subscribers
 }
 
-// firstHops is the hop counter of a call that no tandem has passed on; a tandem sends one less.
-const firstHops = 2
+// initialHopCounter is the hop counter of a call that no tandem has forwarded. A tandem decrements it.
+const initialHopCounter = 2
 
-// Front joins groups of circuits, their associations and one Core.
+// Front connects circuit groups and their M3UA associations with one call core.
 type Front struct {
-	core   *call.Core
-	cfg    Config
-	groups []*group // by exchange, rising
-	byPC   map[uint32]*group
-	conns  map[ConnID]*conn
-	order  []*conn
-	legs   map[call.LegID]*leg
-	routes map[decide.ExchangeID]*group
-	Stats  Stats
-	Alarms []Alarm // for maintenance; the user takes them and resets the slice
+	core             *call.Core
+	config           Config
+	groups           []*group // in ascending order of exchange number
+	groupByPointCode map[uint32]*group
+	conns            map[ConnID]*conn
+	connOrder        []*conn
+	legs             map[call.LegID]*leg
+	routes           map[decide.ExchangeID]*group
+	Stats            Stats
+	Alarms           []Alarm // the user takes and resets them
 }
 
-// Alarm is what maintenance has to look at.
+// Alarm is a maintenance alarm of one circuit.
 type Alarm struct {
 	Exchange int
 	CIC      isup.CIC
 	Text     string
 }
 
-// GroupState is what is seen of one group.
+// GroupState is a snapshot of one circuit group.
 type GroupState struct {
 	Exchange     int
-	Associations int // active
-	Busy, Idle   int // circuits
+	Associations int // number of active associations
+	Busy, Idle   int // numbers of circuits
 	Circuits     isup.Stats
 }
 
-// GroupStates tells the state of every group, by exchange.
+// GroupStates returns the state of every group, ordered by exchange number.
 func (f *Front) GroupStates() (out []GroupState) {
 	for _, g := range f.groups {
 		out = append(out, GroupState{g.exchange, g.server.Active(), g.isup.Busy(), g.isup.Idle(), g.isup.Stats})
@@ -68,30 +68,32 @@
 	return out
 }
 
-// Stats count since the start.
+// Stats are counters since the router started.
 type Stats struct {
-	Unsent      uint64 // messages that no association could take
-	UnknownPeer uint64 // messages of point codes that no group leads to, or connections of strangers
+	Unsent      uint64 // messages dropped because no association was active
+	UnknownPeer uint64 // messages from an unknown point code, and associations of unknown peers
 	Cut         uint64 // set-ups ended because the last association to an exchange was lost
 	Alarms      uint64
 }
 
-// group is one group of circuits and the associations to its other end.
+// group is a circuit group with the associations to its other end.
 type group struct {
-	exchange int
-	isup     *isup.Group
-	own      uint32
-	server   m3ua.ApplicationServer
-	legs     map[*isup.Call]*leg
-	reset    bool // since the start; before, the other end may hold calls of an earlier life
+	exchange     int
+	isup         *isup.Group
+	ownPointCode uint32
+	server       m3ua.ApplicationServer
+	legs         map[*isup.Call]*leg
+	// circuitsReset is set once the circuits have been reset after the start of the router. Until then the other
+	// end may hold calls of an earlier incarnation.
+	circuitsReset bool
 }
 
 // conn is one association.
 type conn struct {
-	id    ConnID
-	link  *m3ua.Link
-	group *group // nil until the other end has told who it is
-	dead  bool
+	id      ConnID
+	link    *m3ua.Link
+	group   *group // nil until the other end has identified itself
+	closing bool
 }
 
 // leg is a call on a circuit.
@@ -100,18 +102,18 @@
 	group    *group
 	call     *isup.Call
 	incoming bool
-	stands   bool
+	answered bool
 }
 
 // New returns a front without associations.
 func New(core *call.Core, c Config) *Front {
-	f := &Front{core: core, cfg: c, byPC: map[uint32]*group{}, conns: map[ConnID]*conn{}, legs: map[call.LegID]*leg{},
+	f := &Front{core: core, config: c, groupByPointCode: map[uint32]*group{}, conns: map[ConnID]*conn{}, legs: map[call.LegID]*leg{},
 		routes: map[decide.ExchangeID]*group{}}
 	for _, gc := range c.Groups {
-		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), own: gc.Circuits.OwnPointCode, legs: map[*isup.Call]*leg{},
+		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), ownPointCode: gc.Circuits.OwnPointCode, legs: map[*isup.Call]*leg{},
 			server: m3ua.ApplicationServer{Mode: c.Mode}}
 		f.groups = append(f.groups, g)
-		f.byPC[gc.Circuits.FarPointCode] = g
+		f.groupByPointCode[gc.Circuits.FarPointCode] = g
 	}
 	slices.SortFunc(f.groups, func(a, b *group) int { return a.exchange - b.exchange })
 	return f
@@ -119,7 +121,7 @@
 
 func bearer(k *isup.Call) call.Bearer { return call.Bearer{Front: "isup", Circuit: int(k.CIC())} }
 
-// Serves tells whether an exchange is reached by this front.
+// Serves reports whether an exchange is reached by this front.
 func (f *Front) Serves(exchange int) bool { return f.group(exchange) != nil }
 
 func (f *Front) group(exchange int) *group {
@@ -131,17 +133,18 @@
 	return nil
 }
 
-// AddRoute tells which exchange a processor stands at.
+// AddRoute sets the exchange to which set-ups for a processor are sent. It has no effect if the exchange has no
+// circuit group.
 func (f *Front) AddRoute(id decide.ExchangeID, exchange int) {
 	if g := f.group(exchange); g != nil {
 		f.routes[id] = g
 	}
 }
 
-// RemoveRoute forgets a processor that is gone.
+// RemoveRoute removes the route to a processor that left the exchange list.
 func (f *Front) RemoveRoute(id decide.ExchangeID) { delete(f.routes, id) }
 
-// Busy is the number of circuits that are not idle; Legs that of legs on them.
+// Busy returns the number of circuits that are not idle.
 func (f *Front) Busy() (n int) {
 	for _, g := range f.groups {
 		n += g.isup.Busy()
@@ -149,83 +152,85 @@
 	return n
 }
 
-// Legs is the number of legs on circuits.
+// Legs returns the number of legs on circuits.
 func (f *Front) Legs() int { return len(f.legs) }
 
-// Active tells whether signalling to an exchange is up.
+// Active reports whether an association to an exchange is active.
 func (f *Front) Active(exchange int) bool {
 	g := f.group(exchange)
 	return g != nil && g.server.Active() > 0
 }
 
-// Connected begins an association on a new connection. exchange is the one that it was made to; -1 where the
-// other end connected, which tells by its ASP identifier who it is: its point code.
+// Connected starts an association on a new connection. exchange is the exchange that the connection was made
+// to, or -1 for an incoming connection, whose other end identifies itself by sending its point code as ASP
+// identifier.
 func (f *Front) Connected(now time.Duration, id ConnID, exchange int) {
 	k := &conn{id: id}
-	cfg := f.cfg.Link
+	cfg := f.config.Link
 	if exchange >= 0 {
 		k.group = f.group(exchange)
-		cfg.ASP = k.group.own
+		cfg.ASP = k.group.ownPointCode
 	}
 	k.link = m3ua.NewLink(now, exchange >= 0, cfg)
 	f.conns[id] = k
-	f.order = append(f.order, k)
+	f.connOrder = append(f.connOrder, k)
 }
 
-// Receive takes bytes of a connection.
+// Receive processes bytes received on a connection.
 func (f *Front) Receive(now time.Duration, id ConnID, b []byte) {
 	if k := f.conns[id]; k != nil {
 		k.link.Receive(now, b)
 	}
 }
 
-// Disconnected tells that a connection is gone.
+// Disconnected reports that a connection was closed.
 func (f *Front) Disconnected(now time.Duration, id ConnID) {
 	k := f.conns[id]
 	if k == nil {
 		return
 	}
 	delete(f.conns, id)
-	f.order = slices.DeleteFunc(f.order, func(o *conn) bool { return o == k })
-	f.inactive(now, k)
+	f.connOrder = slices.DeleteFunc(f.connOrder, func(o *conn) bool { return o == k })
+	f.deactivate(now, k)
 }
 
-// Outgoing calls write with the bytes that a connection is to send, and closing for each that has to be closed.
+// Outgoing calls write with the bytes to send on each connection, and closing for each connection that must be
+// closed.
 func (f *Front) Outgoing(write func(ConnID, []byte), closing func(ConnID)) {
-	for i := 0; i < len(f.order); i++ {
-		k := f.order[i]
+	for i := 0; i < len(f.connOrder); i++ {
+		k := f.connOrder[i]
 		if len(k.link.Out) > 0 {
 			write(k.id, k.link.Out)
 			k.link.Out = k.link.Out[:0]
 		}
-		if k.dead {
+		if k.closing {
 			delete(f.conns, k.id)
-			f.order = slices.Delete(f.order, i, i+1)
+			f.connOrder = slices.Delete(f.connOrder, i, i+1)
 			i--
 			closing(k.id)
 		}
 	}
 }
 
-// Next is when Advance has something to do.
+// Next returns the time at which Advance is due; ok is false if no timer is running.
 func (f *Front) Next() (at time.Duration, ok bool) {
-	sooner := func(t time.Duration, has bool) {
+	earliest := func(t time.Duration, has bool) {
 		if has && (!ok || t < at) {
 			at, ok = t, true
 		}
 	}
-	for _, k := range f.order {
-		sooner(k.link.Next())
+	for _, k := range f.connOrder {
+		earliest(k.link.Next())
 	}
 	for _, g := range f.groups {
-		sooner(g.isup.Next())
+		earliest(g.isup.Next())
 	}
 	return at, ok
 }
 
-// Advance does what is due.
+// Advance runs all timers that are due at now.
 func (f *Front) Advance(now time.Duration) {
-	for _, k := range f.order {
+	for _, k := range f.connOrder {
 		k.link.Advance(now)
 	}
 	for _, g := range f.groups {
@@ -233,66 +238,67 @@
 	}
 }
 
-// Pump carries what links and circuits did to each other and to the core; it reports whether there was anything.
-func (f *Front) Pump(now time.Duration) (any bool) {
-	for i := 0; i < len(f.order); i++ {
-		k := f.order[i]
+// Pump exchanges events between associations, circuit groups and the core. It reports whether there were any.
+func (f *Front) Pump(now time.Duration) (worked bool) {
+	for i := 0; i < len(f.connOrder); i++ {
+		k := f.connOrder[i]
 		for j := 0; j < len(k.link.Events); j++ {
-			f.linkEvent(now, k, k.link.Events[j])
-			any = true
+			f.handleLinkEvent(now, k, k.link.Events[j])
+			worked = true
 		}
 		k.link.Events = k.link.Events[:0]
 	}
 	for _, g := range f.groups {
 		for j := 0; j < len(g.isup.Events); j++ {
-			f.callEvent(now, g, g.isup.Events[j])
-			any = true
+			f.handleCallEvent(now, g, g.isup.Events[j])
+			worked = true
 		}
 		g.isup.Events = g.isup.Events[:0]
-		f.sendOut(g)
+		f.sendMessages(g)
 	}
-	return any
+	return worked
 }
 
-// sendOut hands a group's messages to its associations. What none takes is lost: the timers of the circuits, or
-// Resume when one is up again, make up for it.
-func (f *Front) sendOut(g *group) {
+// sendMessages sends a group's messages over its associations. A message that no association accepts is
+// dropped; the circuits' timers, or RetransmitPending once an association is active again, make up for the
+// loss.
+func (f *Front) sendMessages(g *group) {
 	for i := range g.isup.Out {
 		o := &g.isup.Out[i]
-		if !g.server.Send(m3ua.Data{OPC: g.own, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
+		if !g.server.Send(m3ua.Data{OPC: g.ownPointCode, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
 			f.Stats.Unsent++
 		}
 	}
 	g.isup.Out = g.isup.Out[:0]
 }
 
-func (f *Front) linkEvent(now time.Duration, k *conn, e m3ua.Event) {
+func (f *Front) handleLinkEvent(now time.Duration, k *conn, e m3ua.Event) {
 	switch e.Kind {
 	case m3ua.Activated:
 		if k.group == nil {
-			k.group = f.byPC[k.link.PeerASP()]
+			k.group = f.groupByPointCode[k.link.PeerASP()]
 		}
 		if k.group == nil {
 			f.Stats.UnknownPeer++
-			k.dead = true
+			k.closing = true
 			return
 		}
 		k.group.server.Add(k.link)
 		switch {
-		case !k.group.reset:
-			k.group.reset = true
+		case !k.group.circuitsReset:
+			k.group.circuitsReset = true
 			k.group.isup.ResetAll(now)
 		case k.group.server.Active() == 1:
 			k.group.isup.RetransmitPending(now)
 		}
 	case m3ua.Deactivated:
-		f.inactive(now, k)
+		f.deactivate(now, k)
 	case m3ua.AssociationDown:
-		k.dead = true
-		f.inactive(now, k)
+		k.closing = true
+		f.deactivate(now, k)
 	case m3ua.Received:
-		g := f.byPC[e.Data.OPC]
-		if g == nil || g != k.group || e.Data.SI != m3ua.ISUPIndicator || e.Data.DPC != g.own {
+		g := f.groupByPointCode[e.Data.OPC]
+		if g == nil || g != k.group || e.Data.SI != m3ua.ISUPIndicator || e.Data.DPC != g.ownPointCode {
 			f.Stats.UnknownPeer++
 			return
 		}
@@ -300,21 +306,22 @@
 	}
 }
 
-// inactive takes an association out of service. With the last one to an exchange the calls in set-up there end as
-// cut, once; those that stand stay, and are released when an association is up again.
-func (f *Front) inactive(now time.Duration, k *conn) {
+// deactivate takes an association out of service. When the last association to an exchange is lost, the calls
+// being set up there end as cut, once. Standing calls continue; those that end are released once an association is
+// active again.
+func (f *Front) deactivate(now time.Duration, k *conn) {
 	g := k.group
 	if g == nil {
 		return
 	}
-	was := g.server.Active()
+	activeBefore := g.server.Active()
 	g.server.Remove(k.link)
-	if was == 0 || g.server.Active() > 0 {
+	if activeBefore == 0 || g.server.Active() > 0 {
 		return
 	}
 	var cut []*leg
 	for _, l := range g.legs {
-		if !l.stands {
+		if !l.answered {
 			cut = append(cut, l)
 		}
 	}
@@ -326,14 +333,14 @@
 	}
 }
 
-func (f *Front) callEvent(now time.Duration, g *group, e isup.Event) {
+func (f *Front) handleCallEvent(now time.Duration, g *group, e isup.Event) {
 	if e.Kind == isup.Alarm {
 		f.Stats.Alarms++
 		f.Alarms = append(f.Alarms, Alarm{g.exchange, e.CIC, e.Text})
 		return
 	}
 	if e.Kind == isup.Offered {
-		f.offered(now, g, e)
+		f.handleOffer(now, g, e)
 		return
 	}
 	l := g.legs[e.Call]
@@ -344,12 +351,12 @@
 	case isup.Accepted:
 		f.core.Acknowledged(now, l.id)
 	case isup.Answered:
-		l.stands = true
+		l.answered = true
 		f.core.Answered(now, l.id)
 	case isup.Released:
 		f.core.Released(now, l.id, call.Cause(e.Cause))
 	case isup.Glare:
-		f.core.Lost(now, l.id, true) // what it held is awaited before the call goes out again
+		f.core.Lost(now, l.id, true) // the core waits before it repeats the set-up
 	case isup.Lost:
 		f.core.Lost(now, l.id, e.Reset)
 	case isup.Closed:
@@ -359,20 +366,20 @@
 	}
 }
 
-func (f *Front) offered(now time.Duration, g *group, e isup.Event) {
+func (f *Front) handleOffer(now time.Duration, g *group, e isup.Event) {
 	r, origin := e.Request, g.exchange
-	if origin == f.cfg.Own {
+	if origin == f.config.Own {
 		origin = call.Subscriber
 	}
 	l := &leg{group: g, call: e.Call, incoming: true}
 	g.legs[e.Call] = l
 	l.id = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer(e.Call)}, call.Request{Called: r.Called, Calling: r.Calling,
-		Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < firstHops})
+		Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < initialHopCounter})
 	f.legs[l.id] = l
-	g.isup.Accept(now, e.Call) // the far end may stop T7: the call is taken, or its release follows at once
+	g.isup.Accept(now, e.Call) // stops T7 at the far end: the call is accepted or released at once
 }
 
-// Execute does what the core asks of one of this front's legs; false if the leg is none of them.
+// Execute carries out an output of the core. It returns false if the leg does not belong to this front.
 func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
@@ -383,7 +390,7 @@
 	}
 	switch o.Kind {
 	case call.Answer:
-		l.stands = true
+		l.answered = true
 		l.group.isup.Answer(now, l.call)
 	case call.Release:
 		l.group.isup.Release(now, l.call, uint8(o.Cause))
@@ -396,7 +403,7 @@
 	if g == nil {
 		return false
 	}
-	r := isup.Request{Called: o.Request.Called, Calling: o.Request.Calling, Hops: firstHops, User: o.Request.Context}
+	r := isup.Request{Called: o.Request.Called, Calling: o.Request.Calling, Hops: initialHopCounter, User: o.Request.Context}
 	if o.Request.ViaTandem {
 		r.Hops--
 	}
@@ -404,7 +411,7 @@
 	if g.server.Active() > 0 {
 		k = g.isup.Seize(now, r)
 	}
-	if k == nil { // no signalling, no idle circuit or a number that cannot be sent
+	if k == nil { // no active association, no idle circuit, or a number that cannot be encoded
 		f.core.Released(now, o.Leg, call.NoCircuit)
 		f.core.Closed(now, o.Leg)
 		return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is one whole router without I/O: the call core and its fronts. The runtime drives it on sockets
-// and the monotonic clock.
+// Package node assembles one router without I/O from the call core and its fronts. The runtime drives it with
+// sockets and the monotonic clock.
 package node
 
 import (
@@ -13,85 +13,87 @@
 	"pipitring/internal/registry"
 )
 
-// Settings are what a router is given.
+// Settings configure a Node.
 type Settings struct {
 	Core call.Settings
 	IAX  iax2.Config
-	// Peers are addresses that routers of other exchanges send from, beside those on the list.
+	// Peers maps source addresses of routers of other exchanges to exchange numbers, in addition to the
+	// addresses on the exchange list.
 	Peers map[iax2.Addr]int
-	// Zones are numbered in this order.
+	// Zones are the zone names; a zone's number is its index.
 	Zones []string
-	// ISUP names the exchanges that are reached by ISUP over M3UA in place of IAX2.
+	// ISUP configures the exchanges that are reached by ISUP over M3UA instead of IAX2.
 	ISUP isupfront.Config
 }
 
 // Node is one router.
 type Node struct {
-	Core  *call.Core
-	front *iaxfront.Front
-	isup  *isupfront.Front
-	set   Settings
-	list  registry.List
-	start registry.StartTimes
-	known bool              // a list has come
-	peers map[int]iax2.Addr // where each exchange's router was last known to be
+	Core      *call.Core
+	iax       *iaxfront.Front
+	isup      *isupfront.Front
+	settings  Settings
+	list      registry.List
+	starts    registry.StartTimes
+	listKnown bool              // the first list has been received
+	peers     map[int]iax2.Addr // last known address of each exchange's router
 }
 
-// New returns a router without calls or list.
+// New returns a router without calls or exchange list.
 func New(s Settings) *Node {
 	core := call.New(s.Core)
-	n := &Node{Core: core, front: iaxfront.New(core, s.Core.Decide.OwnExchange, s.IAX), set: s, peers: map[int]iax2.Addr{},
+	n := &Node{Core: core, iax: iaxfront.New(core, s.Core.Decide.OwnExchange, s.IAX), settings: s, peers: map[int]iax2.Addr{},
 		isup: isupfront.New(core, s.ISUP)}
-	n.learnPeers()
+	n.updatePeers()
 	return n
 }
 
-// IAX is the router's IAX2 endpoint: its Out holds what is to be sent.
-func (n *Node) IAX() *iax2.Endpoint { return n.front.Endpoint() }
+// IAX returns the IAX2 endpoint; its Out holds the datagrams to send.
+func (n *Node) IAX() *iax2.Endpoint { return n.iax.Endpoint() }
 
-// ISUP is the router's ISUP front, which the runtime gives connections.
+// ISUP returns the ISUP front, to which the runtime passes its connections.
 func (n *Node) ISUP() *isupfront.Front { return n.isup }
 
-// Pump carries what the ISUP front was given to the core; to be called after each of its inputs.
+// Pump passes the events of the ISUP front to the core. It must be called after each input to the front.
 func (n *Node) Pump(now time.Duration) { n.pump(now) }
 
-// Dialogs is the number of dialogs that belong to a call's leg.
-func (n *Node) Dialogs() int { return n.front.Dialogs() }
+// Dialogs returns the number of IAX2 dialogs that belong to a call's leg.
+func (n *Node) Dialogs() int { return n.iax.Dialogs() }
 
-// DistrustedStarts counts starts on the list that no clock could have stamped rightly.
-func (n *Node) DistrustedStarts() uint64 { return n.start.Distrusted }
+// DistrustedStarts returns the number of start times on the exchange list that were rejected as implausible.
+func (n *Node) DistrustedStarts() uint64 { return n.starts.Distrusted }
 
-// List is the exchange list as this router last learnt it.
+// List returns the last exchange list received.
 func (n *Node) List() registry.List { return n.list }
 
-// Receive takes one datagram.
+// Receive processes one IAX2 datagram.
 func (n *Node) Receive(now time.Duration, from iax2.Addr, b []byte) {
-	n.front.Endpoint().Receive(now, from, b)
+	n.iax.Endpoint().Receive(now, from, b)
 	n.pump(now)
 }
 
-// Advance does what is due by now.
+// Advance runs all timers that are due at now.
 func (n *Node) Advance(now time.Duration) {
-	n.front.Endpoint().Advance(now)
+	n.iax.Endpoint().Advance(now)
 	n.isup.Advance(now)
 	n.pump(now)
 	n.Core.Advance(now)
 	n.pump(now)
 }
 
-// Flush lets go what may ride together: to be called when all that came in has been received.
-func (n *Node) Flush(now time.Duration) { n.front.Endpoint().Flush(now) }
+// Flush sends delayed acknowledgements that are due. It must be called after all received datagrams have been
+// processed, so that one frame can acknowledge several of them.
+func (n *Node) Flush(now time.Duration) { n.iax.Endpoint().Flush(now) }
 
-// MarkDurable tells that all records up to a ticket are.
-func (n *Node) MarkDurable(now time.Duration, ticket uint64) {
-	n.Core.MarkDurable(now, ticket)
+// MarkDurable reports that all records up to and including recordSeq are durable.
+func (n *Node) MarkDurable(now time.Duration, recordSeq uint64) {
+	n.Core.MarkDurable(now, recordSeq)
 	n.pump(now)
 }
 
-// Next is when Advance has something to do.
+// Next returns the time at which Advance is due; ok is false if no timer is running.
 func (n *Node) Next() (at time.Duration, ok bool) {
 	at, ok = n.Core.Next()
-	if e, eok := n.front.Endpoint().Next(); eok && (!ok || e < at) {
+	if e, eok := n.iax.Endpoint().Next(); eok && (!ok || e < at) {
 		at, ok = e, true
 	}
 	if e, eok := n.isup.Next(); eok && (!ok || e < at) {
@@ -100,37 +102,37 @@
 	return at, ok
 }
 
-// SetList takes the list as it is now; wall is the time of day that belongs to now.
+// SetList applies the current exchange list; wall is the time of day at now.
 func (n *Node) SetList(now time.Duration, wall time.Time, l registry.List) {
-	news := l.Entries
+	changed := l.Entries
 	kind := decide.ListFull
-	if n.known {
-		news, kind = n.list.Changes(&l), decide.ListChanges
+	if n.listKnown {
+		changed, kind = n.list.Changes(&l), decide.ListChanges
 	}
-	n.list, n.known = l, true
-	n.start.Update(now, wall, n.set.Core.Decide.ColdDuration, &l)
-	n.learnPeers()
+	n.list, n.listKnown = l, true
+	n.starts.Update(now, wall, n.settings.Core.Decide.ColdDuration, &l)
+	n.updatePeers()
 	event := decide.ListUpdate{Kind: kind}
-	for _, e := range news {
+	for _, e := range changed {
 		started := time.Duration(0) // long ago
-		if age := n.start.Age(now, e.ID); age < n.set.Core.Decide.ColdDuration {
+		if age := n.starts.Age(now, e.ID); age < n.settings.Core.Decide.ColdDuration {
 			started = n.Core.Clock(now) - age
 		}
 		event.Entries = append(event.Entries, decide.Entry{Exchange: e.Exchange(), Number: e.Number,
-			Zone: n.zone(e.Zone), Phase: e.Phase, Started: started})
+			Zone: n.zoneIndex(e.Zone), Phase: e.Phase, Started: started})
 		to := e.Address
-		if e.Number == n.set.Core.Decide.OwnExchange {
+		if e.Number == n.settings.Core.Decide.OwnExchange {
 			to = e.Switch
 		}
 		addr, ok := iax2.AddrFrom(to)
 		switch {
 		case e.Phase == decide.Removed:
-			n.front.RemoveRoute(e.Exchange())
+			n.iax.RemoveRoute(e.Exchange())
 			n.isup.RemoveRoute(e.Exchange())
 		case n.isup.Serves(e.Number):
 			n.isup.AddRoute(e.Exchange(), e.Number)
 		case ok:
-			n.front.AddRoute(e.Exchange(), addr)
+			n.iax.AddRoute(e.Exchange(), addr)
 		}
 	}
 	if len(event.Entries) == 0 && kind == decide.ListChanges {
@@ -140,11 +142,12 @@
 	n.pump(now)
 }
 
-// learnPeers tells the front where calls over trunk groups come from. A router goes on to pass calls while the
-// processor behind it is gone, and is known by its last address until the list names another.
-func (n *Node) learnPeers() {
+// updatePeers passes the addresses of other exchanges' routers to the front. A router keeps forwarding calls
+// while its exchange's processor is removed from the list, so its last known address stays valid until the list
+// gives another.
+func (n *Node) updatePeers() {
 	for _, e := range n.list.Entries {
-		if a, ok := iax2.AddrFrom(e.Address); ok && e.Number != n.set.Core.Decide.OwnExchange {
+		if a, ok := iax2.AddrFrom(e.Address); ok && e.Number != n.settings.Core.Decide.OwnExchange {
 			n.peers[e.Number] = a
 		}
 	}
@@ -152,32 +155,33 @@
 	for number, a := range n.peers {
 		peers[a] = number
 	}
-	for a, number := range n.set.Peers {
+	for a, number := range n.settings.Peers {
 		peers[a] = number
 	}
-	n.front.SetPeers(peers)
+	n.iax.SetPeers(peers)
 }
 
-func (n *Node) zone(name string) int {
-	for i, z := range n.set.Zones {
+func (n *Node) zoneIndex(name string) int {
+	for i, z := range n.settings.Zones {
 		if z == name {
 			return i
 		}
 	}
-	return len(n.set.Zones)
+	return len(n.settings.Zones)
 }
 
-// pump carries events to the core and its outputs to the fronts until all is quiet.
+// pump passes events to the core and its outputs to the fronts until there are none left.
 func (n *Node) pump(now time.Duration) {
 	for {
-		worked := n.front.Pump(now)
+		worked := n.iax.Pump(now)
 		if !n.isup.Pump(now) && !worked && len(n.Core.Outputs) == 0 {
 			return
 		}
 		for i := 0; i < len(n.Core.Outputs); i++ {
 			o := n.Core.Outputs[i]
-			if !n.front.Execute(now, o) && !n.isup.Execute(now, o) && o.Kind == call.Connect {
-				// The exchange is on the module's list and has no address here: it went in this very step.
+			if !n.iax.Execute(now, o) && !n.isup.Execute(now, o) && o.Kind == call.Connect {
+				// The controller chose the exchange before it processed its removal from the list in the same
+				// step.
 				n.Core.Released(now, o.Leg, call.NoRoute)
 				n.Core.Closed(now, o.Leg)
 			}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,21 +15,22 @@
 
 const ms = time.Millisecond
 
-// net is routers 0 to n-1, a switch behind each and one caller at router 0, over links of 5 ms one way.
+// network consists of routers 0 to n-1, a switch behind each, and one caller at router 0. Links have a delay of
+// 5 ms one way.
 type network struct {
-	t       *testing.T
-	now     time.Duration
-	nodes   []*Node
-	ends    map[iax2.Addr]*iax2.Endpoint // switches and the caller
-	order   []iax2.Addr
-	flying  []datagram
-	caller  *iax2.Endpoint
-	heard   []iax2.Event // by the caller
-	offered []iax2.Event // at switches
-	onOffer func(e iax2.Event)
-	drop    func(from, to iax2.Addr, f *iax2.Frame) bool
-	news    map[iax2.Addr]int // set-ups that reached each switch
-	media   func(to iax2.Addr, payload string)
+	t            *testing.T
+	now          time.Duration
+	nodes        []*Node
+	endpoints    map[iax2.Addr]*iax2.Endpoint // of the switches and the caller
+	order        []iax2.Addr
+	inFlight     []datagram
+	caller       *iax2.Endpoint
+	callerEvents []iax2.Event // events at the caller
+	offered      []iax2.Event // offered calls at the switches
+	onOffer      func(e iax2.Event)
+	drop         func(from, to iax2.Addr, f *iax2.Frame) bool
+	setUps       map[iax2.Addr]int // number of set-ups that reached each switch
+	media        func(to iax2.Addr, payload string)
 }
 
 type datagram struct {
@@ -47,17 +48,17 @@
 	return newNetworkOf(t, n, plans, func(*registry.Entry) {})
 }
 
-// listedAt is the time of day at which the routers are told the list.
+// listedAt is the time of day at which the routers receive the list.
 var listedAt = time.Unix(1e9, 0)
 
-// newNetworkOf is newNetwork with a list that told has changed.
-func newNetworkOf(t *testing.T, n int, plans func(x int) *call.Plan, told func(*registry.Entry)) *network {
-	w := &network{t: t, now: time.Second, ends: map[iax2.Addr]*iax2.Endpoint{}, news: map[iax2.Addr]int{}}
+// newNetworkOf is like newNetwork, with each list entry passed to change.
+func newNetworkOf(t *testing.T, n int, plans func(x int) *call.Plan, change func(*registry.Entry)) *network {
+	w := &network{t: t, now: time.Second, endpoints: map[iax2.Addr]*iax2.Endpoint{}, setUps: map[iax2.Addr]int{}}
 	var list registry.List
 	for x := range n {
 		list.Entries = append(list.Entries, registry.Entry{ID: fmt.Sprint("x", x), Number: x, Phase: decide.Ready,
 			Address: routerAddr(x).AddrPort(), Switch: switchAddr(x).AddrPort()})
-		told(&list.Entries[x])
+		change(&list.Entries[x])
 	}
 	for x := range n {
 		sizes := map[int]int{}
@@ -82,13 +83,13 @@
 }
 
 func (w *network) add(a iax2.Addr, c iax2.Config) *iax2.Endpoint {
-	w.ends[a] = iax2.NewEndpoint(c)
+	w.endpoints[a] = iax2.NewEndpoint(c)
 	w.order = append(w.order, a)
-	return w.ends[a]
+	return w.endpoints[a]
 }
 
-// plain routes numbers by their first digit.
-func plain(int) *call.Plan {
+// firstDigitPlan routes numbers by their first digit.
+func firstDigitPlan(int) *call.Plan {
 	p := call.NewPlan()
 	for n := range 5 {
 		if err := p.AddDest(fmt.Sprint(n), n); err != nil {
@@ -109,20 +110,20 @@
 		if w.drop != nil && w.drop(from, to, &f) {
 			continue
 		}
-		w.flying = append(w.flying, datagram{w.now + 5*ms, from, to, slices.Clone(b)})
+		w.inFlight = append(w.inFlight, datagram{w.now + 5*ms, from, to, slices.Clone(b)})
 	}
 	ep.Out.Reset()
 }
 
 func (w *network) flush() {
 	for _, a := range w.order {
-		ep := w.ends[a]
+		ep := w.endpoints[a]
 		for i := 0; i < len(ep.Events); i++ {
 			switch e := ep.Events[i]; {
 			case a == callerAddr:
-				w.heard = append(w.heard, e)
+				w.callerEvents = append(w.callerEvents, e)
 			case e.Kind == iax2.Offered:
-				w.news[a]++
+				w.setUps[a]++
 				w.offered = append(w.offered, e)
 				w.onOffer(e)
 			}
@@ -135,12 +136,12 @@
 	}
 }
 
-// run plays until a time.
+// run runs the network until a time.
 func (w *network) run(until time.Duration) {
 	w.flush()
 	for {
 		next := until + 1
-		for _, d := range w.flying {
+		for _, d := range w.inFlight {
 			next = min(next, d.at)
 		}
 		for _, n := range w.nodes {
@@ -149,7 +150,7 @@
 			}
 		}
 		for _, a := range w.order {
-			if at, ok := w.ends[a].Next(); ok {
+			if at, ok := w.endpoints[a].Next(); ok {
 				next = min(next, max(at, w.now))
 			}
 		}
@@ -158,9 +159,9 @@
 			return
 		}
 		w.now = next
-		for i := 0; i < len(w.flying); i++ {
-			if d := w.flying[i]; d.at <= w.now {
-				w.flying = slices.Delete(w.flying, i, i+1)
+		for i := 0; i < len(w.inFlight); i++ {
+			if d := w.inFlight[i]; d.at <= w.now {
+				w.inFlight = slices.Delete(w.inFlight, i, i+1)
 				i--
 				w.deliver(d)
 			}
@@ -169,14 +170,14 @@
 			n.Advance(w.now)
 		}
 		for _, a := range w.order {
-			w.ends[a].Advance(w.now)
+			w.endpoints[a].Advance(w.now)
 		}
 		w.flush()
 	}
 }
 
 func (w *network) deliver(d datagram) {
-	if ep := w.ends[d.to]; ep != nil {
+	if ep := w.endpoints[d.to]; ep != nil {
 		var f iax2.Frame
 		if w.media != nil && iax2.ParseFrame(d.b, &f) == nil && f.Layout == iax2.Mini {
 			w.media(d.to, string(f.Payload))
@@ -200,9 +201,9 @@
 	return d
 }
 
-// finals are the caller's final answers.
-func (w *network) finals() (out []string) {
-	for _, e := range w.heard {
+// finalAnswers returns the final answers that the caller received.
+func (w *network) finalAnswers() (out []string) {
+	for _, e := range w.callerEvents {
 		switch e.Kind {
 		case iax2.Answered:
 			out = append(out, "answered")
@@ -215,8 +216,8 @@
 	return out
 }
 
-// quiet checks that nothing is left anywhere.
-func (w *network) quiet() {
+// checkEmpty checks that no call, leg, dialog, timer or used circuit is left.
+func (w *network) checkEmpty() {
 	w.t.Helper()
 	w.run(w.now + 2*time.Minute)
 	for x, n := range w.nodes {
@@ -234,44 +235,45 @@
 		}
 	}
 	for _, a := range w.order {
-		if n := w.ends[a].DialogCount(); n != 0 {
+		if n := w.endpoints[a].DialogCount(); n != 0 {
 			w.t.Errorf("%v: %d dialogs left", a, n)
 		}
 	}
 }
 
-// The caller hangs up at every millisecond from NEW until well after the answer, also as it crosses it: the call is
-// released everywhere, and never answered after.
+// The caller hangs up at every millisecond from the NEW until well after the answer, including while the answer
+// is in flight. The call is released everywhere and not answered afterwards.
 func TestHangUpAtEveryMoment(t *testing.T) {
 	for at := time.Duration(0); at <= 60*ms; at += ms {
-		w := newNetwork(t, 2, plain)
+		w := newNetwork(t, 2, firstDigitPlan)
 		d := w.call("15")
 		w.run(w.now + at)
-		before := len(w.finals())
+		before := len(w.finalAnswers())
 		d.Release(w.now, iax2.CauseNormal, "")
 		w.run(w.now + time.Second)
-		if after := w.finals(); len(after) != before {
+		if after := w.finalAnswers(); len(after) != before {
 			t.Errorf("hang-up after %v: %v", at, after)
 		}
-		w.quiet()
+		w.checkEmpty()
 	}
 }
 
-// The switch is silent: one failure, within the caller's patience, and no second set-up reaches it.
-func TestSilentSwitch(t *testing.T) {
-	w := newNetwork(t, 2, plain)
+// If the switch does not respond, the caller gets one failure answer in time, and no second set-up reaches the
+// switch.
+func TestUnresponsiveSwitch(t *testing.T) {
+	w := newNetwork(t, 2, firstDigitPlan)
 	w.onOffer = func(iax2.Event) {}
-	began := w.now
+	start := w.now
 	w.call("15")
-	w.run(began + 3*time.Second)
-	got := w.finals()
-	if len(got) != 1 || got[0] != "cause 102" || w.news[switchAddr(1)] != 1 {
-		t.Errorf("final answers %v, %d set-ups", got, w.news[switchAddr(1)])
+	w.run(start + 3*time.Second)
+	got := w.finalAnswers()
+	if len(got) != 1 || got[0] != "cause 102" || w.setUps[switchAddr(1)] != 1 {
+		t.Errorf("final answers %v, %d set-ups", got, w.setUps[switchAddr(1)])
 	}
-	w.quiet()
+	w.checkEmpty()
 }
 
-// Two routers whose plans each hold the other for the way to a number: the call goes round once and is refused.
+// Two routers whose plans name each other as destination of a number: the call goes round once and is rejected.
 func TestLoopOfTwoRouters(t *testing.T) {
 	w := newNetwork(t, 3, func(x int) *call.Plan {
 		p := call.NewPlan()
@@ -282,22 +284,23 @@
 	})
 	w.call("75")
 	w.run(w.now + 3*time.Second)
-	if got := w.finals(); len(got) != 1 || got[0] == "answered" {
+	if got := w.finalAnswers(); len(got) != 1 || got[0] == "answered" {
 		t.Errorf("final answers %v", got)
 	}
 	if n := w.nodes[1].Core.Stats.Attempts; n > 1 {
-		t.Errorf("router 1 passed it on %d times", n)
+		t.Errorf("router 1 forwarded it %d times", n)
 	}
-	w.quiet()
+	w.checkEmpty()
 }
 
-// A router that starts among processors that have long run, or whose clocks are off by hours, answers its first calls,
-// its own exchange's too. Where they started just now it sends them a part, and takes none for the size of one line.
+// A router that starts among processors that have run for long, or whose clocks are off by hours, answers its
+// first calls, also at its own exchange. If the processors have just started, the slow-start limit applies, and
+// a group of unknown size is not taken to have a single line.
 func TestFirstCallsAfterStart(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		age         time.Duration
-		least, most int // of 20 calls 50 ms apart, each hung up then; the least at the own exchange, whose size is known
+		least, most int // answered calls of 20 made 50 ms apart, each released before the next; least applies at the own exchange, whose size is known
 	}{
 		{"five hours ago", 5 * time.Hour, 20, 20},
 		{"three hours ahead", -3 * time.Hour, 20, 20},
@@ -306,64 +309,65 @@
 		{"now", 0, 1, 19},
 	} {
 		for _, to := range []int{0, 1} {
-			w := newNetworkOf(t, 2, plain, func(e *registry.Entry) { e.Started = listedAt.Add(-c.age) })
+			w := newNetworkOf(t, 2, firstDigitPlan, func(e *registry.Entry) { e.Started = listedAt.Add(-c.age) })
 			answered := 0
 			for range 20 {
-				before := len(w.heard)
+				before := len(w.callerEvents)
 				d := w.call(fmt.Sprint(to, "5"))
 				w.run(w.now + 50*ms)
-				if slices.ContainsFunc(w.heard[before:], func(e iax2.Event) bool { return e.Kind == iax2.Answered }) {
+				if slices.ContainsFunc(w.callerEvents[before:], func(e iax2.Event) bool { return e.Kind == iax2.Answered }) {
 					answered++
 				}
 				d.Release(w.now, iax2.CauseNormal, "")
 				w.run(w.now + 5*ms)
 			}
 			if answered < c.least && (to == 0 || c.least == 20) || answered > c.most {
-				t.Errorf("started %s, to exchange %d: %d of 20 answered, want %d to %d", c.name, to, answered, c.least, c.most)
+				t.Errorf("processors started %s, to exchange %d: %d of 20 answered, want %d to %d", c.name, to, answered, c.least, c.most)
 			}
-			w.quiet()
+			w.checkEmpty()
 		}
 	}
 }
 
 func TestOwnExchange(t *testing.T) {
-	w := newNetwork(t, 2, plain)
+	w := newNetwork(t, 2, firstDigitPlan)
 	d := w.call("05")
 	w.run(w.now + time.Second)
-	if got := w.finals(); len(got) != 1 || got[0] != "answered" || w.news[switchAddr(0)] != 1 {
+	if got := w.finalAnswers(); len(got) != 1 || got[0] != "answered" || w.setUps[switchAddr(0)] != 1 {
 		t.Errorf("final answers %v", got)
 	}
 	d.Release(w.now, iax2.CauseNormal, "")
-	w.quiet()
+	w.checkEmpty()
 }
 
-// The direct group is full, and every switch but the tandem's way turns the call back: one refusal in the end.
-func TestTandemTurnedBack(t *testing.T) {
-	w := newNetwork(t, 4, plain)
-	w.nodes[0].Core.Reconfigure(w.now, plain(0), map[int]int{1: 0, 2: 10, 3: 10}, 0, 0)
+// The direct group is full and both tandems reject the call for lack of circuits: the caller gets one refusal.
+func TestRejectedByBothTandems(t *testing.T) {
+	w := newNetwork(t, 4, firstDigitPlan)
+	w.nodes[0].Core.Reconfigure(w.now, firstDigitPlan(0), map[int]int{1: 0, 2: 10, 3: 10}, 0, 0)
 	for _, x := range []int{2, 3} {
-		w.nodes[x].Core.Reconfigure(w.now, plain(x), map[int]int{0: 10, 1: 0}, 0, 0)
+		w.nodes[x].Core.Reconfigure(w.now, firstDigitPlan(x), map[int]int{0: 10, 1: 0}, 0, 0)
 	}
 	w.call("15")
 	w.run(w.now + 3*time.Second)
-	if got := w.finals(); len(got) != 1 || got[0] != "cause 34" || len(w.offered) != 0 {
+	if got := w.finalAnswers(); len(got) != 1 || got[0] != "cause 34" || len(w.offered) != 0 {
 		t.Errorf("final answers %v", got)
 	}
 	if w.nodes[2].Core.Stats.Offered+w.nodes[3].Core.Stats.Offered != 2 {
-		t.Error("not both tandems were tried")
+		t.Error("the call was not offered to each tandem once")
 	}
-	w.quiet()
+	w.checkEmpty()
 }
 
-// Media of a standing call crosses both routers, each way, and none does before the answer or after the end.
+// Media of a standing call crosses both routers in each direction. No media crosses before the answer or after
+// the release.
 func TestMediaCrossesRouters(t *testing.T) {
-	w := newNetwork(t, 2, plain)
+	w := newNetwork(t, 2, firstDigitPlan)
 	var seen []string
 	w.drop = nil
 	w.media = func(to iax2.Addr, payload string) { seen = append(seen, fmt.Sprint(to.IP[2], to.IP[3], " ", payload)) }
 	d := w.call("15")
 	speak := func(from iax2.Addr, router int, number uint16, text string) {
-		w.flying = append(w.flying, datagram{w.now + 5*ms, from, routerAddr(router), iax2.AppendMini(nil, number, 1, []byte(text))})
+		w.inFlight = append(w.inFlight, datagram{w.now + 5*ms, from, routerAddr(router), iax2.AppendMini(nil, number, 1, []byte(text))})
 		w.run(w.now + 50*ms)
 	}
 	speak(callerAddr, 0, d.Number(), "early")
@@ -378,83 +382,86 @@
 	}
 }
 
-// A router forgets everything in mid-call: both ends learn of it by INVAL and nothing is left.
+// A router restarts during a call and loses its state. Both ends learn of it by INVAL and no call is left.
 func TestRouterRestartMidCall(t *testing.T) {
-	w := newNetwork(t, 2, plain)
+	w := newNetwork(t, 2, firstDigitPlan)
 	w.caller = nil
-	w.ends[callerAddr] = iax2.NewEndpoint(iax2.Config{PingInterval: time.Second})
-	w.caller = w.ends[callerAddr]
+	w.endpoints[callerAddr] = iax2.NewEndpoint(iax2.Config{PingInterval: time.Second})
+	w.caller = w.endpoints[callerAddr]
 	w.call("15")
 	w.run(w.now + 500*ms)
-	fresh := newNetwork(t, 2, plain)
-	w.nodes[0] = fresh.nodes[0]
+	restarted := newNetwork(t, 2, firstDigitPlan)
+	w.nodes[0] = restarted.nodes[0]
 	w.run(w.now + 5*time.Second)
-	if got := w.finals(); len(got) != 2 || got[0] != "answered" || got[1] != "lost" {
-		t.Errorf("the caller saw %v", got)
+	if got := w.finalAnswers(); len(got) != 2 || got[0] != "answered" || got[1] != "lost" {
+		t.Errorf("events at the caller: %v", got)
 	}
 	if w.nodes[1].Core.OpenCalls() != 1 {
 		t.Errorf("router 1 holds %d calls", w.nodes[1].Core.OpenCalls())
 	}
-	// Router 1 does not ping here; its switch hangs up, which ends the call on both sides.
+	// Router 1 sends no PING here; its switch hangs up, which ends the call on both sides.
 	w.offered[0].Dialog.Release(w.now, iax2.CauseNormal, "")
-	w.quiet()
+	w.checkEmpty()
 }
 
-// A drain is told in the same instant as a call comes, before and after it in the same step.
+// A list update that marks the exchange as draining is received in the same instant as a call, before or after
+// it.
 func TestDrainInTheSameInstant(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		w := newNetwork(t, 2, plain)
+		w := newNetwork(t, 2, firstDigitPlan)
 		drained := w.nodes[0].List()
 		drained.Entries = slices.Clone(drained.Entries)
 		drained.Entries[1].Phase = decide.Draining
-		tell := func() { w.nodes[0].SetList(w.now, time.Unix(1e9, 0), drained) }
+		update := func() { w.nodes[0].SetList(w.now, time.Unix(1e9, 0), drained) }
 		if before {
-			tell()
+			update()
 		}
 		w.call("15")
 		w.flush()
 		w.run(w.now + 5*ms)
 		if !before {
-			tell()
+			update()
 		}
 		w.run(w.now + 3*time.Second)
-		got := w.finals()
-		if want := map[bool]int{true: 0, false: 1}[before]; len(got) != 1 || w.news[switchAddr(1)] != want {
-			t.Errorf("told before %v: final answers %v, %d set-ups", before, got, w.news[switchAddr(1)])
+		got := w.finalAnswers()
+		if want := map[bool]int{true: 0, false: 1}[before]; len(got) != 1 || w.setUps[switchAddr(1)] != want {
+			t.Errorf("drained before the call %v: final answers %v, %d set-ups", before, got, w.setUps[switchAddr(1)])
 		}
 	}
 }
 
-// A set-up is lost and the drain told: no repeat of it leaves after the grace, at whatever moment it was lost.
-func TestNoRepeatAfterTheGrace(t *testing.T) {
+// A set-up is lost and its exchange is then removed from the list. At whatever time it was lost, it is not
+// retransmitted after the grace period.
+func TestNoRetransmissionAfterTheGrace(t *testing.T) {
 	for lead := time.Duration(0); lead < 1200*ms; lead += 50 * ms {
-		w := newNetwork(t, 2, plain)
-		told := w.now + lead
+		w := newNetwork(t, 2, firstDigitPlan)
+		removedAt := w.now + lead
 		w.drop = func(from, to iax2.Addr, f *iax2.Frame) bool {
 			if f.Is(iax2.New) && to == routerAddr(1) {
-				if w.now > told+time.Second {
-					t.Errorf("set-up %v after the drain was told", w.now-told)
+				if w.now > removedAt+time.Second {
+					t.Errorf("set-up %v after the exchange was removed", w.now-removedAt)
 				}
 				return true
 			}
 			return false
 		}
 		w.call("15")
-		w.run(told)
+		w.run(removedAt)
 		drained := w.nodes[0].List()
 		drained.Entries = slices.Clone(drained.Entries)
 		drained.Entries[1].Phase = decide.Removed
 		w.nodes[0].SetList(w.now, time.Unix(1e9, 0), drained)
-		w.run(told + 5*time.Second)
-		if got := w.finals(); len(got) != 1 {
-			t.Errorf("told %v after the call: final answers %v", lead, got)
+		w.run(removedAt + 5*time.Second)
+		if got := w.finalAnswers(); len(got) != 1 {
+			t.Errorf("removed %v after the call: final answers %v", lead, got)
 		}
 	}
 }
 
-// A list names a router anew; one that came late from before the restart is known by its address all the same.
+// An update of a router's address on the list takes effect, so that its calls are still recognised as coming
+// over the trunk group.
 func TestPeersFollowTheList(t *testing.T) {
-	w := newNetwork(t, 2, plain)
+	w := newNetwork(t, 2, firstDigitPlan)
 	moved := w.nodes[0].List()
 	moved.Entries = slices.Clone(moved.Entries)
 	moved.Entries[1].Address = netip.MustParseAddrPort("127.0.9.9:4569")
--- a/internal/timers/timers.go
+++ b/internal/timers/timers.go
@@ -1,35 +1,36 @@
-// Package timers is a queue of deadlines for state machines that are told the time.
+// Package timers implements a queue of deadlines for state machines that receive the time as an argument.
 //
-// It is an indexed binary heap: setting, moving and stopping a deadline is O(log n) and allocates nothing,
-// and entries due at the same time come out in the order in which they were set, so that two runs agree.
+// The queue is an indexed binary heap: setting, moving and stopping a deadline takes O(log n) and allocates
+// nothing. Entries with the same deadline are returned in the order in which they were set, so that runs are
+// deterministic.
 package timers
 
 import "time"
 
-// Entry is one deadline; embed it or keep it beside what it wakes. The zero value is stopped.
+// Entry is one deadline with the value that it is set for. The zero value is stopped.
 type Entry[T any] struct {
-	Value T
-	at    time.Duration
-	seq   uint64
-	place int // in the heap, from 1; 0 is stopped
+	Value    T
+	at       time.Duration
+	seq      uint64
+	position int // heap index plus 1; 0 if stopped
 }
 
-// Running tells whether the entry waits in a queue.
-func (e *Entry[T]) Running() bool { return e.place > 0 }
+// Running reports whether the entry is in a queue.
+func (e *Entry[T]) Running() bool { return e.position > 0 }
 
-// At is the deadline of a running entry.
+// At returns the deadline of a running entry.
 func (e *Entry[T]) At() time.Duration { return e.at }
 
-// Queue holds running entries. The zero value is empty.
+// Queue holds running entries. The zero value is an empty queue.
 type Queue[T any] struct {
 	heap []*Entry[T]
 	seq  uint64
 }
 
-// Len is the number of running entries.
+// Len returns the number of running entries.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Next is the earliest deadline; ok is false if there is none.
+// Next returns the earliest deadline; ok is false if there is none.
 func (q *Queue[T]) Next() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -37,35 +38,35 @@
 	return q.heap[0].at, true
 }
 
-// Set starts or moves an entry.
+// Set starts an entry, or moves a running one to a new deadline.
 func (q *Queue[T]) Set(e *Entry[T], at time.Duration) {
 	q.seq++
 	e.at, e.seq = at, q.seq
-	if e.place == 0 {
+	if e.position == 0 {
 		q.heap = append(q.heap, e)
-		e.place = len(q.heap)
+		e.position = len(q.heap)
 	}
-	q.up(e.place - 1)
-	q.down(e.place - 1)
+	q.up(e.position - 1)
+	q.down(e.position - 1)
 }
 
-// Stop takes an entry out; a stopped one stays stopped.
+// Stop removes an entry from the queue. It has no effect on a stopped entry.
 func (q *Queue[T]) Stop(e *Entry[T]) {
-	if e.place == 0 {
+	if e.position == 0 {
 		return
 	}
-	i, last := e.place-1, len(q.heap)-1
+	i, last := e.position-1, len(q.heap)-1
 	q.swap(i, last)
 	q.heap[last] = nil
 	q.heap = q.heap[:last]
-	e.place = 0
+	e.position = 0
 	if i < last {
 		q.up(i)
 		q.down(i)
 	}
 }
 
-// Due takes out the earliest entry that is due at now; nil if none is.
+// Due removes and returns the earliest entry whose deadline is not after now, or nil.
 func (q *Queue[T]) Due(now time.Duration) *Entry[T] {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
@@ -82,7 +83,7 @@
 
 func (q *Queue[T]) swap(i, j int) {
 	q.heap[i], q.heap[j] = q.heap[j], q.heap[i]
-	q.heap[i].place, q.heap[j].place = i+1, j+1
+	q.heap[i].position, q.heap[j].position = i+1, j+1
 }
 
 func (q *Queue[T]) up(i int) {
--- a/internal/timers/timers_test.go
+++ b/internal/timers/timers_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// The queue agrees with a sorted list under any sequence of sets, moves, stops and takes.
+// The queue behaves like a sorted list for any sequence of sets, moves, stops and removals.
 func TestQueueAgreesWithSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type plain struct {
+		type deadline struct {
 			at  time.Duration
 			seq int
 		}
 		var q Queue[int]
 		entries := make([]Entry[int], 8)
-		want := map[int]plain{}
+		want := map[int]deadline{}
 		for i := range entries {
 			entries[i].Value = i
 		}
@@ -28,7 +28,7 @@
 			case 0:
 				at := time.Duration(rapid.IntRange(0, 9).Draw(t, "at"))
 				q.Set(&entries[i], at)
-				want[i] = plain{at, step}
+				want[i] = deadline{at, step}
 			case 1:
 				q.Stop(&entries[i])
 				delete(want, i)
@@ -51,7 +51,7 @@
 					delete(want, k)
 				}
 				if e := q.Due(now); e != nil {
-					t.Fatalf("entry %d is due at %d and should not be", e.Value, now)
+					t.Fatalf("entry %d is due at %d, want none", e.Value, now)
 				}
 			}
 			if q.Len() != len(want) {
--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -1,8 +1,8 @@
-// Package trunk keeps the circuits of one router's trunk groups, as this end sees them.
+// Package trunk counts the circuits of a router's trunk groups, as seen from this end.
 //
-// A group joins two exchanges and is shared by both ends and by calls in transit. This end knows the calls that
-// it sent over the group and those that came over it; a circuit is taken from the first message of a set-up
-// until the far end has confirmed the release, or is held to be gone.
+// A trunk group joins two exchanges. Its circuits are shared by both ends and by calls in transit. This end
+// knows only the calls that it sent or received over the group. A circuit is in use from the first message of a
+// set-up until the far end has confirmed the release, or is considered lost.
 package trunk
 
 import (
@@ -13,32 +13,33 @@
 
 // Group is one trunk group.
 type Group struct {
-	far     int // number of the exchange at the other end
-	size    int
-	out, in int // circuits held by calls sent and received over it
-	changed bool
+	neighbour int // number of the exchange at the other end
+	size      int
+	out, in   int // circuits used by calls sent and by calls received
+	changed   bool
 }
 
-// Neighbour is the number of the exchange at the other end.
-func (g *Group) Neighbour() int { return g.far }
+// Neighbour returns the number of the exchange at the other end.
+func (g *Group) Neighbour() int { return g.neighbour }
 
-// Size is the number of circuits in service.
+// Size returns the number of circuits in service.
 func (g *Group) Size() int { return g.size }
 
-// Used is the number of circuits taken by calls sent over the group and by calls received over it.
+// Used returns the numbers of circuits used by calls sent and by calls received.
 func (g *Group) Used() (out, in int) { return g.out, g.in }
 
-// Free is the number of circuits that a set-up may take. A group that lost circuits in service can hold more
-// calls than circuits for a while: then none are free.
+// Free returns the number of free circuits. It is 0 while a group that lost circuits carries more calls than it
+// has circuits left.
 func (g *Group) Free() int { return max(0, g.size-g.out-g.in) }
 
-// Seize takes circuits for a call sent over the group; false if there are too few.
-func (g *Group) Seize(width int) bool { return g.take(width, &g.out) }
+// Seize takes width circuits for a call to be sent. It returns false and takes none if fewer are free.
+func (g *Group) Seize(width int) bool { return g.reserve(width, &g.out) }
 
-// Admit takes circuits for a call received over the group; false if there are too few.
-func (g *Group) Admit(width int) bool { return g.take(width, &g.in) }
+// Admit takes width circuits for a received call. It returns false and takes none if fewer are free.
+func (g *Group) Admit(width int) bool { return g.reserve(width, &g.in) }
 
-func (g *Group) take(width int, used *int) bool {
+// reserve adds width circuits to used. It returns false if fewer are free.
+func (g *Group) reserve(width int, used *int) bool {
 	if width < 1 || g.Free() < width {
 		return false
 	}
@@ -47,71 +48,73 @@
 	return true
 }
 
-// ReleaseOut frees circuits of a call sent. Freeing what was never taken is a defect of the caller and panics, since
-// the count would be wrong from then on; so does ReleaseIn.
-func (g *Group) ReleaseOut(width int) { g.give(width, &g.out) }
+// ReleaseOut frees the circuits of a sent call. It panics if more circuits are freed than are in use, since the
+// count would be wrong from then on.
+func (g *Group) ReleaseOut(width int) { g.free(width, &g.out) }
 
-// ReleaseIn frees circuits of a call received.
-func (g *Group) ReleaseIn(width int) { g.give(width, &g.in) }
+// ReleaseIn frees the circuits of a received call. It panics like ReleaseOut.
+func (g *Group) ReleaseIn(width int) { g.free(width, &g.in) }
 
-func (g *Group) give(width int, used *int) {
+// free subtracts width circuits from used.
+func (g *Group) free(width int, used *int) {
 	if width < 1 || *used < width {
-		panic(fmt.Sprintf("trunk: freeing %d circuits of %d taken toward exchange %d", width, *used, g.far))
+		panic(fmt.Sprintf("trunk: freeing %d circuits with %d in use toward exchange %d", width, *used, g.neighbour))
 	}
 	*used -= width
 	g.changed = true
 }
 
-// GroupTable holds the groups of one router.
+// GroupTable holds the trunk groups of one router.
 type GroupTable struct {
 	groups map[int]*Group
 	order  []int
 }
 
-// NewGroupTable makes groups of the given sizes, by the number of the exchange at the other end.
+// NewGroupTable returns a table with groups of the given sizes, by the number of the exchange at the other end.
 func NewGroupTable(sizes map[int]int) *GroupTable {
-	b := &GroupTable{groups: map[int]*Group{}}
-	b.Resize(sizes)
-	return b
+	t := &GroupTable{groups: map[int]*Group{}}
+	t.Resize(sizes)
+	return t
 }
 
-// Group finds the group toward an exchange; nil if there is none.
-func (b *GroupTable) Group(far int) *Group { return b.groups[far] }
+// Group returns the group toward an exchange, or nil if there is none.
+func (t *GroupTable) Group(neighbour int) *Group { return t.groups[neighbour] }
 
-// All lists the groups by exchange number.
-func (b *GroupTable) All() []*Group {
+// All returns the groups, ordered by exchange number.
+func (t *GroupTable) All() []*Group {
 	var all []*Group
-	for _, far := range b.order {
-		all = append(all, b.groups[far])
+	for _, neighbour := range t.order {
+		all = append(all, t.groups[neighbour])
 	}
 	return all
 }
 
-// Resize takes new sizes. Calls keep their circuits; a group that is no longer named keeps size 0 and goes
-// when its last call does.
-func (b *GroupTable) Resize(sizes map[int]int) {
-	for far, g := range b.groups {
-		if _, ok := sizes[far]; !ok && g.size != 0 {
+// Resize applies new group sizes. Calls in progress keep their circuits. A group that is missing from sizes
+// stays in the table with size 0.
+func (t *GroupTable) Resize(sizes map[int]int) {
+	for neighbour, g := range t.groups {
+		if _, ok := sizes[neighbour]; !ok && g.size != 0 {
 			g.size, g.changed = 0, true
 		}
 	}
-	for far, size := range sizes {
-		g := b.groups[far]
+	for neighbour, size := range sizes {
+		g := t.groups[neighbour]
 		if g == nil {
-			g = &Group{far: far, changed: true}
-			b.groups[far] = g
+			g = &Group{neighbour: neighbour, changed: true}
+			t.groups[neighbour] = g
 		}
 		if g.size != size {
 			g.size, g.changed = size, true
 		}
 	}
-	b.order = slices.Sorted(maps.Keys(b.groups))
+	t.order = slices.Sorted(maps.Keys(t.groups))
 }
 
-// ForEachChanged calls f for each group whose circuits changed since the last time, by exchange number.
-func (b *GroupTable) ForEachChanged(f func(*Group)) {
-	for _, far := range b.order {
-		if g := b.groups[far]; g.changed {
+// ForEachChanged calls f for each group whose circuit counts changed since the previous call, ordered by
+// exchange number.
+func (t *GroupTable) ForEachChanged(f func(*Group)) {
+	for _, neighbour := range t.order {
+		if g := t.groups[neighbour]; g.changed {
 			g.changed = false
 			f(g)
 		}
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -6,14 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-// Under any sequence of calls and resizes the counts are those of a plain list of calls.
+// For any sequence of calls and resizes, the counts equal those of a plain list of calls.
 func TestGroupCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 12).Draw(t, "size")
 		b := NewGroupTable(map[int]int{3: size})
 		g := b.Group(3)
-		type held struct{ width, in int }
-		var calls []held
+		type heldCircuits struct{ width, in int }
+		var calls []heldCircuits
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			used := 0
 			for _, c := range calls {
@@ -24,7 +24,7 @@
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				c := held{rapid.IntRange(0, 4).Draw(t, "width"), rapid.IntRange(0, 1).Draw(t, "in")}
+				c := heldCircuits{rapid.IntRange(0, 4).Draw(t, "width"), rapid.IntRange(0, 1).Draw(t, "in")}
 				take := g.Seize
 				if c.in == 1 {
 					take = g.Admit
@@ -54,32 +54,32 @@
 	})
 }
 
-func TestFreeingWhatWasNotTakenPanics(t *testing.T) {
+func TestReleaseOfUnusedCircuitsPanics(t *testing.T) {
 	g := NewGroupTable(map[int]int{1: 5}).Group(1)
 	g.Seize(2)
 	defer func() {
 		if recover() == nil {
-			t.Error("three circuits were freed of two taken")
+			t.Error("three circuits were released with two in use")
 		}
 	}()
 	g.ReleaseOut(3)
 }
 
-func TestChangedTellsOnce(t *testing.T) {
+func TestForEachChangedReportsOnce(t *testing.T) {
 	b := NewGroupTable(map[int]int{2: 5, 1: 4})
-	told := func() (far []int) {
-		b.ForEachChanged(func(g *Group) { far = append(far, g.Neighbour()) })
-		return far
+	changed := func() (neighbours []int) {
+		b.ForEachChanged(func(g *Group) { neighbours = append(neighbours, g.Neighbour()) })
+		return neighbours
 	}
-	if got := told(); len(got) != 2 || got[0] != 1 {
+	if got := changed(); len(got) != 2 || got[0] != 1 {
 		t.Errorf("new groups: %v", got)
 	}
 	b.Group(2).Seize(1)
-	if got := told(); len(got) != 1 || got[0] != 2 {
+	if got := changed(); len(got) != 1 || got[0] != 2 {
 		t.Errorf("after a call: %v", got)
 	}
 	b.Resize(map[int]int{1: 4})
-	if got := told(); len(got) != 1 || b.Group(2).Free() != 0 {
-		t.Errorf("after its group went: %v", got)
+	if got := changed(); len(got) != 1 || b.Group(2).Free() != 0 {
+		t.Errorf("after its group was removed: %v", got)
 	}
 }
