--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,9 +1,9 @@
-// Package capture writes and reads what crossed the wire of a stand-in network: every datagram, and notices of
-// what no datagram shows (lists told, processors started, routers killed), in one pcapng file.
+// Package capture writes and reads the traffic of a test network as a pcapng file: every datagram and M3UA
+// message, and notices of what no datagram shows (list updates, processor starts, router starts and kills).
 //
-// Parties have addresses of their own in the capture, port 4569, so that any protocol analyser shows IAX2:
-// 10.0.E.1 is the router of exchange E, 10.0.E.2 its switch, 10.1.E.1 its callers. Notices are JSON in UDP from
-// 10.255.0.1, port 4570.
+// Each party has its own address in the capture, with port 4569 so that protocol analysers decode IAX2:
+// 10.0.E.1 is the router of exchange E, 10.0.E.2 its switch, and 10.1.E.1 its callers. Notices are JSON in UDP
+// datagrams from 10.255.0.1, port 4570.
 package capture
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/google/gopacket/pcapgo"
 )
 
-// Kind tells what a party is.
+// Kind is the kind of a Party.
 type Kind uint8
 
 // Kinds of Party.
 const (
-	Unknown Kind = iota
-	Router
-	Switch
-	Callers
-	NoticeSource
+	Unknown      Kind = iota // a party outside the test network
+	Router                   // router of an exchange
+	Switch                   // switch of an exchange
+	Callers                  // subscribers of an exchange
+	NoticeSource             // source of notices; sends no traffic
 )
 
-// Party is one end of a datagram.
+// Party is one end of a datagram or association.
 type Party struct {
 	Kind     Kind
 	Exchange int
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("%s %d", [...]string{"unknown", "router", "switch", "callers of", "notices"}[p.Kind], p.Exchange)
 }
 
-// Addr is the party's address in captures; exchanges are numbered from 0 to 255.
+// Addr returns the party's address in captures. Exchange numbers must be between 0 and 255.
 func (p Party) Addr() netip.Addr {
 	switch p.Kind {
 	case Router:
@@ -58,7 +58,7 @@
 	return netip.AddrFrom4([4]byte{})
 }
 
-// PartyAt is the party of an address.
+// PartyAt returns the party with an address, or the zero Party if there is none.
 func PartyAt(a netip.Addr) Party {
 	b := a.As4()
 	for _, k := range []Kind{Router, Switch, Callers, NoticeSource} {
@@ -69,25 +69,25 @@
 	return Party{}
 }
 
-// Ports of the capture.
+// Ports used in captures.
 const (
 	iaxPort    = 4569
 	noticePort = 4570
 	m3uaPort   = 2905
-	m3uaPPID   = 3 // SCTP payload protocol of M3UA
+	m3uaPPID   = 3 // SCTP payload protocol identifier of M3UA
 )
 
-// Packet is one datagram, or one message cut from a stream.
+// Packet is one datagram, one M3UA message, the end of an association, or one notice.
 type Packet struct {
 	At       time.Time
 	From, To Party
 	Payload  []byte
-	M3UA     bool    // the payload is an M3UA message, else IAX2
-	Reset    bool    // the association between the two ended
-	Notice   *Notice // instead of a payload
+	M3UA     bool    // the payload is an M3UA message, not IAX2
+	Reset    bool    // the association between From and To ended
+	Notice   *Notice // set instead of a payload
 }
 
-// Notice tells what no datagram shows. One field is set.
+// Notice reports what no datagram shows. Exactly one field is set.
 type Notice struct {
 	Parameters *Parameters  `json:"figures,omitempty"`
 	List       *List        `json:"list,omitempty"`
@@ -95,30 +95,30 @@
 	Router     *RouterState `json:"router,omitempty"`
 }
 
-// Parameters are what the rules are judged by.
+// Parameters are the limits that the rules are checked against.
 type Parameters struct {
 	DrainGrace       time.Duration            `json:"drain_grace_ns"`
 	ReleaseWait      time.Duration            `json:"release_wait_ns"`
 	OverloadMultiple float64                  `json:"fall_multiple"`
 	OverloadWindow   time.Duration            `json:"fall_window_ns"`
-	Patience         map[string]time.Duration `json:"patience_ns"` // of one try, by the NEW's context
+	Patience         map[string]time.Duration `json:"patience_ns"` // of one try, by called context
 }
 
-// List is a list as one router was told it.
+// List is the exchange list as one router received it.
 type List struct {
 	Router int     `json:"router"`
 	Phases []Phase `json:"phases"`
 }
 
-// Phase is one line of a list.
+// Phase is one entry of a list.
 type Phase struct {
 	ID       string `json:"id"`
 	Exchange int    `json:"exchange"`
 	Phase    string `json:"phase"`
 }
 
-// Started tells that a processor started: from then on it can do From times Rate set-ups a second, rising to Rate
-// within Warm.
+// Started reports that a processor started. It can process ColdCapacity times Rate set-ups per second at first,
+// rising linearly to Rate over ColdDuration.
 type Started struct {
 	Exchange     int           `json:"exchange"`
 	ID           string        `json:"id"`
@@ -127,31 +127,31 @@
 	ColdDuration time.Duration `json:"warm_ns"`
 }
 
-// RouterState tells that a router started or was killed.
+// RouterState reports that a router started or was killed.
 type RouterState struct {
 	Exchange int  `json:"exchange"`
 	Up       bool `json:"up"`
 }
 
-// Writer writes a capture; it may be used from several goroutines.
+// Writer writes a capture. It is safe for concurrent use.
 type Writer struct {
-	mu     sync.Mutex
-	ng     *pcapgo.NgWriter
-	buf    gopacket.SerializeBuffer
-	out    io.Closer
-	err    error
-	closed bool
-	last   time.Time
-	raw    io.Writer
-	tsn    uint32
-	sink   func(Packet) // takes the packets in place of a file
+	mu       sync.Mutex
+	ng       *pcapgo.NgWriter
+	buf      gopacket.SerializeBuffer
+	closer   io.Closer
+	err      error
+	closed   bool
+	lastTime time.Time
+	raw      io.Writer
+	tsn      uint32
+	sink     func(Packet) // receives the packets instead of a file
 }
 
-// NewSink returns a writer that hands each packet on as Read would, at once and on the caller's goroutine; the payload is
-// the taker's during the call.
+// NewSink returns a Writer that passes each packet to f as Read would, synchronously on the calling goroutine.
+// f must not retain the payload.
 func NewSink(f func(Packet)) *Writer { return &Writer{sink: f} }
 
-// NewWriter starts a capture on w, which Close closes if it can be closed.
+// NewWriter starts a capture on w. Close also closes w if it is an io.Closer.
 func NewWriter(w io.Writer) (*Writer, error) {
 	ng, err := pcapgo.NewNgWriterInterface(w, pcapgo.NgInterface{Name: "loopback", LinkType: layers.LinkTypeRaw,
 		SnapLength: 0, TimestampResolution: 9}, pcapgo.NgWriterOptions{SectionInfo: pcapgo.NgSectionInfo{
@@ -160,12 +160,12 @@
 		return nil, err
 	}
 	c := &Writer{ng: ng, buf: gopacket.NewSerializeBuffer(), raw: w}
-	c.out, _ = w.(io.Closer)
+	c.closer, _ = w.(io.Closer)
 	return c, nil
 }
 
-// Datagram records a datagram. Records are kept in order of time: one that comes late from another goroutine
-// takes the time of the one before it.
+// Datagram records a datagram. Packets are kept in order of time: one that arrives late from another goroutine
+// gets the time of the packet before it.
 func (c *Writer) Datagram(at time.Time, from, to Party, payload []byte) {
 	if c.sink != nil {
 		c.sink(Packet{At: at, From: from, To: to, Payload: payload})
@@ -182,7 +182,7 @@
 	}
 	payload, err := json.Marshal(n)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // all fields can be marshalled
 	}
 	to := Party{}
 	switch {
@@ -196,18 +196,18 @@
 	c.write(at, Party{Kind: NoticeSource}, to, noticePort, payload)
 }
 
-// Segment records bytes of a TCP stream, as they were read; seq is the number of bytes before them.
+// Segment records bytes read from a TCP stream; seq is the number of bytes before them.
 func (c *Writer) Segment(at time.Time, from, to Party, seq uint32, payload []byte) {
 	if c.sink != nil {
-		return // the messages cut from it follow
+		return // Message reports the messages of the stream
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tcp := &layers.TCP{SrcPort: m3uaPort, DstPort: m3uaPort, Seq: seq, ACK: true, PSH: true, Window: 65535}
-	c.packet(at, from, to, layers.IPProtocolTCP, tcp, tcp.SetNetworkLayerForChecksum, payload, "")
+	c.writePacket(at, from, to, layers.IPProtocolTCP, tcp, tcp.SetNetworkLayerForChecksum, payload, "")
 }
 
-// Reset records the end of an association's connection, as one end saw it.
+// Reset records the end of an association's connection, as seen by the end from.
 func (c *Writer) Reset(at time.Time, from, to Party) {
 	if c.sink != nil {
 		c.sink(Packet{At: at, From: from, To: to, Reset: true})
@@ -216,11 +216,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tcp := &layers.TCP{SrcPort: m3uaPort, DstPort: m3uaPort, RST: true}
-	c.packet(at, from, to, layers.IPProtocolTCP, tcp, tcp.SetNetworkLayerForChecksum, nil, "")
+	c.writePacket(at, from, to, layers.IPProtocolTCP, tcp, tcp.SetNetworkLayerForChecksum, nil, "")
 }
 
-// Message records one M3UA message cut from a stream. Analysers know M3UA over SCTP only, so it is written as an
-// SCTP packet that never was, and says so.
+// Message records one M3UA message extracted from a TCP stream. Protocol analysers decode M3UA only over SCTP,
+// so it is written as a synthetic SCTP packet with a comment that says so.
 func (c *Writer) Message(at time.Time, from, to Party, message []byte) {
 	if c.sink != nil {
 		c.sink(Packet{At: at, From: from, To: to, Payload: message, M3UA: true})
@@ -231,7 +231,7 @@
 	c.tsn++
 	data := &layers.SCTPData{SCTPChunk: layers.SCTPChunk{Type: layers.SCTPChunkTypeData, Flags: 3},
 		BeginFragment: true, EndFragment: true, TSN: c.tsn, PayloadProtocol: m3uaPPID}
-	c.packet(at, from, to, layers.IPProtocolSCTP, sctpPacket{&layers.SCTP{SrcPort: m3uaPort, DstPort: m3uaPort}, data}, nil,
+	c.writePacket(at, from, to, layers.IPProtocolSCTP, sctpPacket{&layers.SCTP{SrcPort: m3uaPort, DstPort: m3uaPort}, data}, nil,
 		message, "synthetic: cut from a TCP stream")
 }
 
@@ -254,22 +254,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	udp := &layers.UDP{SrcPort: layers.UDPPort(port), DstPort: layers.UDPPort(port)}
-	c.packet(at, from, to, layers.IPProtocolUDP, udp, udp.SetNetworkLayerForChecksum, payload, "")
+	c.writePacket(at, from, to, layers.IPProtocolUDP, udp, udp.SetNetworkLayerForChecksum, payload, "")
 }
 
-// packet writes one packet, in the order of time.
-func (c *Writer) packet(at time.Time, from, to Party, proto layers.IPProtocol, l gopacket.SerializableLayer,
+// writePacket writes one packet. A packet older than the previous one gets the previous one's time.
+func (c *Writer) writePacket(at time.Time, from, to Party, proto layers.IPProtocol, l gopacket.SerializableLayer,
 	checksum func(gopacket.NetworkLayer) error, payload []byte, comment string) {
 	if c.err != nil || c.closed {
 		return
 	}
-	if at.Before(c.last) {
-		at = c.last
+	if at.Before(c.lastTime) {
+		at = c.lastTime
 	}
-	c.last = at
+	c.lastTime = at
 	ip := &layers.IPv4{Version: 4, TTL: 64, Protocol: proto, SrcIP: from.Addr().AsSlice(), DstIP: to.Addr().AsSlice()}
 	if checksum != nil {
-		_ = checksum(ip) // fails for other layers only
+		_ = checksum(ip) // cannot fail for IPv4
 	}
 	if c.err = gopacket.SerializeLayers(c.buf, gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}, ip, l,
 		gopacket.Payload(payload)); c.err != nil {
@@ -281,13 +281,13 @@
 		return
 	}
 	if c.err = c.ng.Flush(); c.err == nil {
-		_, c.err = c.raw.Write(commented(at, b, comment))
+		_, c.err = c.raw.Write(commentedBlock(at, b, comment))
 	}
 }
 
-// commented is an enhanced packet block with a comment, which the library does not write. The interface's times are
-// in nanoseconds.
-func commented(at time.Time, data []byte, comment string) []byte {
+// commentedBlock encodes an enhanced packet block with a comment, which pcapgo cannot write. The interface's
+// timestamps are in nanoseconds.
+func commentedBlock(at time.Time, data []byte, comment string) []byte {
 	const enhancedPacket, optionComment = 6, 1
 	pad := func(b []byte) []byte {
 		for len(b)%4 != 0 {
@@ -298,8 +298,8 @@
 	le := binary.LittleEndian
 	ns := uint64(at.UnixNano())
 	b := le.AppendUint32(nil, enhancedPacket)
-	b = le.AppendUint32(b, 0) // length, below
-	b = le.AppendUint32(b, 0) // interface
+	b = le.AppendUint32(b, 0) // total length, set below
+	b = le.AppendUint32(b, 0) // interface ID
 	b = le.AppendUint32(b, uint32(ns>>32))
 	b = le.AppendUint32(b, uint32(ns))
 	b = le.AppendUint32(b, uint32(len(data)))
@@ -314,7 +314,7 @@
 	return b
 }
 
-// Close ends the capture and tells what went wrong with it.
+// Close ends the capture and returns the first error that occurred while writing it.
 func (c *Writer) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,14 +323,15 @@
 	}
 	c.closed = true
 	err := errors.Join(c.err, c.ng.Flush())
-	if c.out != nil {
-		err = errors.Join(err, c.out.Close())
+	if c.closer != nil {
+		err = errors.Join(err, c.closer.Close())
 	}
 	c.err = err
 	return err
 }
 
-// Read calls f for each packet of a capture, in order.
+// Read calls f for each packet of a capture, in order. It returns an error if the capture is malformed or
+// truncated, or the error of f.
 func Read(r io.Reader, f func(Packet) error) error {
 	var blocks blockCounter
 	ng, err := pcapgo.NewNgReader(io.TeeReader(r, &blocks), pcapgo.DefaultNgReaderOptions)
@@ -339,7 +340,7 @@
 	}
 	for n := 1; ; n++ {
 		data, info, err := ng.ReadPacketData()
-		if err == io.EOF && blocks.inside() {
+		if err == io.EOF && blocks.insideBlock() {
 			err = io.ErrUnexpectedEOF
 		}
 		if err == io.EOF {
@@ -362,35 +363,35 @@
 	}
 }
 
-// blockCounter follows the blocks of a pcapng file, to tell its end from one that was cut short.
+// blockCounter tracks the blocks of a pcapng file, to distinguish its end from a truncation.
 type blockCounter struct {
-	header []byte // of the block that has begun: type and length
-	left   uint32 // bytes of it
+	header    []byte // type and length of the current block
+	remaining uint32 // bytes left of the current block
 }
 
 func (c *blockCounter) Write(b []byte) (int, error) {
 	n := len(b)
 	for len(b) > 0 {
-		if len(c.header) == 8 && c.left == 0 {
+		if len(c.header) == 8 && c.remaining == 0 {
 			c.header = c.header[:0]
 		}
 		if len(c.header) < 8 {
 			take := min(8-len(c.header), len(b))
 			c.header, b = append(c.header, b[:take]...), b[take:]
 			if len(c.header) == 8 {
-				c.left = max(8, binary.LittleEndian.Uint32(c.header[4:])) - 8
+				c.remaining = max(8, binary.LittleEndian.Uint32(c.header[4:])) - 8
 			}
 			continue
 		}
-		take := min(c.left, uint32(len(b)))
-		c.left, b = c.left-take, b[take:]
+		take := min(c.remaining, uint32(len(b)))
+		c.remaining, b = c.remaining-take, b[take:]
 	}
 	return n, nil
 }
 
-func (c *blockCounter) inside() bool { return c.left > 0 || len(c.header)%8 != 0 }
+func (c *blockCounter) insideBlock() bool { return c.remaining > 0 || len(c.header)%8 != 0 }
 
-// parse reads one packet; ok is false for what is not of the network that is judged.
+// parse decodes one packet; ok is false for packets that are not part of the test network's traffic.
 func parse(data []byte) (p Packet, ok bool, err error) {
 	pkt := gopacket.NewPacket(data, layers.LayerTypeIPv4, gopacket.DecodeOptions{NoCopy: true, Lazy: true})
 	ip, isIP := pkt.Layer(layers.LayerTypeIPv4).(*layers.IPv4)
@@ -410,7 +411,7 @@
 	}
 	udp, isUDP := pkt.Layer(layers.LayerTypeUDP).(*layers.UDP)
 	if !isUDP {
-		return p, false, nil // raw TCP: its messages follow, cut from the stream
+		return p, false, nil // raw TCP segment; its messages follow as SCTP packets
 	}
 	p.Payload = append([]byte(nil), udp.Payload...)
 	if udp.DstPort == noticePort {
--- a/internal/rules/isup.go
+++ b/internal/rules/isup.go
@@ -8,15 +8,15 @@
 	"pipitring/internal/m3ua"
 )
 
-// onCircuit marks dialog numbers that are CICs; IAX2 call numbers have 15 bits.
-const onCircuit = 0x8000
+// circuitFlag marks dialog numbers that are CICs. IAX2 call numbers have 15 bits.
+const circuitFlag = 0x8000
 
-// onItsWay is how long a message may be on its way over a link, with what TCP sends again.
-const onItsWay = time.Second
+// maxTransitTime is how long a message may be in transit on a link, including TCP retransmissions.
+const maxTransitTime = time.Second
 
-// message judges one M3UA message. A circuit's call is a dialog like any other: IAM opens it, ANM or CON answers
-// it, REL of either end is its end.
-func (c *Checker) message(from, to capture.Party, b []byte) {
+// handleMessage checks one M3UA message. A call on a circuit is a dialog like an IAX2 one: IAM opens it, ANM or
+// CON answers it, and REL from either end ends it.
+func (c *Checker) handleMessage(from, to capture.Party, b []byte) {
 	var m m3ua.Message
 	if err := m3ua.Parse(b, &m); err != nil {
 		c.report.Malformed++
@@ -35,66 +35,69 @@
 		c.report.Malformed++
 		return
 	}
-	number := onCircuit | uint16(msg.CIC)
-	sent, received := c.circuit(from, to, number), c.circuit(to, from, number)
+	number := circuitFlag | uint16(msg.CIC)
+	sent, received := c.callOnCircuit(from, to, number), c.callOnCircuit(to, from, number)
 	switch msg.Type {
 	case isup.IAM:
-		c.seized(key{from, to, number}, received, &msg, d.OPC > d.DPC)
+		c.handleIAM(dialogKey{from, to, number}, received, &msg, d.OPC > d.DPC)
 	case isup.ACM:
 		if received != nil {
-			received.heard = true
+			received.acknowledged = true
 		}
 	case isup.ANM, isup.CON:
 		if received != nil {
-			received.heard = true
-			c.final(received, uint8(isup.ANM), msg.Type.String(), true, 0)
+			received.acknowledged = true
+			c.handleFinalAnswer(received, uint8(isup.ANM), msg.Type.String(), true, 0)
 		}
 	case isup.REL:
 		if sent != nil {
-			c.openerLeft(sent)
-		} else if received != nil && (!c.Exact || received.heard) { // else it is of the circuit's last call, and crosses the IAM
-			c.final(received, uint8(isup.REL), "REL", false, isup.ParseCause(&msg))
-			received.over = true
+			c.openerReleased(sent)
+		} else if received != nil && (!c.Exact || received.acknowledged) {
+			// With exact times, a REL for an unacknowledged set-up belongs to the circuit's previous call and
+			// crosses the IAM.
+			c.handleFinalAnswer(received, uint8(isup.REL), "REL", false, isup.ParseCause(&msg))
+			received.attemptEnded = true
 		}
 	case isup.RLC:
-		if d := c.dialogs[key{to, from, number}]; d != nil && (!c.Exact || d.heard) {
-			c.learnt(d)
+		if d := c.dialogs[dialogKey{to, from, number}]; d != nil && (!c.Exact || d.acknowledged) {
+			c.confirmRelease(d)
 		}
-		if d := c.circuit(from, to, number); d != nil && !d.heard {
-			c.attemptOver(d, "") // a REL of the circuit's last call has crossed its IAM, and is taken for its refusal
+		if d := c.callOnCircuit(from, to, number); d != nil && !d.acknowledged {
+			// A REL of the circuit's previous call crossed the IAM, whose sender takes it as a rejection.
+			c.endAttempt(d, "")
 		}
 	case isup.GRA:
-		c.resetConfirmed(from, to, &msg)
+		c.handleResetAck(from, to, &msg)
 	case isup.RSC, isup.GRS, isup.UCIC:
-		c.circuitsReset(from, to, &msg)
+		c.handleCircuitReset(from, to, &msg)
 	}
 }
 
-// circuit finds the call that an end opened on a circuit and that is not over.
-func (c *Checker) circuit(opener, other capture.Party, number uint16) *dialog {
-	if d := c.dialogs[key{opener, other, number}]; d != nil && !d.over && d.leftAt == 0 {
+// callOnCircuit returns the unfinished call that opener started on a circuit, or nil.
+func (c *Checker) callOnCircuit(opener, other capture.Party, number uint16) *dialog {
+	if d := c.dialogs[dialogKey{opener, other, number}]; d != nil && !d.attemptEnded && d.releasedAt == 0 {
 		return d
 	}
 	return nil
 }
 
-// seized judges an IAM. Where the other end has seized the circuit as well and controls it, the call does not begin;
-// where it does not, its call gives way.
-func (c *Checker) seized(k key, theirs *dialog, msg *isup.Message, higher bool) {
+// handleIAM checks an IAM. On dual seizure, the call of the end that does not control the circuit is dropped;
+// theirs is the other end's call, or nil, and higher whether the IAM comes from the higher point code.
+func (c *Checker) handleIAM(k dialogKey, theirs *dialog, msg *isup.Message, higher bool) {
 	call, _ := isup.ParseNumber(msg.Param(isup.CallingNumber))
 	if k.opener.Kind == capture.Router {
-		c.judgeDrain(k.opener, k.other, call)
+		c.checkDrain(k.opener, k.other, call)
 	}
-	if old := c.dialogs[k]; old != nil && !old.over {
-		c.attemptOver(old, "")
-		old.over = true
+	if old := c.dialogs[k]; old != nil && !old.attemptEnded {
+		c.endAttempt(old, "")
+		old.attemptEnded = true
 	}
 	context := ""
 	if u := msg.Param(isup.UserToUser); len(u) > 1 {
 		context = string(u[1:])
 	}
-	d := &dialog{key: k, opened: c.now, call: call, context: context}
-	c.begin(d)
+	d := &dialog{dialogKey: k, opened: c.now, call: call, context: context}
+	c.beginSetUp(d)
 	if theirs == nil || theirs.answered {
 		return
 	}
@@ -102,55 +105,56 @@
 	if controls := (msg.CIC%2 == 0) == higher; controls {
 		loser = theirs
 	}
-	c.attemptOver(loser, "overridden by the far end's call")
-	if !c.Exact || loser.heard {
-		c.callEnded(loser)
+	c.endAttempt(loser, "overridden by the far end's call")
+	if !c.Exact || loser.acknowledged {
+		c.endCall(loser)
 	}
-	loser.over = true
+	loser.attemptEnded = true
 }
 
-// circuitsReset ends the calls on circuits that one end has reset or lacks.
-func (c *Checker) circuitsReset(from, to capture.Party, msg *isup.Message) {
+// handleCircuitReset ends the calls on circuits that one end reset or reported as unequipped.
+func (c *Checker) handleCircuitReset(from, to capture.Party, msg *isup.Message) {
 	n := 1
 	if msg.Type == isup.GRS {
 		n, _ = isup.ParseRange(msg)
 	}
 	for i := range n {
-		number := onCircuit | uint16(msg.CIC) + uint16(i)
-		for _, d := range []*dialog{c.circuit(from, to, number), c.circuit(to, from, number)} {
+		number := circuitFlag | uint16(msg.CIC) + uint16(i)
+		for _, d := range []*dialog{c.callOnCircuit(from, to, number), c.callOnCircuit(to, from, number)} {
 			if d == nil {
 				continue
 			}
-			if !c.Exact || d.other == from && d.heard { // what crosses an IAM knows nothing of it
-				c.callEnded(d)
+			if !c.Exact || d.other == from && d.acknowledged { // a reset that crosses an IAM does not end its call
+				c.endCall(d)
 			}
-			c.attemptOver(d, "reset")
+			c.endAttempt(d, "reset")
 		}
 	}
 }
 
-// resetConfirmed ends the set-ups whose IAM crossed the reset: who confirms it has lost them.
-func (c *Checker) resetConfirmed(from, to capture.Party, msg *isup.Message) {
+// handleResetAck ends the set-ups whose IAM crossed a group reset: the end that acknowledges the reset discards
+// them.
+func (c *Checker) handleResetAck(from, to capture.Party, msg *isup.Message) {
 	n, _ := isup.ParseRange(msg)
 	for i := range n {
-		if d := c.circuit(from, to, onCircuit|uint16(msg.CIC)+uint16(i)); d != nil {
-			c.attemptOver(d, "reset")
+		if d := c.callOnCircuit(from, to, circuitFlag|uint16(msg.CIC)+uint16(i)); d != nil {
+			c.endAttempt(d, "reset")
 		}
 	}
 }
 
-// associationLost ends the set-ups between two ends whose signalling is gone: both count them as cut. What stands
-// stands on.
-func (c *Checker) associationLost(a, b capture.Party) {
+// handleAssociationLoss ends the set-ups between two parties whose association was lost; both count them as
+// cut. Standing calls continue.
+func (c *Checker) handleAssociationLoss(a, b capture.Party) {
 	for k, d := range c.dialogs {
-		between := k.opener == a && k.other == b || k.opener == b && k.other == a
-		// An answer that was on its way is lost with it: to its opener that call never stood.
-		standing := d.answered && (!c.Exact || c.now-d.stoodAt > onItsWay)
-		if between && k.number&onCircuit != 0 && !standing && !d.over {
+		betweenParties := k.opener == a && k.other == b || k.opener == b && k.other == a
+		// An answer in transit is lost with the association: for its opener the call was not answered.
+		standing := d.answered && (!c.Exact || c.now-d.answeredAt > maxTransitTime)
+		if betweenParties && k.number&circuitFlag != 0 && !standing && !d.attemptEnded {
 			if !c.Exact {
-				c.callEnded(d)
+				c.endCall(d)
 			}
-			c.attemptOver(d, "cut with its association")
+			c.endAttempt(d, "cut with its association")
 		}
 	}
 }
--- a/internal/rules/ladder.go
+++ b/internal/rules/ladder.go
@@ -11,30 +11,31 @@
 	"pipitring/internal/m3ua"
 )
 
-// Ladder prints the full frames of one call, by its calling number, as they crossed the wire.
+// Ladder prints a ladder diagram of one call, selected by its calling number: its full frames and ISUP messages
+// in the order in which they crossed the wire.
 type Ladder struct {
 	Call string
 	W    io.Writer
 
 	first    time.Time
-	dialogs  map[key]bool
-	circuits map[key]bool // by the end that sent the IAM
-	elems    iax2.Elements
+	dialogs  map[dialogKey]bool
+	circuits map[dialogKey]bool // keyed by the end that sent the IAM
+	elements iax2.Elements
 }
 
-// Packet prints a packet if it is of the call.
+// Packet prints a packet if it belongs to the call.
 func (l *Ladder) Packet(p capture.Packet) {
 	if l.dialogs == nil {
-		l.dialogs, l.circuits, l.first = map[key]bool{}, map[key]bool{}, p.At
+		l.dialogs, l.circuits, l.first = map[dialogKey]bool{}, map[dialogKey]bool{}, p.At
 	}
 	switch {
 	case p.M3UA:
-		l.message(p)
+		l.printMessage(p)
 		return
 	case p.Reset:
 		for k, on := range l.circuits {
 			if on && k.opener == p.From && k.other == p.To {
-				l.line(p, "association reset")
+				l.printLine(p, "association reset")
 				break
 			}
 		}
@@ -48,34 +49,35 @@
 		return
 	}
 	text := ""
-	if f.Type == iax2.FrameIAX && l.elems.Parse(f.Payload) == nil {
+	if f.Type == iax2.FrameIAX && l.elements.Parse(f.Payload) == nil {
 		if f.Is(iax2.New) {
-			k := key{p.From, p.To, f.Source}
-			if l.dialogs[k] = l.elems.Text(iax2.CallingNumber) == l.Call; l.dialogs[k] {
-				text = " to " + l.elems.Text(iax2.CalledNumber)
+			k := dialogKey{p.From, p.To, f.Source}
+			if l.dialogs[k] = l.elements.Text(iax2.CallingNumber) == l.Call; l.dialogs[k] {
+				text = " to " + l.elements.Text(iax2.CalledNumber)
 			}
 		}
-		if l.elems.Has(iax2.CauseCode) {
-			text = fmt.Sprintf(" cause %d", l.elems.Uint(iax2.CauseCode))
+		if l.elements.Has(iax2.CauseCode) {
+			text = fmt.Sprintf(" cause %d", l.elements.Uint(iax2.CauseCode))
 		}
 	}
-	if !l.dialogs[key{p.From, p.To, f.Source}] && (f.Dest == 0 || !l.dialogs[key{p.To, p.From, f.Dest}]) {
+	if !l.dialogs[dialogKey{p.From, p.To, f.Source}] && (f.Dest == 0 || !l.dialogs[dialogKey{p.To, p.From, f.Dest}]) {
 		return
 	}
-	again := ""
+	suffix := ""
 	if f.Retransmitted {
-		again = " (repeat)"
+		suffix = " (repeat)"
 	}
 	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %5d>%-5d %3d/%-3d %s%s%s\n", p.At.Sub(l.first).Seconds(), p.From, p.To, f.Source,
-		f.Dest, f.OSeq, f.ISeq, f.Name(), text, again)
+		f.Dest, f.OSeq, f.ISeq, f.Name(), text, suffix)
 }
 
-func (l *Ladder) line(p capture.Packet, text string) {
+// printLine prints one line about a packet that is not an IAX2 frame.
+func (l *Ladder) printLine(p capture.Packet, text string) {
 	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %s\n", p.At.Sub(l.first).Seconds(), p.From, p.To, text)
 }
 
-// message prints an ISUP message on a circuit that the call was or is on.
-func (l *Ladder) message(p capture.Packet) {
+// printMessage prints an ISUP message on a circuit that the call uses or has used.
+func (l *Ladder) printMessage(p capture.Packet) {
 	var m m3ua.Message
 	if m3ua.Parse(p.Payload, &m) != nil || m.Type != m3ua.DATA {
 		return
@@ -85,7 +87,7 @@
 	if err != nil || isup.Parse(d.Payload, &msg) != nil {
 		return
 	}
-	sent, received := key{p.From, p.To, uint16(msg.CIC)}, key{p.To, p.From, uint16(msg.CIC)}
+	sent, received := dialogKey{p.From, p.To, uint16(msg.CIC)}, dialogKey{p.To, p.From, uint16(msg.CIC)}
 	text := fmt.Sprintf("CIC %-5d %v", msg.CIC, msg.Type)
 	switch msg.Type {
 	case isup.IAM:
@@ -98,6 +100,6 @@
 		text += fmt.Sprintf(" cause %d", isup.ParseCause(&msg))
 	}
 	if l.circuits[sent] || l.circuits[received] {
-		l.line(p, text)
+		l.printLine(p, text)
 	}
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules judges the five rules from what crossed the wire alone. It knows the protocol and the notices of
-// a capture, and nothing of the router.
+// Package rules checks the five rules against captured traffic. It uses only the protocols' messages and the
+// notices of a capture, and no state of the router.
 package rules
 
 import (
@@ -12,16 +12,16 @@
 	"pipitring/internal/iax2"
 )
 
-// Rule is one of the five.
+// Rule is the number of a rule, from 1 to 5.
 type Rule int
 
 // The five rules.
 const (
-	OneAnswer           Rule = iota + 1 // one final answer in time, none lost, nothing sent after it
-	OneAttempt                          // never two attempts of a call out at once
-	DrainObserved                       // nothing new to a draining or gone exchange after the grace
-	SlowStartObserved                   // a cold switch is not pushed over
-	ReleaseWaitObserved                 // the stated wait after a time-out, a reset or a cancel
+	OneAnswer           Rule = iota + 1 // exactly one final answer, in time, and nothing sent after it
+	OneAttempt                          // never two attempts of a call in progress at once
+	DrainObserved                       // no set-up to a draining or removed exchange after the grace period
+	SlowStartObserved                   // a cold switch is not overloaded
+	ReleaseWaitObserved                 // the release wait after a time-out, a reset or a cancel is observed
 )
 
 func (r Rule) String() string {
@@ -29,72 +29,72 @@
 		"cold switch spared", "release awaited"}[r])
 }
 
-// Tolerances: datagrams of two sockets are recorded by two goroutines, each some time after they crossed.
+// Tolerances. Datagrams of two sockets are recorded by two goroutines, each with its own delay.
 const (
-	sendSlack   = 100 * time.Millisecond // a set-up recorded so long after the call's end may have left before it
-	graceSlack  = 10 * time.Millisecond
-	waitSlack   = 15 * time.Millisecond
-	answerSlack = 20 * time.Millisecond // beyond the caller's patience
-	chanceSlack = 4                     // set-ups beyond a cold switch's budget
-	coldStep    = 50 * time.Millisecond // in which its budget is added up
+	sendTolerance   = 100 * time.Millisecond // a set-up recorded this soon after the call's end may have been sent before it
+	graceTolerance  = 10 * time.Millisecond  // a set-up recorded this soon after the grace period may have been sent within it
+	waitTolerance   = 15 * time.Millisecond  // the release wait may appear shorter by this
+	answerTolerance = 20 * time.Millisecond  // an answer recorded this late may have been in time
+	setUpTolerance  = 4                      // set-ups above a cold switch's budget
+	budgetStep      = 50 * time.Millisecond  // step of the integration of that budget
 )
 
-// Violation is one case of a rule broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule  Rule
-	At    time.Duration // since the capture's first packet
+	At    time.Duration // since the first packet of the capture
 	Party capture.Party
-	Call  string // its calling number
+	Call  string // calling number of the call
 	Text  string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%9.3f s  %v: %v, call %q: %s", b.At.Seconds(), b.Rule, b.Party, b.Call, b.Text)
+func (v Violation) String() string {
+	return fmt.Sprintf("%9.3f s  %v: %v, call %q: %s", v.At.Seconds(), v.Rule, v.Party, v.Call, v.Text)
 }
 
-// Outcome is how a try ended for its caller.
+// Outcome is how a try ended, as its caller saw it.
 type Outcome string
 
 // Outcomes of a try.
 const (
-	Answered   Outcome = "stood"
-	Refused    Outcome = "refused"
-	Failed     Outcome = "failed"
-	Abandoned  Outcome = "left"       // the caller hung up before any answer
-	Unanswered Outcome = "unanswered" // the router was down
+	Answered   Outcome = "stood"      // the try was answered
+	Refused    Outcome = "refused"    // the final answer was a refusal
+	Failed     Outcome = "failed"     // the final answer was a failure
+	Abandoned  Outcome = "left"       // the caller hung up before an answer
+	Unanswered Outcome = "unanswered" // no final answer came, because the router was down or too late
 	Unfinished Outcome = "unfinished" // the capture ended before the try did
 )
 
-// Report is what a capture shows.
+// Report is the result of checking a capture.
 type Report struct {
 	Violations []Violation
 	Tries      int
-	Outcomes   map[string]map[Outcome]int // by context, which tells the class
-	SetUps     []time.Duration            // from NEW to ANSWER as the callers saw it, sorted
-	Causes     map[uint8]int              // of final answers that are no ANSWER
-	Cut        int                        // calls that stood and were cut
-	Attempts   int                        // set-ups that routers sent
+	Outcomes   map[string]map[Outcome]int // by called context, which identifies the class
+	SetUps     []time.Duration            // from NEW to ANSWER as seen by the callers, ascending
+	Causes     map[uint8]int              // causes of final answers other than ANSWER
+	Cut        int                        // calls that were answered and then cut
+	Attempts   int                        // set-ups sent by routers
 	Malformed  int
 	Datagrams  int
 	Duration   time.Duration
-	TryDetails []Try // every try of a caller, if the Checker's Keep asks for them
+	TryDetails []Try // all tries of callers, if Checker.KeepTries is set
 }
 
 // Try is one try of a caller.
 type Try struct {
 	Router       int
-	Call         string // its calling number
+	Call         string // calling number of the call
 	Outcome      Outcome
-	RouterDown   bool // the router was killed, or did not run, in its time
-	Acknowledged bool // the router showed to have the call
+	RouterDown   bool // the router was killed or not running during the try
+	Acknowledged bool // the router acknowledged the call
 	at           time.Duration
 }
 
-// syncs is how long a record may be on its way to the disk: of a caller that left so shortly before its router was
-// killed there may be none.
-const syncs = 100 * time.Millisecond
+// recordSyncTime is how long a call record may take to reach the disk. A caller that hung up within this time
+// before its router was killed may have left no record.
+const recordSyncTime = 100 * time.Millisecond
 
-// Count adds an outcome over all contexts.
+// Count returns the number of tries with an outcome, over all contexts.
 func (r *Report) Count(o Outcome) (n int) {
 	for _, m := range r.Outcomes {
 		n += m[o]
@@ -102,105 +102,111 @@
 	return n
 }
 
-// Checker judges packet by packet. The zero value is ready.
+// Checker checks the rules packet by packet. The zero value is ready to use.
 type Checker struct {
-	KeepTries bool // the report lists every try
-	Exact     bool // all is recorded at the moment at which it crossed: nothing is allowed for a busy machine
-	report    Report
-	first     time.Time
-	figures   capture.Parameters
-	dialogs   map[key]*dialog
-	open      []*dialog // of callers, oldest first
-	calls     map[routerCall]*attempts
-	lists     map[int]map[int]time.Duration // router, exchange: since when it was told of no ready processor
-	starts    map[int]*cold
-	up        map[int]bool
-	killed    map[int]time.Duration // when a router was killed last,
-	started   map[int]time.Duration // and when it started last
-	now       time.Duration
-	frame     iax2.Frame
-	elems     iax2.Elements
-}
-
-// key is a dialog as the party that opened it names it.
-type key struct {
+	KeepTries bool // lists every try in Report.TryDetails
+	// Exact is set if every packet is recorded at the moment it is sent, so that no tolerance for a busy machine
+	// is needed.
+	Exact      bool
+	report     Report
+	first      time.Time
+	parameters capture.Parameters
+	dialogs    map[dialogKey]*dialog
+	openTries  []*dialog // tries of callers, oldest first
+	calls      map[routerCall]*attempts
+	// noReadySince tells by router and exchange since when the router has known no ready processor there, -1 if it
+	// knows one.
+	noReadySince map[int]map[int]time.Duration
+	coldStarts   map[int]*coldStart
+	up           map[int]bool
+	killedAt     map[int]time.Duration // last time at which each router was killed
+	startedAt    map[int]time.Duration // last time at which each router started
+	now          time.Duration
+	frame        iax2.Frame
+	elements     iax2.Elements
+}
+
+// dialogKey identifies a dialog by its opener's number for it.
+type dialogKey struct {
 	opener, other capture.Party
 	number        uint16
 }
 
-// dialog is one opening and what followed.
+// dialog is a set-up and the dialog that followed it.
 type dialog struct {
-	key
-	remote   uint16
-	call     string
-	context  string
-	opened   time.Duration
-	opening  uint64 // its timestamp and length, to tell a repeat from a number used again
-	token    bool   // the opened end asked for a call token
-	finals   []final
-	leftAt   time.Duration // the opener's HANGUP; 0 is none
-	leftMark uint32        // its timestamp
-	answered bool
-	heard    bool          // on a circuit: the opened end has shown to have the set-up
-	stoodAt  time.Duration // when it was answered
-	shared   bool          // as an attempt: sent while the call was there twice
-	over     bool          // as an attempt
-	ended    bool          // at the router that took it
-	judged   bool
-}
-
-// final is one final answer: frames of one number are one, however often repeated.
+	dialogKey
+	remoteNumber    uint16
+	call            string
+	context         string
+	opened          time.Duration
+	openingID       uint64 // timestamp and length of the NEW, to distinguish a retransmission from a reused number
+	tokenRequested  bool   // the other end asked for a call token
+	finals          []final
+	releasedAt      time.Duration // when the opener sent HANGUP or REL; 0 if it has not
+	hangupTimestamp uint32        // timestamp of the opener's HANGUP
+	answered        bool
+	acknowledged    bool          // circuits only: the other end has acknowledged the set-up
+	answeredAt      time.Duration // 0 if not answered
+	// ambiguous is set if the router had received the call more than once when it sent this set-up, which cannot be
+	// assigned to one of them.
+	ambiguous    bool
+	attemptEnded bool // as an attempt of the opener
+	callEnded    bool // at the router that received the set-up
+	classified   bool
+}
+
+// final is a final answer. Frames with the same sequence number are retransmissions of the same answer.
 type final struct {
 	seq  uint8
 	name string
 }
 
-// routerCall is a call at one router.
+// routerCall identifies a call at one router.
 type routerCall struct {
 	router int
 	call   string
 }
 
-// attempts are the set-ups that a router sent for a call.
+// attempts holds the state of a call at a router and of the set-ups that the router sent for it.
 type attempts struct {
-	out      *dialog
-	in       int           // dialogs open by which the call came to the router
-	lastIn   time.Duration // the newest of them opened: set-ups before belong to an earlier one
-	closedAt time.Duration // the call's end at this router; 0 is not yet
-	quiet    time.Duration // no set-up before this
-	why      string
+	outstanding *dialog
+	openCalls   int           // open dialogs by which the call reached the router
+	lastOpened  time.Duration // when the newest of them was opened; earlier set-ups belong to an older one
+	endedAt     time.Duration // end of the call at this router; 0 if it has not ended
+	notBefore   time.Duration // no set-up is allowed before this time
+	reason      string
 }
 
-// cold is a processor's start.
-type cold struct {
+// coldStart is the start of a processor and the set-ups sent to it since.
+type coldStart struct {
 	capture.Started
-	at    time.Duration
-	sent  []time.Duration
-	found bool
+	startedAt time.Duration
+	setUps    []time.Duration
+	reported  bool
 }
 
-// Packet judges one packet; they come in order of time.
+// Packet checks one packet. Packets must be passed in order of time.
 func (c *Checker) Packet(p capture.Packet) {
 	if c.dialogs == nil {
-		c.dialogs, c.calls = map[key]*dialog{}, map[routerCall]*attempts{}
-		c.lists, c.starts = map[int]map[int]time.Duration{}, map[int]*cold{}
-		c.up, c.killed, c.started = map[int]bool{}, map[int]time.Duration{}, map[int]time.Duration{}
+		c.dialogs, c.calls = map[dialogKey]*dialog{}, map[routerCall]*attempts{}
+		c.noReadySince, c.coldStarts = map[int]map[int]time.Duration{}, map[int]*coldStart{}
+		c.up, c.killedAt, c.startedAt = map[int]bool{}, map[int]time.Duration{}, map[int]time.Duration{}
 		c.report.Outcomes, c.report.Causes = map[string]map[Outcome]int{}, map[uint8]int{}
 		c.first = p.At
 	}
 	c.now = p.At.Sub(c.first)
 	c.report.Duration = c.now
 	if p.Notice != nil {
-		c.notice(p.Notice)
+		c.handleNotice(p.Notice)
 		return
 	}
 	if p.Reset {
-		c.associationLost(p.From, p.To)
+		c.handleAssociationLoss(p.From, p.To)
 		return
 	}
 	c.report.Datagrams++
 	if p.M3UA {
-		c.message(p.From, p.To, p.Payload)
+		c.handleMessage(p.From, p.To, p.Payload)
 		return
 	}
 	f := &c.frame
@@ -212,49 +218,49 @@
 		return
 	}
 	if f.Type == iax2.FrameIAX {
-		if err := c.elems.Parse(f.Payload); err != nil {
+		if err := c.elements.Parse(f.Payload); err != nil {
 			c.report.Malformed++
 			return
 		}
 	}
-	c.full(p.From, p.To, f)
+	c.handleFullFrame(p.From, p.To, f)
 }
 
-// Violations is what has been found so far.
+// Violations returns the violations found so far.
 func (c *Checker) Violations() []Violation { return c.report.Violations }
 
-// exactSlack is what lies between a party and the router of its own exchange, there and back.
-const exactSlack = time.Millisecond
+// exactTolerance is the round-trip time between a party and the router of its own exchange.
+const exactTolerance = time.Millisecond
 
-// slack is what is allowed for a machine that records late.
-func (c *Checker) slack(d time.Duration) time.Duration {
+// tolerance returns d, limited to exactTolerance if all packet times are exact.
+func (c *Checker) tolerance(d time.Duration) time.Duration {
 	if c.Exact {
-		return min(d, exactSlack)
+		return min(d, exactTolerance)
 	}
 	return d
 }
 
-func (c *Checker) broken(r Rule, who capture.Party, call, format string, args ...any) {
-	c.report.Violations = append(c.report.Violations, Violation{r, c.now, who, call, fmt.Sprintf(format, args...)})
+func (c *Checker) addViolation(r Rule, party capture.Party, call, format string, args ...any) {
+	c.report.Violations = append(c.report.Violations, Violation{r, c.now, party, call, fmt.Sprintf(format, args...)})
 }
 
-func (c *Checker) notice(n *capture.Notice) {
+func (c *Checker) handleNotice(n *capture.Notice) {
 	switch {
 	case n.Parameters != nil:
-		c.figures = *n.Parameters
+		c.parameters = *n.Parameters
 	case n.List != nil:
-		c.listTold(n.List)
+		c.updateList(n.List)
 	case n.Started != nil:
-		c.judgeCold(c.starts[n.Started.Exchange])
-		c.starts[n.Started.Exchange] = &cold{Started: *n.Started, at: c.now}
+		c.checkSlowStart(c.coldStarts[n.Started.Exchange])
+		c.coldStarts[n.Started.Exchange] = &coldStart{Started: *n.Started, startedAt: c.now}
 	case n.Router != nil:
 		c.up[n.Router.Exchange] = n.Router.Up
-		c.forget(n.Router.Exchange)
+		c.dropRouter(n.Router.Exchange)
 		if n.Router.Up {
-			c.started[n.Router.Exchange] = c.now
+			c.startedAt[n.Router.Exchange] = c.now
 		} else {
-			c.killed[n.Router.Exchange] = c.now
-			for i := len(c.report.TryDetails) - 1; i >= 0 && c.report.TryDetails[i].at > c.now-syncs; i-- {
+			c.killedAt[n.Router.Exchange] = c.now
+			for i := len(c.report.TryDetails) - 1; i >= 0 && c.report.TryDetails[i].at > c.now-recordSyncTime; i-- {
 				if t := &c.report.TryDetails[i]; t.Router == n.Router.Exchange && t.Outcome == Abandoned {
 					t.RouterDown = true
 				}
@@ -263,186 +269,188 @@
 	}
 }
 
-// forget drops the attempts of a router that was killed or starts anew: what it held is its callers' to try again.
-func (c *Checker) forget(router int) {
+// dropRouter drops the attempts of a router that was killed or restarted. Their callers have to try again.
+func (c *Checker) dropRouter(router int) {
 	maps.DeleteFunc(c.calls, func(rc routerCall, _ *attempts) bool { return rc.router == router })
 	for _, d := range c.dialogs {
 		if d.opener == (capture.Party{Kind: capture.Router, Exchange: router}) {
-			d.over = true
+			d.attemptEnded = true
 		}
 		if d.other == (capture.Party{Kind: capture.Router, Exchange: router}) {
-			d.ended = true // it counts there no more
+			d.callEnded = true // the call no longer counts at the killed router
 		}
 	}
 }
 
-// listTold notes since when a router knows of no ready processor at an exchange.
-func (c *Checker) listTold(l *capture.List) {
+// updateList records since when a router has known no ready processor at each exchange.
+func (c *Checker) updateList(l *capture.List) {
 	ready, named := map[int]bool{}, map[int]bool{}
 	for _, p := range l.Phases {
 		named[p.Exchange] = true
 		ready[p.Exchange] = ready[p.Exchange] || p.Phase == "ready"
 	}
-	old := c.lists[l.Router]
-	told := map[int]time.Duration{}
+	old := c.noReadySince[l.Router]
+	since := map[int]time.Duration{}
 	for x := range old {
 		if !named[x] {
-			named[x] = true // gone from the list altogether
+			named[x] = true // removed from the list altogether
 		}
 	}
 	for x := range named {
 		if ready[x] {
-			told[x] = -1
+			since[x] = -1
 			continue
 		}
-		if since, ok := old[x]; ok && since >= 0 {
-			told[x] = since
+		if start, ok := old[x]; ok && start >= 0 {
+			since[x] = start
 		} else {
-			told[x] = c.now
+			since[x] = c.now
 		}
 	}
-	c.lists[l.Router] = told
+	c.noReadySince[l.Router] = since
 }
 
-// full judges one full frame.
-func (c *Checker) full(from, to capture.Party, f *iax2.Frame) {
+// handleFullFrame checks one full frame.
+func (c *Checker) handleFullFrame(from, to capture.Party, f *iax2.Frame) {
 	if f.Is(iax2.New) && f.Dest == 0 {
-		c.opening(from, to, f)
+		c.handleNew(from, to, f)
 		return
 	}
-	if d := c.dialogs[key{to, from, f.Dest}]; d != nil && f.Dest != 0 && (d.remote == 0 || d.remote == f.Source || f.Is(iax2.Inval)) {
+	if d := c.dialogs[dialogKey{to, from, f.Dest}]; d != nil && f.Dest != 0 && (d.remoteNumber == 0 || d.remoteNumber == f.Source || f.Is(iax2.Inval)) {
 		first := f.OSeq == 0 && !f.Is(iax2.Inval) && !f.Is(iax2.CallToken)
-		if d.remote == 0 && first {
-			d.remote = f.Source
+		if d.remoteNumber == 0 && first {
+			d.remoteNumber = f.Source
 		}
-		if d.remote != 0 || f.Is(iax2.Inval) || f.Is(iax2.CallToken) {
-			c.reply(d, f) // else it belongs to an older dialog of a router that was killed since
+		if d.remoteNumber != 0 || f.Is(iax2.Inval) || f.Is(iax2.CallToken) {
+			c.handleReply(d, f) // otherwise it belongs to an older dialog of a router that was killed since
 		}
 		return
 	}
-	if d := c.dialogs[key{from, to, f.Source}]; d != nil {
+	if d := c.dialogs[dialogKey{from, to, f.Source}]; d != nil {
 		if f.Is(iax2.Hangup) {
-			d.leftMark = f.Timestamp
-			c.openerLeft(d)
+			d.hangupTimestamp = f.Timestamp
+			c.openerReleased(d)
 		}
 	}
 }
 
-// opening judges a NEW.
-func (c *Checker) opening(from, to capture.Party, f *iax2.Frame) {
-	k := key{from, to, f.Source}
-	mark := uint64(f.Timestamp)<<32 | uint64(len(f.Payload))
+// handleNew checks a NEW.
+func (c *Checker) handleNew(from, to capture.Party, f *iax2.Frame) {
+	k := dialogKey{from, to, f.Source}
+	openingID := uint64(f.Timestamp)<<32 | uint64(len(f.Payload))
 	d := c.dialogs[k]
-	repeat := d != nil && (d.opening == mark || f.Retransmitted) && !d.over
-	if d != nil && d.opening == mark && f.Retransmitted {
-		repeat = true
+	retransmission := d != nil && (d.openingID == openingID || f.Retransmitted) && !d.attemptEnded
+	if d != nil && d.openingID == openingID && f.Retransmitted {
+		retransmission = true
 	}
 	if from.Kind == capture.Router {
-		c.judgeDrain(from, to, c.elems.Text(iax2.CallingNumber))
+		c.checkDrain(from, to, c.elements.Text(iax2.CallingNumber))
 	}
-	if repeat {
+	if retransmission {
 		return
 	}
 	if d != nil {
-		if d.token && !d.over && len(d.finals) == 0 && c.elems.Text(iax2.CallingNumber) == d.call {
-			d.opening = mark // the same call once more, now with a token
+		if d.tokenRequested && !d.attemptEnded && len(d.finals) == 0 && c.elements.Text(iax2.CallingNumber) == d.call {
+			d.openingID = openingID // the same call repeated with a call token
 			return
 		}
-		c.finish(d)
+		c.finishDialog(d)
 	}
-	c.begin(&dialog{key: k, opened: c.now, opening: mark, call: c.elems.Text(iax2.CallingNumber),
-		context: c.elems.Text(iax2.CalledContext)})
+	c.beginSetUp(&dialog{dialogKey: k, opened: c.now, openingID: openingID, call: c.elements.Text(iax2.CallingNumber),
+		context: c.elements.Text(iax2.CalledContext)})
 }
 
-// begin judges a set-up that was not seen before, in whatever protocol.
-func (c *Checker) begin(d *dialog) {
+// beginSetUp checks a new set-up of either protocol.
+func (c *Checker) beginSetUp(d *dialog) {
 	from, to := d.opener, d.other
-	c.dialogs[d.key] = d
+	c.dialogs[d.dialogKey] = d
 	if to.Kind == capture.Router {
-		a := c.at(to, d.call)
-		a.in++
-		a.closedAt, a.quiet, a.lastIn = 0, 0, c.now // to this router it is another call; the wait is its sender's to keep
+		a := c.attemptsOf(to, d.call)
+		a.openCalls++
+		// For this router it is a new call; observing the release wait is up to the sender.
+		a.endedAt, a.notBefore, a.lastOpened = 0, 0, c.now
 	}
 	switch from.Kind {
 	case capture.Callers:
 		c.report.Tries++
-		c.open = append(c.open, d)
-		c.sweep()
+		c.openTries = append(c.openTries, d)
+		c.evictFinished()
 	case capture.Router:
 		c.report.Attempts++
-		c.judgeAttempt(d)
+		c.checkAttempt(d)
 	}
 	if to.Kind == capture.Switch {
-		if s := c.starts[to.Exchange]; s != nil && c.now-s.at <= s.ColdDuration {
-			s.sent = append(s.sent, c.now)
+		if s := c.coldStarts[to.Exchange]; s != nil && c.now-s.startedAt <= s.ColdDuration {
+			s.setUps = append(s.setUps, c.now)
 		}
 	}
 }
 
-// judgeDrain is rule 3; a repeated opening counts as well, since the exchange may not have had the first.
-func (c *Checker) judgeDrain(from, to capture.Party, call string) {
-	since, ok := c.lists[from.Exchange][to.Exchange]
-	if ok && since >= 0 && c.now > since+c.figures.DrainGrace+c.slack(graceSlack) {
-		c.broken(DrainObserved, from, call, "set-up to %v %.3f s after it was told that no processor there is ready",
+// checkDrain checks rule 3. Retransmissions count as well, since the exchange may not have received the
+// original.
+func (c *Checker) checkDrain(from, to capture.Party, call string) {
+	since, ok := c.noReadySince[from.Exchange][to.Exchange]
+	if ok && since >= 0 && c.now > since+c.parameters.DrainGrace+c.tolerance(graceTolerance) {
+		c.addViolation(DrainObserved, from, call, "set-up to %v %.3f s after the list showed no ready processor there",
 			to, (c.now - since).Seconds())
 	}
 }
 
-// judgeAttempt is rules 1 (nothing after the end), 2 and 5.
-func (c *Checker) judgeAttempt(d *dialog) {
-	a := c.at(d.opener, d.call)
+// checkAttempt checks rule 1 (nothing is sent after the end of a call), rule 2 and rule 5.
+func (c *Checker) checkAttempt(d *dialog) {
+	a := c.attemptsOf(d.opener, d.call)
 	switch {
-	case a.in > 1:
-		// The call has come twice, by an attempt that its sender has given up and by a new one, and the set-ups
-		// beyond cannot be told apart: each belongs to one of them.
-		d.shared = true
-	case a.closedAt > 0 && c.now > a.closedAt+c.slack(sendSlack):
-		c.broken(OneAnswer, d.opener, d.call, "set-up to %v %.3f s after the call's end", d.other, (c.now - a.closedAt).Seconds())
-	case a.out != nil && a.out.answered && a.in > 0:
-		// The one that stands belongs to an attempt that was answered; this one to the other that came.
-		d.shared = true
-	case a.out != nil && !a.out.over && a.out.opened >= a.lastIn:
-		c.broken(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v of %.3f s before is out", d.other, a.out.other,
-			(c.now - a.out.opened).Seconds())
-	case a.quiet > 0 && c.now < a.quiet-c.slack(waitSlack):
-		c.broken(ReleaseWaitObserved, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
-			(a.quiet - c.now).Seconds(), a.why)
-	}
-	a.out, a.quiet = d, 0
-}
-
-// attemptOver notes how a router's attempt ended; why is set where the release has to be awaited.
-func (c *Checker) attemptOver(d *dialog, why string) {
-	if d.over {
+	case a.openCalls > 1:
+		// The router has received the call twice, once by an attempt that its sender has abandoned. Its own
+		// set-ups cannot be assigned to one of the two.
+		d.ambiguous = true
+	case a.endedAt > 0 && c.now > a.endedAt+c.tolerance(sendTolerance):
+		c.addViolation(OneAnswer, d.opener, d.call, "set-up to %v %.3f s after the call's end", d.other, (c.now - a.endedAt).Seconds())
+	case a.outstanding != nil && a.outstanding.answered && a.openCalls > 0:
+		// The answered dialog belongs to one of the received set-ups, this one to another.
+		d.ambiguous = true
+	case a.outstanding != nil && !a.outstanding.attemptEnded && a.outstanding.opened >= a.lastOpened:
+		c.addViolation(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v, %.3f s earlier, is in progress", d.other, a.outstanding.other,
+			(c.now - a.outstanding.opened).Seconds())
+	case a.notBefore > 0 && c.now < a.notBefore-c.tolerance(waitTolerance):
+		c.addViolation(ReleaseWaitObserved, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
+			(a.notBefore - c.now).Seconds(), a.reason)
+	}
+	a.outstanding, a.notBefore = d, 0
+}
+
+// endAttempt records the end of a router's attempt. reason is set if the release wait applies after it.
+func (c *Checker) endAttempt(d *dialog, reason string) {
+	if d.attemptEnded {
 		return
 	}
-	d.over = true
+	d.attemptEnded = true
 	if d.opener.Kind != capture.Router {
 		return
 	}
-	if a := c.calls[routerCall{d.opener.Exchange, d.call}]; a != nil && a.out == d {
-		a.out = nil
-		if why != "" && !d.answered && !d.shared && d.opened >= a.lastIn {
-			a.quiet, a.why = c.now+c.figures.ReleaseWait, why
+	if a := c.calls[routerCall{d.opener.Exchange, d.call}]; a != nil && a.outstanding == d {
+		a.outstanding = nil
+		if reason != "" && !d.answered && !d.ambiguous && d.opened >= a.lastOpened {
+			a.notBefore, a.reason = c.now+c.parameters.ReleaseWait, reason
 		}
 	}
 }
 
-// callEnded notes the end of a call at the router that took it.
-func (c *Checker) callEnded(d *dialog) {
-	if d.other.Kind != capture.Router || d.ended {
+// endCall records the end of a call at the router that received it.
+func (c *Checker) endCall(d *dialog) {
+	if d.other.Kind != capture.Router || d.callEnded {
 		return
 	}
-	d.ended = true
-	if a := c.at(d.other, d.call); a.in > 0 {
-		if a.in--; a.in == 0 {
-			a.closedAt = max(c.now, 1)
+	d.callEnded = true
+	if a := c.attemptsOf(d.other, d.call); a.openCalls > 0 {
+		if a.openCalls--; a.openCalls == 0 {
+			a.endedAt = max(c.now, 1)
 		}
 	}
 }
 
-// at finds the attempts of a call at a router.
-func (c *Checker) at(router capture.Party, call string) *attempts {
+// attemptsOf returns the state of a call at a router.
+func (c *Checker) attemptsOf(router capture.Party, call string) *attempts {
 	rc := routerCall{router.Exchange, call}
 	a := c.calls[rc]
 	if a == nil {
@@ -452,14 +460,14 @@
 	return a
 }
 
-// reply judges what the opened end says.
-func (c *Checker) reply(d *dialog, f *iax2.Frame) {
-	d.token = d.token || f.Is(iax2.CallToken)
-	if f.Is(iax2.Inval) && d.remote != 0 || f.Is(iax2.Ack) && f.Timestamp == d.leftMark {
-		c.learnt(d) // an INVAL before any other word: the HANGUP has overtaken the NEW
+// handleReply checks a frame from the other end of a dialog.
+func (c *Checker) handleReply(d *dialog, f *iax2.Frame) {
+	d.tokenRequested = d.tokenRequested || f.Is(iax2.CallToken)
+	if f.Is(iax2.Inval) && d.remoteNumber != 0 || f.Is(iax2.Ack) && f.Timestamp == d.hangupTimestamp {
+		c.confirmRelease(d) // an INVAL before any other reply means that the HANGUP overtook the NEW
 	}
 	if f.Is(iax2.Inval) {
-		c.wasReset(d)
+		c.handleInval(d)
 		return
 	}
 	answer := f.IsControl(iax2.ControlAnswer)
@@ -469,61 +477,62 @@
 	}
 	cause := uint8(iax2.CauseBusy)
 	if f.Type == iax2.FrameIAX {
-		cause = uint8(c.elems.Uint(iax2.CauseCode))
+		cause = uint8(c.elements.Uint(iax2.CauseCode))
 	}
-	c.final(d, f.OSeq, f.Name(), answer, cause)
+	c.handleFinalAnswer(d, f.OSeq, f.Name(), answer, cause)
 }
 
-// wasReset takes the word of the opened end that it knows nothing of the dialog.
-func (c *Checker) wasReset(d *dialog) {
-	c.attemptOver(d, "reset")
+// handleInval handles an INVAL: the other end has no state of the dialog.
+func (c *Checker) handleInval(d *dialog) {
+	c.endAttempt(d, "reset")
 	if d.opener.Kind == capture.Callers {
-		d.over = true
+		d.attemptEnded = true
 	}
 }
 
-// final judges a final answer of the opened end, or the end of a call that stood; seq tells its repeats.
-func (c *Checker) final(d *dialog, seq uint8, name string, answer bool, cause uint8) {
+// handleFinalAnswer checks a final answer, or the release of a standing call by the other end. seq identifies
+// retransmissions.
+func (c *Checker) handleFinalAnswer(d *dialog, seq uint8, name string, answer bool, cause uint8) {
 	end := !answer
 	if slices.ContainsFunc(d.finals, func(x final) bool { return x.seq == seq }) {
-		return // the same frame again
+		return // a retransmission
 	}
-	if n := len(d.finals); n > 0 && d.number&onCircuit == 0 && int8(seq-d.finals[n-1].seq) < 0 {
-		return // sent before what came before it, lost, and sent again
+	if n := len(d.finals); n > 0 && d.number&circuitFlag == 0 && int8(seq-d.finals[n-1].seq) < 0 {
+		return // a retransmission of a lost frame that was sent before the last one
 	}
-	if d.leftAt > 0 {
-		c.attemptOver(d, "") // it crossed the opener's HANGUP
+	if d.releasedAt > 0 {
+		c.endAttempt(d, "") // the answer crossed the opener's release
 		return
 	}
 	if len(d.finals) > 0 && !(end && d.answered && len(d.finals) == 1) {
-		c.broken(OneAnswer, d.other, d.call, "%s after %s", name, d.finals[len(d.finals)-1].name)
+		c.addViolation(OneAnswer, d.other, d.call, "%s after %s", name, d.finals[len(d.finals)-1].name)
 	}
 	d.finals = append(d.finals, final{seq, name})
 	if answer && !d.answered && len(d.finals) == 1 {
-		d.answered, d.stoodAt = true, c.now
+		d.answered, d.answeredAt = true, c.now
 		if d.opener.Kind == capture.Callers {
 			c.report.SetUps = append(c.report.SetUps, c.now-d.opened)
-			c.outcome(d, Answered)
-			c.judgeLate(d)
+			c.recordOutcome(d, Answered)
+			c.checkAnswerTime(d)
 		}
-		c.callEnded(d)
+		c.endCall(d)
 		return
 	}
 	if end {
-		if d.opener.Kind == capture.Callers && !d.judged {
+		if d.opener.Kind == capture.Callers && !d.classified {
 			c.report.Causes[cause]++
-			c.outcome(d, refusedOrFailed(cause))
-			c.judgeLate(d)
+			c.recordOutcome(d, outcomeOfCause(cause))
+			c.checkAnswerTime(d)
 		} else if d.opener.Kind == capture.Callers && d.answered && cause != iax2.CauseNormal {
 			c.report.Cut++
 		}
-		c.callEnded(d)
-		c.attemptOver(d, "")
+		c.endCall(d)
+		c.endAttempt(d, "")
 	}
 }
 
-// refusedOrFailed is the product's published table of causes (docs/ops/router.md), written here anew.
-func refusedOrFailed(cause uint8) Outcome {
+// outcomeOfCause implements the published table of causes (docs/ops/router.md) independently of the router.
+func outcomeOfCause(cause uint8) Outcome {
 	switch cause {
 	case 1, 17, 18, 19, 21, 22, 28, 34, 42, 44, 47:
 		return Refused
@@ -531,61 +540,61 @@
 	return Failed
 }
 
-// judgeLate is the part of rule 1 on time.
-func (c *Checker) judgeLate(d *dialog) {
-	if p := c.figures.Patience[d.context]; p > 0 && c.now-d.opened > p+c.slack(answerSlack) {
-		c.broken(OneAnswer, d.other, d.call, "final answer %.3f s after the caller gave up", (c.now - d.opened - p).Seconds())
+// checkAnswerTime checks the time limit of rule 1.
+func (c *Checker) checkAnswerTime(d *dialog) {
+	if p := c.parameters.Patience[d.context]; p > 0 && c.now-d.opened > p+c.tolerance(answerTolerance) {
+		c.addViolation(OneAnswer, d.other, d.call, "final answer %.3f s after the end of the caller's patience", (c.now - d.opened - p).Seconds())
 	}
 }
 
-// openerLeft takes the opener's HANGUP.
-func (c *Checker) openerLeft(d *dialog) {
-	if d.leftAt > 0 {
+// openerReleased handles the opener's HANGUP or REL.
+func (c *Checker) openerReleased(d *dialog) {
+	if d.releasedAt > 0 {
 		return
 	}
-	d.leftAt = max(c.now, 1)
-	if d.opener.Kind == capture.Callers && !d.judged {
-		c.judgeLeaving(d)
+	d.releasedAt = max(c.now, 1)
+	if d.opener.Kind == capture.Callers && !d.classified {
+		c.classifyRelease(d)
 	}
 	if !c.Exact || d.opener.Kind == capture.Callers {
-		c.callEnded(d)
-	} // else it is on its way over a link: the other end tells by its ACK or RLC that it has learnt of it
-	c.attemptOver(d, "cancelled or timed out")
+		c.endCall(d)
+	} // otherwise the release is in transit until the other end confirms it by ACK or RLC
+	c.endAttempt(d, "cancelled or timed out")
 }
 
-// learnt ends a call at the router that its opener has left, once that shows to know it.
-func (c *Checker) learnt(d *dialog) {
-	if d.leftAt > 0 {
-		c.callEnded(d)
+// confirmRelease ends a call at the other end once that has confirmed the opener's release.
+func (c *Checker) confirmRelease(d *dialog) {
+	if d.releasedAt > 0 {
+		c.endCall(d)
 	}
 }
 
-// judgeLeaving tells an impatient caller from one whose answer did not come in time.
-func (c *Checker) judgeLeaving(d *dialog) {
-	p := c.figures.Patience[d.context]
+// classifyRelease distinguishes a caller that hung up early from one that received no answer in time.
+func (c *Checker) classifyRelease(d *dialog) {
+	p := c.parameters.Patience[d.context]
 	switch {
-	case c.wasDown(d):
-		c.outcome(d, Unanswered)
+	case c.routerWasDown(d):
+		c.recordOutcome(d, Unanswered)
 	case p > 0 && c.now-d.opened >= p-time.Millisecond:
-		c.outcome(d, Unanswered)
-		c.broken(OneAnswer, d.other, d.call, "no final answer in %.3f s", (c.now - d.opened).Seconds())
+		c.recordOutcome(d, Unanswered)
+		c.addViolation(OneAnswer, d.other, d.call, "no final answer in %.3f s", (c.now - d.opened).Seconds())
 	default:
-		c.outcome(d, Abandoned)
+		c.recordOutcome(d, Abandoned)
 	}
 }
 
-// wasDown tells whether the called router did not run for all of a try's time.
-func (c *Checker) wasDown(d *dialog) bool {
+// routerWasDown reports whether the called router was down for some part of a try.
+func (c *Checker) routerWasDown(d *dialog) bool {
 	x := d.other.Exchange
-	at, killed := c.killed[x]
-	return !c.up[x] || killed && at >= d.opened-time.Second || c.started[x] >= d.opened
+	at, killed := c.killedAt[x]
+	return !c.up[x] || killed && at >= d.opened-time.Second || c.startedAt[x] >= d.opened
 }
 
-func (c *Checker) outcome(d *dialog, o Outcome) {
-	if d.judged {
+func (c *Checker) recordOutcome(d *dialog, o Outcome) {
+	if d.classified {
 		return
 	}
-	d.judged = true
+	d.classified = true
 	m := c.report.Outcomes[d.context]
 	if m == nil {
 		m = map[Outcome]int{}
@@ -593,79 +602,81 @@
 	}
 	m[o]++
 	if c.KeepTries {
-		c.report.TryDetails = append(c.report.TryDetails, Try{d.other.Exchange, d.call, o, c.wasDown(d), d.remote != 0, c.now})
+		c.report.TryDetails = append(c.report.TryDetails, Try{d.other.Exchange, d.call, o, c.routerWasDown(d), d.remoteNumber != 0, c.now})
 	}
 }
 
-// finish judges a dialog that can get nothing more.
-func (c *Checker) finish(d *dialog) {
-	if d.opener.Kind != capture.Callers || d.judged {
+// finishDialog classifies a try that can receive no further packets.
+func (c *Checker) finishDialog(d *dialog) {
+	if d.opener.Kind != capture.Callers || d.classified {
 		return
 	}
-	p := c.figures.Patience[d.context]
+	p := c.parameters.Patience[d.context]
 	switch {
-	case c.wasDown(d):
-		c.outcome(d, Unanswered)
-	case p == 0 || c.now-d.opened < p+c.slack(answerSlack):
-		c.outcome(d, Unfinished)
+	case c.routerWasDown(d):
+		c.recordOutcome(d, Unanswered)
+	case p == 0 || c.now-d.opened < p+c.tolerance(answerTolerance):
+		c.recordOutcome(d, Unfinished)
 	default:
-		c.outcome(d, Unanswered)
-		c.broken(OneAnswer, d.other, d.call, "no final answer in %.3f s", (c.now - d.opened).Seconds())
+		c.recordOutcome(d, Unanswered)
+		c.addViolation(OneAnswer, d.other, d.call, "no final answer in %.3f s", (c.now - d.opened).Seconds())
 	}
 }
 
-// sweep forgets what is long over, so that a long capture costs no more than its busiest time.
-func (c *Checker) sweep() {
-	if len(c.open) < 1000 || len(c.open)%1000 != 0 {
+// evictFinished removes finished dialogs and calls, so that memory use depends on the peak load and not on the
+// length of the capture.
+func (c *Checker) evictFinished() {
+	if len(c.openTries) < 1000 || len(c.openTries)%1000 != 0 {
 		return
 	}
-	const long = time.Minute
-	c.open = slices.DeleteFunc(c.open, func(d *dialog) bool { return d.judged && c.now-d.opened > long })
+	const retention = time.Minute
+	c.openTries = slices.DeleteFunc(c.openTries, func(d *dialog) bool { return d.classified && c.now-d.opened > retention })
 	for rc, a := range c.calls {
-		if a.closedAt > 0 && c.now-a.closedAt > long {
+		if a.endedAt > 0 && c.now-a.endedAt > retention {
 			delete(c.calls, rc)
 		}
 	}
 	for k, d := range c.dialogs {
-		if d.over && c.now-d.opened > long {
+		if d.attemptEnded && c.now-d.opened > retention {
 			delete(c.dialogs, k)
 		}
 	}
 }
 
-// judgeCold is rule 4: in any window the set-ups must stay under the multiple of what the processor could do.
-func (c *Checker) judgeCold(s *cold) {
-	if s == nil || s.found || c.figures.OverloadWindow == 0 {
+// checkSlowStart checks rule 4: in each window the set-ups sent to a cold processor must stay below
+// OverloadMultiple times its capacity.
+func (c *Checker) checkSlowStart(s *coldStart) {
+	if s == nil || s.reported || c.parameters.OverloadWindow == 0 {
 		return
 	}
 	lo := 0
-	for hi, at := range s.sent {
-		for s.sent[lo] < at-c.figures.OverloadWindow {
+	for hi, at := range s.setUps {
+		for s.setUps[lo] < at-c.parameters.OverloadWindow {
 			lo++
 		}
 		budget := 0.0
-		for t := at - c.figures.OverloadWindow; t < at; t += coldStep {
-			// A window that began before the start counts in full, at what the processor can do first.
-			part := min(1, s.ColdCapacity+(1-s.ColdCapacity)*max(0, t-s.at).Seconds()/s.ColdDuration.Seconds())
-			budget += s.Rate * part * min(coldStep, at-t).Seconds()
+		for t := at - c.parameters.OverloadWindow; t < at; t += budgetStep {
+			// A window that began before the start counts in full, at the processor's initial capacity.
+			part := min(1, s.ColdCapacity+(1-s.ColdCapacity)*max(0, t-s.startedAt).Seconds()/s.ColdDuration.Seconds())
+			budget += s.Rate * part * min(budgetStep, at-t).Seconds()
 		}
-		if n := float64(hi - lo + 1); n > budget*c.figures.OverloadMultiple+chanceSlack {
-			s.found = true
-			c.broken(SlowStartObserved, capture.Party{Kind: capture.Switch, Exchange: s.Exchange}, "",
-				"%v set-ups in %v, %.1f s after its start, where it can do %.1f", n, c.figures.OverloadWindow,
-				(at - s.at).Seconds(), budget)
+		if n := float64(hi - lo + 1); n > budget*c.parameters.OverloadMultiple+setUpTolerance {
+			s.reported = true
+			c.addViolation(SlowStartObserved, capture.Party{Kind: capture.Switch, Exchange: s.Exchange}, "",
+				"%v set-ups in %v, %.1f s after its start, with a capacity of %.1f", n, c.parameters.OverloadWindow,
+				(at - s.startedAt).Seconds(), budget)
 			return
 		}
 	}
 }
 
-// Report ends the judgement.
+// Report finishes the check and returns its result.
 func (c *Checker) Report() *Report {
-	for _, d := range c.open {
-		c.finish(d)
+	for _, d := range c.openTries {
+		c.finishDialog(d)
 	}
-	for _, x := range slices.Sorted(maps.Keys(c.starts)) {
-		c.judgeCold(c.starts[x])
+	for _, x := range slices.Sorted(maps.Keys(c.coldStarts)) {
+		c.checkSlowStart(c.coldStarts[x])
 	}
 	slices.Sort(c.report.SetUps)
 	return &c.report
