--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -12,109 +12,109 @@
 	"pipitring/internal/iax2"
 )
 
-// CallerClass is how callers of one class behave.
+// CallerClass describes the behaviour of one class of callers.
 type CallerClass struct {
-	Name     string // the context they call with
+	Name     string // called context
 	Share    float64
-	Hold     time.Duration // mean; lengths are exponential
-	Patience time.Duration // of one try
-	Deadline time.Duration // of all tries
+	Hold     time.Duration // mean; exponentially distributed unless FixedHold is set
+	Patience time.Duration // limit of one try
+	Deadline time.Duration // limit of all tries of a call
 }
 
-// CallersSpec is the traffic of one exchange's subscribers.
+// CallersSpec describes the traffic of one exchange's subscribers.
 type CallersSpec struct {
 	Exchange   int
-	Rate       float64 // first tries a second
+	Rate       float64 // new calls per second
 	Classes    []CallerClass
 	Weights    []float64 // of destinations, by exchange number
 	MaxRedials int
 	Backoff    time.Duration // mean wait before a redial
 	Number     func(dest int, rng *rand.Rand) string
-	User       string // registers, if Secret is set
+	User       string // registers if Secret is set
 	Secret     string
-	FixedHold  bool                // calls last just Hold
-	OnAnswer   func(time.Duration) // told each set-up delay; on the host's goroutine
+	FixedHold  bool                // every call lasts exactly Hold
+	OnAnswer   func(time.Duration) // called with each set-up delay, on the host's goroutine
 }
 
-// Callers are the subscribers of one exchange: one socket, many calls.
+// Callers simulates the subscribers of one exchange: many calls over one socket.
 type Callers struct {
-	host       *Host
-	spec       CallersSpec
-	router     iax2.Addr
-	rng        *rand.Rand
-	factor     float64 // times the rate
-	impatient  float64 // share of tries hung up while they wait
-	again      bool    // redials come at once
-	cutAgain   bool    // calls that are cut come again
-	running    bool
-	due        time.Duration // of the next first try
-	tries      int
-	tally      map[string]*Tally
-	seconds    []Tally // by the second of the dial, since Start
-	started    time.Duration
-	open       map[*iax2.Dialog]*try
-	registered bool
+	host          *Host
+	spec          CallersSpec
+	router        iax2.Addr
+	rng           *rand.Rand
+	rateFactor    float64 // multiplies the call rate
+	hangUpShare   float64 // share of tries abandoned while waiting
+	redialAtOnce  bool    // redial without waiting
+	redialCut     bool    // call again after a call was cut
+	running       bool
+	nextCallAt    time.Duration // when the next new call is due
+	tries         int
+	counts        map[string]*Tally
+	seconds       []Tally // by second of the dial, since countingSince
+	countingSince time.Duration
+	open          map[*iax2.Dialog]*try
+	registered    bool
 }
 
-// Tally counts by class, as the callers saw it.
+// Tally counts calls and tries of one class by outcome, as the callers saw them.
 type Tally struct {
 	Calls, Tries, Answered, Refused, Failed, Abandoned, Unanswered int
 }
 
 // try is one dial of a call.
 type try struct {
-	class    *CallerClass
-	dest     int
-	number   string
-	first    time.Duration // the call's first try
-	redials  int
-	dialled  time.Duration
-	answered bool
-	over     bool
+	class        *CallerClass
+	dest         int
+	number       string
+	firstDialled time.Duration // when the call's first try was dialled
+	redials      int
+	dialled      time.Duration
+	answered     bool
+	ended        bool
 }
 
-// NewCallers opens the callers' socket; they call from Start on.
+// NewCallers opens the callers' socket. They start calling with Start.
 func NewCallers(listen, router netip.AddrPort, spec CallersSpec, seed uint64, tap *capture.Writer) (*Callers, error) {
 	return NewCallersOn(NewSockets(), listen, router, spec, seed, tap)
 }
 
-// NewCallersOn opens their address on a network.
+// NewCallersOn is like NewCallers on a given network.
 func NewCallersOn(n Net, listen, router netip.AddrPort, spec CallersSpec, seed uint64, tap *capture.Writer) (*Callers, error) {
-	c := &Callers{spec: spec, rng: rand.New(rand.NewPCG(seed, 77+uint64(spec.Exchange))), factor: 1,
-		tally: map[string]*Tally{}, open: map[*iax2.Dialog]*try{}}
+	c := &Callers{spec: spec, rng: rand.New(rand.NewPCG(seed, 77+uint64(spec.Exchange))), rateFactor: 1,
+		counts: map[string]*Tally{}, open: map[*iax2.Dialog]*try{}}
 	for _, cl := range spec.Classes {
-		c.tally[cl.Name] = &Tally{}
+		c.counts[cl.Name] = &Tally{}
 	}
 	c.router, _ = iax2.AddrFrom(router)
 	h, err := newHost(n, listen, capture.Party{Kind: capture.Callers, Exchange: spec.Exchange},
 		capture.Party{Kind: capture.Router, Exchange: spec.Exchange}, tap, iax2.Config{AckDelay: 20 * time.Millisecond,
-			Linger: 2 * time.Second}, c.event)
+			Linger: 2 * time.Second}, c.handleEvent)
 	if err != nil {
 		return nil, err
 	}
 	c.host = h
-	h.run()
+	h.start()
 	return c, nil
 }
 
-// Start begins to call.
+// Start starts the calls.
 func (c *Callers) Start() {
 	c.host.Do(func() {
-		c.running, c.due, c.started = true, c.host.now(), c.host.now()
+		c.running, c.nextCallAt, c.countingSince = true, c.host.now(), c.host.now()
 		if c.spec.Secret != "" {
 			c.register()
 		}
-		c.next()
+		c.scheduleNext()
 	})
 }
 
-// Stop makes no further calls; those out go on.
+// Stop starts no further calls. Calls in progress continue.
 func (c *Callers) Stop() { c.host.Do(func() { c.running = false }) }
 
 // HangUp ends all calls.
 func (c *Callers) HangUp() {
 	c.host.Do(func() {
-		// In order of their numbers: two runs hang up alike.
+		// Sorted by call number, so that runs are deterministic.
 		all := slices.SortedFunc(maps.Keys(c.open), func(a, b *iax2.Dialog) int { return int(a.Number()) - int(b.Number()) })
 		for _, d := range all {
 			c.hangUp(d, c.open[d])
@@ -122,59 +122,63 @@
 	})
 }
 
-// Close ends the stand-in.
+// Close closes the socket and ends all goroutines.
 func (c *Callers) Close() { c.host.Close() }
 
-// SetRateFactor multiplies the rate.
-func (c *Callers) SetRateFactor(f float64) { c.host.Do(func() { c.factor = f }) }
+// SetRateFactor sets the factor by which the call rate is multiplied.
+func (c *Callers) SetRateFactor(f float64) { c.host.Do(func() { c.rateFactor = f }) }
 
-// SetHangUpShare makes a share of the callers hang up while they wait.
-func (c *Callers) SetHangUpShare(share float64) { c.host.Do(func() { c.impatient = share }) }
+// SetHangUpShare sets the share of tries that callers abandon while waiting.
+func (c *Callers) SetHangUpShare(share float64) { c.host.Do(func() { c.hangUpShare = share }) }
 
-// RedialAtOnce makes callers redial without a wait.
-func (c *Callers) RedialAtOnce(on bool) { c.host.Do(func() { c.again = on }) }
+// RedialAtOnce makes callers redial without the usual wait.
+func (c *Callers) RedialAtOnce(on bool) { c.host.Do(func() { c.redialAtOnce = on }) }
 
-// RedialWhenCut makes calls that are cut come again.
-func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.cutAgain = on }) }
+// RedialWhenCut makes callers call again after a call was cut.
+func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.redialCut = on }) }
 
-// Registered tells whether the registration was taken.
+// Registered reports whether the registration was accepted.
 func (c *Callers) Registered() (ok bool) {
 	c.host.Do(func() { ok = c.registered })
 	return ok
 }
 
-// Count reads the counters.
+// Count returns the counters by class.
 func (c *Callers) Count() map[string]Tally {
 	out := map[string]Tally{}
 	c.host.Do(func() {
-		for name, t := range c.tally {
+		for name, t := range c.counts {
 			out[name] = *t
 		}
 	})
 	return out
 }
 
-// RestartSeconds begins to count by the second anew.
-func (c *Callers) RestartSeconds() { c.host.Do(func() { c.started, c.seconds = c.host.now(), nil }) }
+// RestartSeconds restarts the counters by second.
+func (c *Callers) RestartSeconds() {
+	c.host.Do(func() { c.countingSince, c.seconds = c.host.now(), nil })
+}
 
-// Seconds reads the counters of tries by the second in which they were dialled, since Start or Watch.
+// Seconds returns the counters of tries by the second in which they were dialled, since Start or
+// RestartSeconds.
 func (c *Callers) Seconds() (out []Tally) {
 	c.host.Do(func() { out = append(out, c.seconds...) })
 	return out
 }
 
-// second finds the counters of the second in which a try was dialled.
-func (c *Callers) second(t *try) *Tally {
-	if t.dialled < c.started {
-		return &Tally{} // dialled before the watch began: counted by nobody
+// countsOf returns the counters of the second in which a try was dialled.
+func (c *Callers) countsOf(t *try) *Tally {
+	if t.dialled < c.countingSince {
+		return &Tally{} // dialled before RestartSeconds: not counted
 	}
-	i := int((t.dialled - c.started) / time.Second)
+	i := int((t.dialled - c.countingSince) / time.Second)
 	for len(c.seconds) <= i {
 		c.seconds = append(c.seconds, Tally{})
 	}
 	return &c.seconds[i]
 }
 
+// register registers the user and refreshes the registration until Stop.
 func (c *Callers) register() {
 	const refresh = 10 * time.Second
 	if _, err := c.host.ep.Register(c.host.now(), c.router, c.spec.User, c.spec.Secret, refresh); err == nil {
@@ -186,34 +190,35 @@
 	}
 }
 
-// next schedules the next first try of a Poisson stream. It has no memory, so a long gap is drawn anew now and
-// then: a changed factor counts soon.
-func (c *Callers) next() {
-	const longest = 50 * time.Millisecond
+// scheduleNext schedules the next new call of a Poisson process. The process is memoryless, so gaps above
+// maxGap are drawn again, which lets a changed rate factor take effect soon.
+func (c *Callers) scheduleNext() {
+	const maxGap = 50 * time.Millisecond
 	if !c.running {
 		return
 	}
-	gap := time.Duration(c.rng.ExpFloat64() / (c.spec.Rate * c.factor) * float64(time.Second))
-	// From when the last one was due, not from when it came: a late timer must not thin the stream.
-	c.due += min(gap, longest)
-	c.host.after(c.due-c.host.now(), func() {
-		if c.running && gap <= longest {
-			c.first()
+	gap := time.Duration(c.rng.ExpFloat64() / (c.spec.Rate * c.rateFactor) * float64(time.Second))
+	// Relative to when the last call was due, because late timers must not reduce the rate.
+	c.nextCallAt += min(gap, maxGap)
+	c.host.after(c.nextCallAt-c.host.now(), func() {
+		if c.running && gap <= maxGap {
+			c.placeCall()
 		}
-		c.next()
+		c.scheduleNext()
 	})
 }
 
-// Dial makes one call of the first class to an exchange, beside the stream.
+// Dial makes one call of the first class to an exchange, in addition to the scheduled traffic.
 func (c *Callers) Dial(dest int) {
 	c.host.Do(func() {
-		t := &try{class: &c.spec.Classes[0], dest: dest, first: c.host.now(), number: c.spec.Number(dest, c.rng)}
-		c.tally[t.class.Name].Calls++
+		t := &try{class: &c.spec.Classes[0], dest: dest, firstDialled: c.host.now(), number: c.spec.Number(dest, c.rng)}
+		c.counts[t.class.Name].Calls++
 		c.dial(t)
 	})
 }
 
-func (c *Callers) first() {
+// placeCall makes a call of a random class to a random destination.
+func (c *Callers) placeCall() {
 	x, class := c.rng.Float64(), &c.spec.Classes[0]
 	for i := range c.spec.Classes {
 		if x -= c.spec.Classes[i].Share; x < 0 {
@@ -221,13 +226,14 @@
 			break
 		}
 	}
-	t := &try{class: class, dest: c.pick(), first: c.host.now()}
+	t := &try{class: class, dest: c.pickDestination(), firstDialled: c.host.now()}
 	t.number = c.spec.Number(t.dest, c.rng)
-	c.tally[class.Name].Calls++
+	c.counts[class.Name].Calls++
 	c.dial(t)
 }
 
-func (c *Callers) pick() int {
+// pickDestination draws a destination according to the weights.
+func (c *Callers) pickDestination() int {
 	sum := 0.0
 	for _, w := range c.spec.Weights {
 		sum += w
@@ -241,31 +247,31 @@
 	return len(c.spec.Weights) - 1
 }
 
-// dial sends a try; each has a calling number of its own, by which a capture tells calls apart.
+// dial sends a try. Each try has a unique calling number, by which a capture distinguishes them.
 func (c *Callers) dial(t *try) {
 	c.tries++
-	c.tally[t.class.Name].Tries++
+	c.counts[t.class.Name].Tries++
 	now := c.host.now()
 	t.dialled = now
-	c.second(t).Tries++
+	c.countsOf(t).Tries++
 	d, err := c.host.ep.Call(now, c.router, iax2.Request{Called: t.number, Context: t.class.Name,
 		Calling: fmt.Sprintf("%d%07d", 10+c.spec.Exchange, c.tries), User: c.spec.User, Secret: c.spec.Secret})
 	if err != nil {
-		c.tally[t.class.Name].Unanswered++
+		c.counts[t.class.Name].Unanswered++
 		return
 	}
 	c.open[d] = t
 	c.host.after(t.class.Patience, func() {
-		if !t.answered && !t.over {
-			c.tally[t.class.Name].Unanswered++
+		if !t.answered && !t.ended {
+			c.counts[t.class.Name].Unanswered++
 			c.hangUp(d, t)
 			c.redial(t)
 		}
 	})
-	if c.rng.Float64() < c.impatient {
+	if c.rng.Float64() < c.hangUpShare {
 		c.host.after(time.Duration(c.rng.Int64N(int64(t.class.Patience)/4)), func() {
-			if !t.answered && !t.over {
-				c.tally[t.class.Name].Abandoned++
+			if !t.answered && !t.ended {
+				c.counts[t.class.Name].Abandoned++
 				c.hangUp(d, t)
 			}
 		})
@@ -273,25 +279,25 @@
 }
 
 func (c *Callers) hangUp(d *iax2.Dialog, t *try) {
-	t.over = true
+	t.ended = true
 	delete(c.open, d)
-	d.Release(c.host.now(), causeRunning, "")
+	d.Release(c.host.now(), causeNormalClearing, "")
 }
 
-func (c *Callers) event(e iax2.Event) {
+func (c *Callers) handleEvent(e iax2.Event) {
 	if e.Kind == iax2.RegisterDone {
 		c.registered = true
 	}
 	t := c.open[e.Dialog]
-	if t == nil || t.over {
+	if t == nil || t.ended {
 		return
 	}
-	count := c.tally[t.class.Name]
+	count := c.counts[t.class.Name]
 	switch e.Kind {
 	case iax2.Answered:
 		t.answered = true
 		count.Answered++
-		c.second(t).Answered++
+		c.countsOf(t).Answered++
 		if c.spec.OnAnswer != nil {
 			c.spec.OnAnswer(c.host.now() - t.dialled)
 		}
@@ -300,25 +306,26 @@
 			hold = time.Duration(c.rng.ExpFloat64() * float64(hold))
 		}
 		c.host.after(hold, func() {
-			if !t.over {
+			if !t.ended {
 				c.hangUp(d, t)
 			}
 		})
 	case iax2.Released:
-		c.ended(e.Dialog, t, refusal(e.Cause), e.Cause == causeRunning)
+		c.handleEnd(e.Dialog, t, isRefusal(e.Cause), e.Cause == causeNormalClearing)
 	case iax2.Lost:
-		c.ended(e.Dialog, t, false, false)
+		c.handleEnd(e.Dialog, t, false, false)
 	}
 }
 
-func (c *Callers) ended(d *iax2.Dialog, t *try, refused, normal bool) {
-	t.over = true
+// handleEnd handles the end of a try by the router; normal is set for a normal release.
+func (c *Callers) handleEnd(d *iax2.Dialog, t *try, refused, normal bool) {
+	t.ended = true
 	delete(c.open, d)
-	count := c.tally[t.class.Name]
+	count := c.counts[t.class.Name]
 	switch {
 	case t.answered:
-		if c.cutAgain && !normal {
-			t.first, t.redials = c.host.now(), 0
+		if c.redialCut && !normal {
+			t.firstDialled, t.redials = c.host.now(), 0
 			c.redial(t)
 		}
 		return
@@ -330,16 +337,16 @@
 	c.redial(t)
 }
 
-// redial tries again after a wait, within the class's deadline.
+// redial repeats a call after a wait, unless the redial limit, the class's deadline or Stop prevents it.
 func (c *Callers) redial(t *try) {
 	wait := time.Duration((0.5 + c.rng.Float64()) * float64(c.spec.Backoff))
-	if c.again {
+	if c.redialAtOnce {
 		wait = 10 * time.Millisecond
 	}
-	if t.redials >= c.spec.MaxRedials || c.host.now()+wait-t.first > t.class.Deadline || !c.running {
+	if t.redials >= c.spec.MaxRedials || c.host.now()+wait-t.firstDialled > t.class.Deadline || !c.running {
 		return
 	}
-	next := &try{class: t.class, dest: t.dest, number: t.number, first: t.first, redials: t.redials + 1}
+	next := &try{class: t.class, dest: t.dest, number: t.number, firstDialled: t.firstDialled, redials: t.redials + 1}
 	c.host.after(wait, func() {
 		if c.running {
 			c.dial(next)
@@ -347,10 +354,10 @@
 	})
 }
 
-// refusal is the published table of causes, as a caller reads it.
-func refusal(cause uint8) bool {
+// isRefusal implements the published table of causes, as a caller interprets it.
+func isRefusal(cause uint8) bool {
 	switch cause {
-	case 1, causeBusy, 18, 19, 21, 22, 28, causeNoLine, causeFull, 44, 47:
+	case 1, causeUserBusy, 18, 19, 21, 22, 28, causeNoCircuit, causeCongestion, 44, 47:
 		return true
 	}
 	return false
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -1,5 +1,6 @@
-// Package standin holds what a router meets: switches, callers, a register, and the links between routers. They
-// speak the protocols, share none of the router's call code, and can be scripted to misbehave.
+// Package standin simulates the environment of a router for tests: switches, callers, service discovery, and
+// the links between routers. The simulations speak the real protocols, share no call-handling code with the
+// router, and can inject faults.
 package standin
 
 import (
@@ -13,42 +14,42 @@
 )
 
 const (
-	socketRoom  = 4 << 20
-	maxDatagram = 2048
+	socketBufferBytes = 4 << 20 // of the read and write buffers of UDP sockets
+	maxDatagramBytes  = 2048    // longest datagram that is received
 )
 
-// Host is an address with an IAX2 endpoint.
+// Host is a network address with an IAX2 endpoint.
 type Host struct {
-	mu      sync.Mutex
-	net     Net
-	port    Port
-	ep      *iax2.Endpoint
-	cfg     iax2.Config
-	me      capture.Party
-	router  capture.Party // the only one that it speaks with
-	tap     *capture.Writer
-	queue   timers.Queue[func()]
-	on      func(e iax2.Event)
-	deaf    bool                            // takes datagrams off the socket and nothing else
-	filter  func(frame []byte) (copies int) // of outgoing datagrams; nil sends each once
-	closing bool
+	mu           sync.Mutex
+	net          Net
+	port         Port
+	ep           *iax2.Endpoint
+	cfg          iax2.Config
+	party        capture.Party
+	router       capture.Party // the only peer
+	tap          *capture.Writer
+	queue        timers.Queue[func()]
+	onEvent      func(e iax2.Event)
+	dropIncoming bool                            // received datagrams are discarded
+	copies       func(frame []byte) (copies int) // how often to send an outgoing datagram; nil sends it once
+	closing      bool
 }
 
-// newHost takes an address; tap may be nil.
-func newHost(n Net, listen netip.AddrPort, me, router capture.Party, tap *capture.Writer, cfg iax2.Config, on func(iax2.Event)) (*Host, error) {
-	h := &Host{net: n, ep: iax2.NewEndpoint(cfg), cfg: cfg, me: me, router: router, tap: tap, on: on}
+// newHost opens an address; tap may be nil.
+func newHost(n Net, listen netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg iax2.Config, onEvent func(iax2.Event)) (*Host, error) {
+	h := &Host{net: n, ep: iax2.NewEndpoint(cfg), cfg: cfg, party: party, router: router, tap: tap, onEvent: onEvent}
 	var err error
 	h.port, err = n.Open(listen, h)
 	return h, err
 }
 
-// run lets the host hear.
-func (h *Host) run() { h.port.Run() }
+// start starts receiving.
+func (h *Host) start() { h.port.Run() }
 
-// Addr is the host's address.
+// Addr returns the host's address.
 func (h *Host) Addr() netip.AddrPort { return h.port.Addr() }
 
-// Close ends the host.
+// Close closes the host's address and ends its goroutine.
 func (h *Host) Close() {
 	h.mu.Lock()
 	h.closing = true
@@ -58,42 +59,43 @@
 
 func (h *Host) now() time.Duration { return h.net.Now() }
 
-// Do runs f on the host's state.
+// Do calls f with the host's lock held and then processes the resulting events.
 func (h *Host) Do(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
-	h.settle()
+	h.processEvents()
 	h.port.ClearWake()
-	h.port.SetWake(h.now(), true) // timers are looked at again
+	h.port.SetWake(h.now(), true) // recompute the next deadline
 }
 
-// after runs f on the host's state later.
+// after calls f with the host's lock held, d from now.
 func (h *Host) after(d time.Duration, f func()) {
 	h.queue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
 }
 
-// settle handles events and sends until all is quiet.
-func (h *Host) settle() {
+// processEvents handles the endpoint's events and sends its datagrams.
+func (h *Host) processEvents() {
 	for i := 0; i < len(h.ep.Events); i++ {
-		h.on(h.ep.Events[i])
+		h.onEvent(h.ep.Events[i])
 	}
 	h.ep.Events = h.ep.Events[:0]
 	h.ep.Flush(h.now())
 	h.send()
 }
 
+// send sends the endpoint's datagrams and records them.
 func (h *Host) send() {
 	out := &h.ep.Out
 	for i := range out.Len() {
 		to, b := out.At(i)
 		copies := 1
-		if h.filter != nil {
-			copies = h.filter(b)
+		if h.copies != nil {
+			copies = h.copies(b)
 		}
 		for range copies {
 			if h.tap != nil {
-				h.tap.Datagram(h.net.Wall(), h.me, h.router, b)
+				h.tap.Datagram(h.net.Wall(), h.party, h.router, b)
 			}
 			h.port.Send(to, b)
 		}
@@ -101,7 +103,7 @@
 	out.Reset()
 }
 
-// Receive takes a datagram.
+// Receive processes a datagram.
 func (h *Host) Receive(from iax2.Addr, b []byte) {
 	at := h.net.Wall()
 	h.mu.Lock()
@@ -110,15 +112,15 @@
 		return
 	}
 	if h.tap != nil && !h.net.RecordsPackets() {
-		h.tap.Datagram(at, h.router, h.me, b)
+		h.tap.Datagram(at, h.router, h.party, b)
 	}
-	if !h.deaf {
+	if !h.dropIncoming {
 		h.ep.Receive(h.now(), from, b)
 	}
-	h.work()
+	h.runDue()
 }
 
-// Due does what is due.
+// Due runs all timers that are due.
 func (h *Host) Due() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -126,11 +128,11 @@
 		return
 	}
 	h.port.ClearWake()
-	h.work()
+	h.runDue()
 }
 
-// work does what is due and tells the port when there will be more.
-func (h *Host) work() {
+// runDue runs all timers that are due and sets the next wake-up.
+func (h *Host) runDue() {
 	for again := true; again; {
 		now := h.now()
 		for e := h.queue.Due(now); e != nil; e = h.queue.Due(now) {
@@ -139,8 +141,8 @@
 		if at, ok := h.ep.Next(); ok && at <= now {
 			h.ep.Advance(now)
 		}
-		h.settle()
-		at, ok := h.queue.Next() // what an event has asked for at once
+		h.processEvents()
+		at, ok := h.queue.Next() // set by an event handler for immediate execution
 		again = ok && at <= now
 	}
 	next, ok := h.queue.Next()
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -15,42 +15,42 @@
 	"pipitring/internal/timers"
 )
 
-// redialPause is how long an end waits before it makes a lost association anew.
-const redialPause = 100 * time.Millisecond
+// reconnectDelay is the wait before a lost connection is made again.
+const reconnectDelay = 100 * time.Millisecond
 
-// ISUPHost is one end of a group of circuits with one association to a router, and one goroutine. It connects, and
-// again whenever the connection is lost.
+// ISUPHost is one end of a circuit group, with one association to a router. It reconnects whenever the
+// connection is lost.
 type ISUPHost struct {
-	mu      sync.Mutex
-	router  netip.AddrPort
-	parties [2]capture.Party // itself and the router
-	tap     *capture.Writer
-	cfg     isup.Config
-	group   *isup.Group
-	link    *m3ua.Link // nil while there is no connection
-	conn    net.Conn
-	seqs    [2]uint32
-	cuts    [2]m3ua.Stream
-	start   time.Time
-	queue   timers.Queue[func()]
-	on      func(e isup.Event)
-	fresh   bool
-	held    bool // no association is made
-	closing bool
-	done    chan struct{}
-	stop    chan struct{}
+	mu            sync.Mutex
+	router        netip.AddrPort
+	parties       [2]capture.Party // this host and its router
+	tap           *capture.Writer
+	config        isup.Config
+	group         *isup.Group
+	link          *m3ua.Link // nil while not connected
+	conn          net.Conn
+	streamOffsets [2]uint32
+	splitters     [2]m3ua.Stream
+	start         time.Time
+	queue         timers.Queue[func()]
+	onEvent       func(e isup.Event)
+	needsReset    bool // the processor has not reset its circuits yet
+	suspended     bool // make no connection
+	closing       bool
+	done          chan struct{}
+	stop          chan struct{}
 }
 
-func newISUPHost(router netip.AddrPort, me, of capture.Party, tap *capture.Writer, cfg isup.Config, on func(isup.Event)) *ISUPHost {
-	return &ISUPHost{router: router, parties: [2]capture.Party{me, of}, tap: tap, cfg: cfg, group: isup.NewGroup(cfg),
-		start: time.Now(), on: on, fresh: true, done: make(chan struct{}), stop: make(chan struct{})}
+func newISUPHost(routerAddr netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg isup.Config, onEvent func(isup.Event)) *ISUPHost {
+	return &ISUPHost{router: routerAddr, parties: [2]capture.Party{party, router}, tap: tap, config: cfg, group: isup.NewGroup(cfg),
+		start: time.Now(), onEvent: onEvent, needsReset: true, done: make(chan struct{}), stop: make(chan struct{})}
 }
 
 func (h *ISUPHost) run() { go h.loop() }
 
 func (h *ISUPHost) now() time.Duration { return time.Since(h.start) }
 
-// Close ends the host.
+// Close closes the connection and ends the host's goroutine.
 func (h *ISUPHost) Close() {
 	h.mu.Lock()
 	h.closing = true
@@ -62,28 +62,30 @@
 	<-h.done
 }
 
-// Do runs f on the host's state.
+// Do calls f with the host's lock held and then processes the resulting events.
 func (h *ISUPHost) Do(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
-	h.settle()
+	h.processEvents()
 	if h.conn != nil {
-		_ = h.conn.SetReadDeadline(time.Now()) // the loop looks at its timers again
+		_ = h.conn.SetReadDeadline(time.Now()) // makes the loop recompute its deadline
 	}
 }
 
-// Active tells whether signalling is up.
+// Active reports whether the association is active.
 func (h *ISUPHost) Active() (up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.link != nil && h.link.State() == m3ua.Active
 }
 
+// after calls f with the host's lock held, d from now.
 func (h *ISUPHost) after(d time.Duration, f func()) {
 	h.queue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
 }
 
+// loop connects and reconnects until Close.
 func (h *ISUPHost) loop() {
 	defer close(h.done)
 	for {
@@ -94,22 +96,22 @@
 		select {
 		case <-h.stop:
 			return
-		case <-time.After(redialPause):
+		case <-time.After(reconnectDelay):
 		}
 	}
 }
 
-// serve runs one connection to its end.
+// serve handles one connection until it ends.
 func (h *ISUPHost) serve(conn net.Conn) {
 	h.mu.Lock()
-	if h.closing || h.held {
+	if h.closing || h.suspended {
 		h.mu.Unlock()
 		conn.Close()
 		return
 	}
-	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASP: h.cfg.OwnPointCode, MaxUnsentBytes: 4 << 20})
-	h.seqs, h.cuts = [2]uint32{}, [2]m3ua.Stream{}
-	h.work()
+	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASP: h.config.OwnPointCode, MaxUnsentBytes: 4 << 20})
+	h.streamOffsets, h.splitters = [2]uint32{}, [2]m3ua.Stream{}
+	h.runDue()
 	h.mu.Unlock()
 	buf := make([]byte, 64<<10)
 	for {
@@ -119,10 +121,10 @@
 			break
 		}
 		if n > 0 {
-			h.record(1, buf[:n])
+			h.recordBytes(1, buf[:n])
 			h.link.Receive(h.now(), buf[:n])
 		}
-		h.work()
+		h.runDue()
 		h.mu.Unlock()
 	}
 	if h.tap != nil {
@@ -133,19 +135,20 @@
 	conn.Close()
 }
 
-// record taps bytes that this end (0) or the router (1) sent.
-func (h *ISUPHost) record(who int, b []byte) {
+// recordBytes adds bytes to the capture; sender is 0 for this host and 1 for the router.
+func (h *ISUPHost) recordBytes(sender int, b []byte) {
 	if h.tap == nil {
 		return
 	}
-	at, a, z := time.Now(), h.parties[who], h.parties[1-who]
-	h.tap.Segment(at, a, z, h.seqs[who], b)
-	h.seqs[who] += uint32(len(b))
-	_ = h.cuts[who].Feed(b, func(m []byte) error { h.tap.Message(at, a, z, m); return nil }) // what is no M3UA is in the segment
+	at, from, to := time.Now(), h.parties[sender], h.parties[1-sender]
+	h.tap.Segment(at, from, to, h.streamOffsets[sender], b)
+	h.streamOffsets[sender] += uint32(len(b))
+	// Bytes that are not M3UA are recorded only in the segment.
+	_ = h.splitters[sender].Feed(b, func(m []byte) error { h.tap.Message(at, from, to, m); return nil })
 }
 
-// work does what is due and sets the deadline of the next read.
-func (h *ISUPHost) work() {
+// runDue runs all timers that are due and sets the deadline of the next read.
+func (h *ISUPHost) runDue() {
 	for again := true; again; {
 		now := h.now()
 		for e := h.queue.Due(now); e != nil; e = h.queue.Due(now) {
@@ -153,7 +156,7 @@
 		}
 		h.link.Advance(now)
 		h.group.Advance(now)
-		h.settle()
+		h.processEvents()
 		at, ok := h.queue.Next()
 		again = ok && at <= now
 	}
@@ -170,39 +173,39 @@
 	_ = h.conn.SetReadDeadline(deadline)
 }
 
-// settle carries what link and circuits did until all is quiet, and sends.
-func (h *ISUPHost) settle() {
+// processEvents handles the events of the association and the circuits, and sends their messages.
+func (h *ISUPHost) processEvents() {
 	if h.link == nil {
 		return
 	}
 	now := h.now()
 	for len(h.link.Events)+len(h.group.Events) > 0 {
 		for i := 0; i < len(h.link.Events); i++ {
-			h.linkEvent(now, h.link.Events[i])
+			h.handleLinkEvent(now, h.link.Events[i])
 		}
 		h.link.Events = h.link.Events[:0]
 		for i := 0; i < len(h.group.Events); i++ {
-			h.on(h.group.Events[i])
+			h.onEvent(h.group.Events[i])
 		}
 		h.group.Events = h.group.Events[:0]
 	}
 	for i := range h.group.Out {
 		o := &h.group.Out[i]
-		h.link.Send(m3ua.Data{OPC: h.cfg.OwnPointCode, DPC: h.cfg.FarPointCode, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
+		h.link.Send(m3ua.Data{OPC: h.config.OwnPointCode, DPC: h.config.FarPointCode, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
 	}
 	h.group.Out = h.group.Out[:0]
 	if len(h.link.Out) > 0 {
-		h.record(0, h.link.Out)
-		_, _ = h.conn.Write(h.link.Out) // a connection that is gone shows at the read
+		h.recordBytes(0, h.link.Out)
+		_, _ = h.conn.Write(h.link.Out) // a lost connection is detected by the read
 		h.link.Out = h.link.Out[:0]
 	}
 }
 
-func (h *ISUPHost) linkEvent(now time.Duration, e m3ua.Event) {
+func (h *ISUPHost) handleLinkEvent(now time.Duration, e m3ua.Event) {
 	switch e.Kind {
 	case m3ua.Activated:
-		if h.fresh {
-			h.fresh = false
+		if h.needsReset {
+			h.needsReset = false
 			h.group.ResetAll(now)
 		} else {
 			h.group.RetransmitPending(now)
@@ -214,177 +217,181 @@
 	}
 }
 
-// ISUPSwitch is a stand-in for the processor of an exchange that speaks ISUP: the same processor as Switch.
+// ISUPSwitch simulates the processor of an exchange that speaks ISUP. It behaves like Switch.
 type ISUPSwitch struct {
 	*ISUPHost
 	processor
-	life  int // starts so far
-	calls map[*isup.Call]bool
+	incarnation int // number of restarts
+	calls       map[*isup.Call]bool
 }
 
 // NewISUPSwitch starts a switch that connects to a router's M3UA address.
 func NewISUPSwitch(router netip.AddrPort, spec SwitchSpec, circuits isup.Config, seed uint64, tap *capture.Writer) *ISUPSwitch {
 	s := &ISUPSwitch{processor: newProcessor(spec, seed), calls: map[*isup.Call]bool{}}
 	s.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch, Exchange: spec.Exchange},
-		capture.Party{Kind: capture.Router, Exchange: spec.Exchange}, tap, circuits, s.event)
+		capture.Party{Kind: capture.Router, Exchange: spec.Exchange}, tap, circuits, s.handleEvent)
 	s.run()
 	return s
 }
 
-// Set changes how it misbehaves: Silent, Slow, Late, Reject and HangUpAt; datagrams are none of its matter.
+// Set sets the injected faults. Only Unresponsive, SlowFactor, AnswerDelay, RejectRate and HangUpRate have an
+// effect, since there are no datagrams to lose.
 func (s *ISUPSwitch) Set(f Faults) { s.Do(func() { s.faults = f }) }
 
-// Count reads the counters.
+// Count returns the counters.
 func (s *ISUPSwitch) Count() (st SwitchStats) {
 	s.Do(func() { st = s.Stats })
 	return st
 }
 
-func (s *ISUPSwitch) event(e isup.Event) {
+func (s *ISUPSwitch) handleEvent(e isup.Event) {
 	switch e.Kind {
 	case isup.Offered:
 		now := s.now()
-		wait, taken := s.enqueue(now)
+		wait, accepted := s.enqueue(now)
 		switch {
-		case s.fallen || s.faults.Unresponsive:
-		case !taken:
-			s.group.Release(now, e.Call, causeFull)
+		case s.collapsed || s.faults.Unresponsive:
+		case !accepted:
+			s.group.Release(now, e.Call, causeCongestion)
 		default:
-			s.after(wait, func() { s.looked(e.Call) })
+			s.after(wait, func() { s.handleSetUp(e.Call) })
 		}
 	case isup.Closed:
 		delete(s.calls, e.Call)
 	}
 }
 
-func (s *ISUPSwitch) looked(k *isup.Call) {
+// handleSetUp processes a set-up at the head of the queue.
+func (s *ISUPSwitch) handleSetUp(k *isup.Call) {
 	now := s.now()
 	switch {
-	case s.held:
+	case s.suspended:
 	case s.rng.Float64() < s.faults.RejectRate:
-		s.group.Release(now, k, causeFault)
+		s.group.Release(now, k, causeTemporaryFailure)
 	case len(s.calls) >= s.spec.Lines:
 		s.Stats.NoLine++
-		s.group.Release(now, k, causeNoLine)
+		s.group.Release(now, k, causeNoCircuit)
 	default:
 		s.calls[k] = true
 		s.after(s.spec.RingTime+s.faults.AnswerDelay, func() {
 			s.Stats.Answered++
 			s.group.Answer(s.now(), k)
 			if s.rng.Float64() < s.faults.HangUpRate {
-				s.group.Release(s.now(), k, causeRunning)
+				s.group.Release(s.now(), k, causeNormalClearing)
 			}
 		})
 	}
 }
 
-// ISUPCallers make whole calls over a group of circuits at a rate: for measurements.
+// ISUPCallers makes complete calls over a circuit group at a fixed rate, for measurements.
 type ISUPCallers struct {
 	*ISUPHost
-	rate      float64
-	hold      time.Duration
-	called    string
-	context   string
-	due       time.Duration
-	running   bool
-	calls     map[*isup.Call]*placed
-	answered  func(time.Duration)
-	Tries     int
-	Answered  int
-	NoCircuit int // no circuit was idle: not a try
+	rate       float64
+	hold       time.Duration
+	called     string
+	context    string
+	nextCallAt time.Duration
+	running    bool
+	calls      map[*isup.Call]*placedCall
+	answered   func(time.Duration)
+	Tries      int
+	Answered   int
+	NoCircuit  int // calls not made because no circuit was idle
 }
 
-type placed struct {
-	at    time.Duration
-	stood bool
+// placedCall is a call in progress.
+type placedCall struct {
+	at       time.Duration
+	answered bool
 }
 
-// NewISUPCallers connects to a router's M3UA address; Start begins to call.
+// NewISUPCallers connects to a router's M3UA address. Calls start with Start.
 func NewISUPCallers(router netip.AddrPort, circuits isup.Config, rate float64, hold time.Duration, called, context string,
 	answered func(time.Duration)) *ISUPCallers {
-	c := &ISUPCallers{rate: rate, hold: hold, called: called, context: context, answered: answered, calls: map[*isup.Call]*placed{}}
-	c.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch}, capture.Party{Kind: capture.Router}, nil, circuits, c.event)
+	c := &ISUPCallers{rate: rate, hold: hold, called: called, context: context, answered: answered, calls: map[*isup.Call]*placedCall{}}
+	c.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch}, capture.Party{Kind: capture.Router}, nil, circuits, c.handleEvent)
 	c.run()
 	return c
 }
 
-// Start begins to call.
+// Start starts the calls.
 func (c *ISUPCallers) Start() {
 	c.Do(func() {
-		c.running, c.due = true, c.now()
-		c.next()
+		c.running, c.nextCallAt = true, c.now()
+		c.scheduleNext()
 	})
 }
 
-// Stop makes no further calls.
+// Stop starts no further calls.
 func (c *ISUPCallers) Stop() { c.Do(func() { c.running = false }) }
 
-// Count reads the counters.
-func (c *ISUPCallers) Count() (tries, stood, noIdle int) {
-	c.Do(func() { tries, stood, noIdle = c.Tries, c.Answered, c.NoCircuit })
-	return tries, stood, noIdle
+// Count returns the counters.
+func (c *ISUPCallers) Count() (tries, answered, noCircuit int) {
+	c.Do(func() { tries, answered, noCircuit = c.Tries, c.Answered, c.NoCircuit })
+	return tries, answered, noCircuit
 }
 
-// next makes calls at even gaps.
-func (c *ISUPCallers) next() {
-	c.due += time.Duration(float64(time.Second) / c.rate)
-	c.after(c.due-c.now(), func() {
+// scheduleNext schedules the next call at a constant interval.
+func (c *ISUPCallers) scheduleNext() {
+	c.nextCallAt += time.Duration(float64(time.Second) / c.rate)
+	c.after(c.nextCallAt-c.now(), func() {
 		if !c.running {
 			return
 		}
 		if k := c.group.Seize(c.now(), isup.Request{Called: c.called, Calling: "77", Hops: -1, User: c.context}); k != nil {
 			c.Tries++
-			c.calls[k] = &placed{at: c.now()}
+			c.calls[k] = &placedCall{at: c.now()}
 		} else {
 			c.NoCircuit++
 		}
-		c.next()
+		c.scheduleNext()
 	})
 }
 
-func (c *ISUPCallers) event(e isup.Event) {
+func (c *ISUPCallers) handleEvent(e isup.Event) {
 	p := c.calls[e.Call]
 	if p == nil {
 		return
 	}
 	switch e.Kind {
 	case isup.Answered:
-		p.stood = true
+		p.answered = true
 		c.Answered++
 		c.answered(c.now() - p.at)
-		c.after(c.hold, func() { c.group.Release(c.now(), e.Call, causeRunning) })
+		c.after(c.hold, func() { c.group.Release(c.now(), e.Call, causeNormalClearing) })
 	case isup.Closed:
 		delete(c.calls, e.Call)
 	}
 }
 
-var errNoSignalling = errors.New("standin: no signalling in 10 s")
+var errNotActive = errors.New("standin: association not active within 10 s")
 
-// Await waits until signalling is up.
+// Await waits until the association is active. It returns an error after 10 s.
 func (h *ISUPHost) Await() error {
 	for limit := time.Now().Add(10 * time.Second); !h.Active(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
-			return errNoSignalling
+			return errNotActive
 		}
 	}
 	return nil
 }
 
-// ID names the processor that runs now.
+// ID returns the ID of the running processor.
 func (s *ISUPSwitch) ID() (id string) {
-	s.Do(func() { id = switchID(s.spec.Exchange, s.life) })
+	s.Do(func() { id = switchID(s.spec.Exchange, s.incarnation) })
 	return id
 }
 
-// Addr is that of no datagram socket: the switch connects.
+// Addr returns the zero AddrPort, since the switch does not listen.
 func (s *ISUPSwitch) Addr() netip.AddrPort { return netip.AddrPort{} }
 
-// Stop stops the processor: standing calls are cut, the association ends, and nothing is taken until Restart.
+// Stop stops the processor: standing calls are cut, the association ends, and no set-up is accepted until
+// Restart.
 func (s *ISUPSwitch) Stop() {
 	s.Do(func() {
-		s.cutAll(1)
-		s.settle()
-		s.held = true
+		s.cutShare(1)
+		s.processEvents()
+		s.suspended = true
 		if s.conn != nil {
 			s.conn.Close()
 		}
@@ -392,29 +399,30 @@
 }
 
 // CutCalls cuts a share of the standing calls.
-func (s *ISUPSwitch) CutCalls(share float64) { s.Do(func() { s.cutAll(share) }) }
+func (s *ISUPSwitch) CutCalls(share float64) { s.Do(func() { s.cutShare(share) }) }
 
-func (s *ISUPSwitch) cutAll(share float64) {
+func (s *ISUPSwitch) cutShare(share float64) {
 	all := slices.Collect(maps.Keys(s.calls))
 	slices.SortFunc(all, func(a, b *isup.Call) int { return int(a.CIC()) - int(b.CIC()) })
 	for _, k := range all {
 		if s.rng.Float64() < share {
-			s.group.Release(s.now(), k, causeFault)
+			s.group.Release(s.now(), k, causeTemporaryFailure)
 		}
 	}
 }
 
-// Restart starts a new processor, cold, which knows of no call and resets its circuits; it returns its id.
+// Restart starts a new, cold processor, which has no calls and resets its circuits. It returns the processor's
+// ID.
 func (s *ISUPSwitch) Restart() string {
 	s.Do(func() {
-		s.life++
-		s.group, s.fresh, s.held = isup.NewGroup(s.cfg), true, false
+		s.incarnation++
+		s.group, s.needsReset, s.suspended = isup.NewGroup(s.config), true, false
 		s.calls = map[*isup.Call]bool{}
 		s.restart(s.now())
 		if s.conn != nil {
-			s.conn.Close() // the new one makes an association of its own
+			s.conn.Close() // the new processor makes its own association
 		}
-		noteStart(s.tap, time.Now(), &s.spec, s.life)
+		recordStart(s.tap, time.Now(), &s.spec, s.incarnation)
 	})
-	return switchID(s.spec.Exchange, s.life)
+	return switchID(s.spec.Exchange, s.incarnation)
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -10,34 +10,35 @@
 	"pipitring/internal/capture"
 )
 
-// LinkFaults are what a link does to datagrams.
+// LinkFaults are the faults that a link injects.
 type LinkFaults struct {
 	Delay         time.Duration
-	Jitter        time.Duration // on top, evenly
-	LossRate      float64
-	DuplicateRate float64
-	Cut           bool
+	Jitter        time.Duration // added to Delay, uniformly distributed
+	LossRate      float64       // share of datagrams lost
+	DuplicateRate float64       // share of datagrams sent twice
+	Cut           bool          // nothing is forwarded
 }
 
-// Link joins two routers by two sockets: what one sends to its end comes out of the other. Each router knows the
-// other by the address of its own end, and the tap sees all that crosses.
+// Link relays datagrams between two routers over one socket per router. Each router knows the other by the
+// address of its own socket, and the tap records all datagrams.
 type Link struct {
-	ends [2]*linkEnd
-	tap  *capture.Writer
-	mu   sync.Mutex
-	f    LinkFaults
-	rng  *rand.Rand
-	wg   sync.WaitGroup
-	down bool
+	ends    [2]*linkEnd
+	tap     *capture.Writer
+	mu      sync.Mutex
+	faults  LinkFaults
+	rng     *rand.Rand
+	wg      sync.WaitGroup
+	closing bool
 }
 
+// linkEnd is the socket toward one of the routers.
 type linkEnd struct {
-	conn   *net.UDPConn
+	socket *net.UDPConn
 	party  capture.Party
-	router netip.AddrPort // where its router listens
+	router netip.AddrPort // address that the router listens on
 }
 
-// NewLink joins the routers of exchanges a and b that listen on the given addresses.
+// NewLink joins the routers of exchanges a and b, which listen on aAddr and bAddr.
 func NewLink(a, b int, aAddr, bAddr netip.AddrPort, seed uint64, tap *capture.Writer) (*Link, error) {
 	l := &Link{tap: tap, rng: rand.New(rand.NewPCG(seed, uint64(a)<<16|uint64(b)))}
 	for i, x := range []struct {
@@ -47,47 +48,48 @@
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			if i == 1 {
-				l.ends[0].conn.Close()
+				l.ends[0].socket.Close()
 			}
 			return nil, err
 		}
-		_ = conn.SetReadBuffer(socketRoom)
-		l.ends[i] = &linkEnd{conn: conn, party: capture.Party{Kind: capture.Router, Exchange: x.n}, router: x.addr}
+		_ = conn.SetReadBuffer(socketBufferBytes)
+		l.ends[i] = &linkEnd{socket: conn, party: capture.Party{Kind: capture.Router, Exchange: x.n}, router: x.addr}
 	}
 	for i := range l.ends {
-		l.wg.Go(func() { l.carry(l.ends[i], l.ends[1-i]) })
+		l.wg.Go(func() { l.relay(l.ends[i], l.ends[1-i]) })
 	}
 	return l, nil
 }
 
-// Ends are the addresses by which a knows b, and b knows a.
+// Ends returns the address by which a knows b, and the one by which b knows a.
 func (l *Link) Ends() (atA, atB netip.AddrPort) {
-	addr := func(e *linkEnd) netip.AddrPort { return e.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+	addr := func(e *linkEnd) netip.AddrPort { return e.socket.LocalAddr().(*net.UDPAddr).AddrPort() }
 	return addr(l.ends[0]), addr(l.ends[1])
 }
 
-// Set changes what the link does.
+// Set sets the injected faults.
 func (l *Link) Set(f LinkFaults) {
 	l.mu.Lock()
-	l.f = f
+	l.faults = f
 	l.mu.Unlock()
 }
 
-// Close ends the link.
+// Close closes both sockets and ends the relaying.
 func (l *Link) Close() {
 	l.mu.Lock()
-	l.down = true
+	l.closing = true
 	l.mu.Unlock()
 	for _, e := range l.ends {
-		e.conn.Close()
+		e.socket.Close()
 	}
 	l.wg.Wait()
 }
 
-func (l *Link) carry(from, to *linkEnd) {
-	buf := make([]byte, maxDatagram)
+// relay forwards datagrams in one direction until the link is closed.
+func (l *Link) relay(from, to *linkEnd) {
+	buf := make([]byte, maxDatagramBytes)
 	for {
-		n, src, err := from.conn.ReadFromUDPAddrPort(buf)
+		n, src, err := from.socket.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
@@ -98,13 +100,14 @@
 		if l.tap != nil {
 			l.tap.Datagram(at, from.party, to.party, buf[:n])
 		}
-		l.pass(to, buf[:n])
+		l.forward(to, buf[:n])
 	}
 }
 
-func (l *Link) pass(to *linkEnd, b []byte) {
+// forward sends a datagram with the injected faults.
+func (l *Link) forward(to *linkEnd, b []byte) {
 	l.mu.Lock()
-	f := l.f
+	f := l.faults
 	copies := 1
 	switch {
 	case f.Cut || f.LossRate > 0 && l.rng.Float64() < f.LossRate:
@@ -122,12 +125,12 @@
 	l.mu.Unlock()
 	for i := range copies {
 		if delays[i] == 0 {
-			_, _ = to.conn.WriteToUDPAddrPort(b, to.router)
+			_, _ = to.socket.WriteToUDPAddrPort(b, to.router)
 			continue
 		}
-		held := append([]byte(nil), b...)
+		copied := append([]byte(nil), b...)
 		time.AfterFunc(delays[i], func() {
-			_, _ = to.conn.WriteToUDPAddrPort(held, to.router) // a link closed by then has lost it
+			_, _ = to.socket.WriteToUDPAddrPort(copied, to.router) // lost if the link has been closed by then
 		})
 	}
 }
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -9,44 +9,45 @@
 	"pipitring/internal/iax2"
 )
 
-// Net is where hosts live: sockets and the system's clock, or a virtual network on a clock of its own.
+// Net is the network that hosts are on: system sockets with the system clock, or a virtual network with its own
+// clock.
 type Net interface {
-	Now() time.Duration // monotonic
+	Now() time.Duration // monotonic time
 	Wall() time.Time
-	RecordsPackets() bool // the network records what routers send; else hosts record it as it comes
-	// Open takes an address; r gets what comes to it and is told when it is due.
+	RecordsPackets() bool // whether the network records what routers send; otherwise hosts record it on receipt
+	// Open opens an address. Received datagrams and due wake-ups are passed to r.
 	Open(at netip.AddrPort, r PacketHandler) (Port, error)
 }
 
-// PacketHandler is what a Port brings datagrams to.
+// PacketHandler handles the datagrams and wake-ups of a Port.
 type PacketHandler interface {
 	Receive(from iax2.Addr, b []byte)
 	Due()
 }
 
-// Port is a host's way to the network. Wake and Woken are called under the host's lock.
+// Port is a host's connection to the network. SetWake and ClearWake are called with the host's lock held.
 type Port interface {
 	Addr() netip.AddrPort
 	Run()
 	Send(to iax2.Addr, b []byte)
-	SetWake(at time.Duration, any bool) // Due is wanted then, or never; an earlier wish stays
-	ClearWake()                         // the earlier wish is done
+	SetWake(at time.Duration, any bool) // schedules Due unless any is false; an earlier wake-up stays
+	ClearWake()                         // clears the wake-up
 	Close()
 }
 
-// Sockets is the network of the system, on loopback.
+// Sockets is the system's network, with UDP sockets on loopback.
 type Sockets struct{ start time.Time }
 
-// NewSockets returns the system's network; its clock starts now.
+// NewSockets returns the system's network. Its clock starts at 0.
 func NewSockets() *Sockets { return &Sockets{time.Now()} }
 
-// Now is the time since the start.
+// Now returns the time since NewSockets.
 func (s *Sockets) Now() time.Duration { return time.Since(s.start) }
 
-// Wall is the time of day.
+// Wall returns the time of day.
 func (s *Sockets) Wall() time.Time { return time.Now() }
 
-// RecordsPackets tells that sockets record nothing by themselves.
+// RecordsPackets returns false: sockets do not record packets.
 func (s *Sockets) RecordsPackets() bool { return false }
 
 // Open opens a UDP socket.
@@ -55,8 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(socketRoom) // what the system grants is enough
-	_ = conn.SetWriteBuffer(socketRoom)
+	_ = conn.SetReadBuffer(socketBufferBytes) // a smaller buffer is acceptable
+	_ = conn.SetWriteBuffer(socketBufferBytes)
 	return &socketPort{net: s, conn: conn, to: r, done: make(chan struct{})}, nil
 }
 
@@ -65,7 +66,7 @@
 	net    *Sockets
 	conn   *net.UDPConn
 	to     PacketHandler
-	wakeAt time.Duration // the read's deadline; 0 is none
+	wakeAt time.Duration // deadline of the read; 0 if none
 	done   chan struct{}
 }
 
@@ -74,7 +75,7 @@
 func (p *socketPort) Run() { go p.loop() }
 
 func (p *socketPort) Send(to iax2.Addr, b []byte) {
-	_, _ = p.conn.WriteToUDPAddrPort(b, to.AddrPort()) // a full socket loses it, as a network would
+	_, _ = p.conn.WriteToUDPAddrPort(b, to.AddrPort()) // dropped if the socket buffer is full, as a network would
 }
 
 func (p *socketPort) SetWake(at time.Duration, any bool) {
@@ -82,7 +83,7 @@
 	case any && (p.wakeAt == 0 || at < p.wakeAt):
 		p.wakeAt = max(at, 1)
 		_ = p.conn.SetReadDeadline(p.net.start.Add(at))
-	case p.wakeAt == 0: // the deadline that is over would let no read through
+	case p.wakeAt == 0: // an expired deadline would fail all further reads
 		_ = p.conn.SetReadDeadline(time.Time{})
 	}
 }
@@ -94,9 +95,10 @@
 	<-p.done
 }
 
+// loop passes datagrams and expired deadlines to the handler until the socket is closed.
 func (p *socketPort) loop() {
 	defer close(p.done)
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		switch {
@@ -112,6 +114,7 @@
 	}
 }
 
+// isTimeout reports whether an error is the expiry of a deadline.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,13 +13,13 @@
 	"pipitring/internal/jsonl"
 )
 
-// JSONPeer is one end of the platform's protocol on TCP: a connection that reads and writes lines.
+// JSONPeer is one end of a connection that speaks the platform's JSON lines protocol.
 type JSONPeer struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-// DialJSON connects as a caller does.
+// DialJSON connects to an address as a caller does.
 func DialJSON(to netip.AddrPort) (*JSONPeer, error) {
 	conn, err := net.Dial("tcp4", to.String())
 	if err != nil {
@@ -28,12 +28,12 @@
 	return NewJSONPeer(conn), nil
 }
 
-// NewJSONPeer speaks the protocol on a connection.
+// NewJSONPeer uses an existing connection.
 func NewJSONPeer(conn net.Conn) *JSONPeer {
 	return &JSONPeer{conn, bufio.NewReaderSize(conn, jsonl.MaxLine+1)}
 }
 
-// Send writes bytes as they are.
+// Send writes text unchanged.
 func (p *JSONPeer) Send(text string) error {
 	_, err := p.conn.Write([]byte(text))
 	return err
@@ -48,47 +48,49 @@
 	return jsonl.Parse(line[:len(line)-1])
 }
 
-// Conn is the connection beneath.
+// Conn returns the underlying connection.
 func (p *JSONPeer) Conn() net.Conn { return p.conn }
 
-// Close ends the connection.
+// Close closes the connection.
 func (p *JSONPeer) Close() error { return p.conn.Close() }
 
-// Reset ends the connection as a dying process does.
+// Reset closes the connection with a TCP reset, as the kernel does for a killed process.
 func (p *JSONPeer) Reset() error {
 	if tcp, ok := p.conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // if it cannot, the close is an ordinary one
+		_ = tcp.SetLinger(0) // if this fails, Close sends FIN instead
 	}
 	return p.conn.Close()
 }
 
-// PlatformSwitch is a switch on the platform: it tells its group on each connection and hands set-ups and releases to On.
+// PlatformSwitch simulates a switch of the platform. It reports its load on each connection and passes received
+// messages to On.
 type PlatformSwitch struct {
-	// On is called for every message, one connection at a time.
+	// On is called for every message, one at a time over all connections.
 	On func(p *JSONPeer, m jsonl.Message)
-	// Greet, if set, is called for each connection before anything is sent on it.
+	// Greet, if set, is called for each new connection before anything is sent on it.
 	Greet atomic.Pointer[func(p *JSONPeer)]
 
-	lis   net.Listener
+	listener   net.Listener
 	mu    sync.Mutex
 	peers map[*JSONPeer]bool
 	done  sync.WaitGroup
 }
 
-// StartPlatformSwitch listens at an address; port 0 is any.
+// StartPlatformSwitch listens on an address; port 0 selects a free one.
 func StartPlatformSwitch(at string, on func(p *JSONPeer, m jsonl.Message)) (*PlatformSwitch, error) {
-	lis, err := net.Listen("tcp4", at)
+	listener, err := net.Listen("tcp4", at)
 	if err != nil {
 		return nil, err
 	}
-	s := &PlatformSwitch{On: on, lis: lis, peers: map[*JSONPeer]bool{}}
-	s.done.Go(func() { acceptAll(lis, s.serve, &s.done) })
+	s := &PlatformSwitch{On: on, listener: listener, peers: map[*JSONPeer]bool{}}
+	s.done.Go(func() { acceptAll(listener, s.serve, &s.done) })
 	return s, nil
 }
 
-func acceptAll(lis net.Listener, serve func(net.Conn), done *sync.WaitGroup) {
+// acceptAll serves each incoming connection in a goroutine until the listener is closed.
+func acceptAll(listener net.Listener, serve func(net.Conn), done *sync.WaitGroup) {
 	for {
-		conn, err := lis.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -96,6 +98,7 @@
 	}
 }
 
+// serve reports the load on a connection and passes its messages to On until it ends.
 func (s *PlatformSwitch) serve(conn net.Conn) {
 	p := NewJSONPeer(conn)
 	s.mu.Lock()
@@ -124,19 +127,19 @@
 	}
 }
 
-// Addr is where it listens.
-func (s *PlatformSwitch) Addr() netip.AddrPort { return s.lis.Addr().(*net.TCPAddr).AddrPort() }
+// Addr returns the address that the switch listens on.
+func (s *PlatformSwitch) Addr() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
 
 // Broadcast sends a line on every connection.
 func (s *PlatformSwitch) Broadcast(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for p := range s.peers {
-		_ = p.Send(line) // a lost connection shows where it is read
+		_ = p.Send(line) // a lost connection is detected by its reader
 	}
 }
 
-// Reset resets every connection; the switch goes on.
+// Reset resets every connection. The switch accepts new ones.
 func (s *PlatformSwitch) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,34 +148,35 @@
 	}
 }
 
-// Kill ends the switch as its process's death does.
+// Kill stops listening and resets every connection, as if the process was killed.
 func (s *PlatformSwitch) Kill() {
-	_ = s.lis.Close()
+	_ = s.listener.Close()
 	s.Reset()
 	s.done.Wait()
 }
 
-// PlatformCoordinator tells numbered events to whoever connects.
+// PlatformCoordinator simulates the coordinator: it sends numbered events to its clients.
 type PlatformCoordinator struct {
-	lis    net.Listener
-	mu     sync.Mutex
-	events []coordinator.Event
-	conns  map[net.Conn]bool
-	asked  []uint64
-	done   sync.WaitGroup
+	listener           net.Listener
+	mu            sync.Mutex
+	events        []coordinator.Event
+	conns         map[net.Conn]bool
+	requestedFrom []uint64
+	done          sync.WaitGroup
 }
 
-// StartPlatformCoordinator listens on loopback; it has nothing to tell yet.
+// StartPlatformCoordinator listens on loopback, with no events.
 func StartPlatformCoordinator() (*PlatformCoordinator, error) {
-	lis, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &PlatformCoordinator{lis: lis, conns: map[net.Conn]bool{}}
-	c.done.Go(func() { acceptAll(lis, c.serve, &c.done) })
+	c := &PlatformCoordinator{listener: listener, conns: map[net.Conn]bool{}}
+	c.done.Go(func() { acceptAll(listener, c.serve, &c.done) })
 	return c, nil
 }
 
+// serve sends a client the events after the number that it asked for, and keeps the connection for later ones.
 func (c *PlatformCoordinator) serve(conn net.Conn) {
 	defer conn.Close()
 	var last [8]byte
@@ -181,14 +185,14 @@
 	}
 	c.mu.Lock()
 	from := binary.BigEndian.Uint64(last[:])
-	c.asked = append(c.asked, from)
+	c.requestedFrom = append(c.requestedFrom, from)
 	var b []byte
 	for _, ev := range c.events {
 		if ev.Index > from {
 			b = coordinator.AppendFrame(b, ev)
 		}
 	}
-	_, _ = conn.Write(coordinator.AppendHeartbeat(b, from)) // a lost connection shows at the read below
+	_, _ = conn.Write(coordinator.AppendHeartbeat(b, from)) // a lost connection is detected by the read below
 	c.conns[conn] = true
 	c.mu.Unlock()
 	_, _ = conn.Read(last[:])
@@ -197,7 +201,7 @@
 	c.mu.Unlock()
 }
 
-// Publish adds an event and sends it to all that are connected.
+// Publish adds an event and sends it to all connected clients.
 func (c *PlatformCoordinator) Publish(ev coordinator.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,19 +211,19 @@
 	}
 }
 
-// RequestedFrom lists the numbers that connections began with.
+// RequestedFrom returns the event numbers that clients asked to continue from, in order of connection.
 func (c *PlatformCoordinator) RequestedFrom() []uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]uint64(nil), c.asked...)
+	return append([]uint64(nil), c.requestedFrom...)
 }
 
-// Addr is where it listens.
-func (c *PlatformCoordinator) Addr() netip.AddrPort { return c.lis.Addr().(*net.TCPAddr).AddrPort() }
+// Addr returns the address that the coordinator listens on.
+func (c *PlatformCoordinator) Addr() netip.AddrPort { return c.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-// Stop ends it and its connections.
+// Stop closes the listener and all connections.
 func (c *PlatformCoordinator) Stop() {
-	_ = c.lis.Close()
+	_ = c.listener.Close()
 	c.mu.Lock()
 	for conn := range c.conns {
 		_ = conn.Close()
@@ -228,7 +232,7 @@
 	c.done.Wait()
 }
 
-// PlatformConfig writes the configuration of a proxy of exchange 0; the switches are those of exchanges 1, 2 and so on.
+// PlatformConfig returns the configuration of a proxy of exchange 0 with switches at exchanges 1, 2 and so on.
 func PlatformConfig(listen, coord netip.AddrPort, sockets int, switches ...netip.AddrPort) []byte {
 	list := ""
 	for i, a := range switches {
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -14,32 +14,33 @@
 	"time"
 )
 
-// ReceiverFaults are how a Receiver misbehaves; each counts down to 0 as it is used.
+// ReceiverFaults are faults that a Receiver injects. The counts go down as they are used.
 type ReceiverFaults struct {
-	CutAfter    int // the next PATCH is cut off after this many bytes, which are kept
-	Cuts        int // this many times
-	LoseAnswers int // answers to PATCH that are lost after its bytes were kept
-	LoseCreated int // answers to POST that are lost after the upload was made
+	CutAfter    int // bytes of a PATCH that are stored before its connection is cut
+	Cuts        int // number of PATCH requests to cut
+	LoseAnswers int // PATCH requests that are stored but not answered
+	LoseCreated int // POST requests that create an upload but are not answered
 	Delay       time.Duration
-	Refuse      int // requests answered with 503
+	Refuse      int // requests to answer with 503
 }
 
-// Receiver stands in for a receiver of exported files: tus 1.0.0 with the creation extension. A batch that it holds is
-// taken once; the same batch again, by its metadata, changes nothing.
+// Receiver simulates a receiver of exported files: tus 1.0.0 with the creation extension. It identifies batches
+// by their metadata and stores each once.
 type Receiver struct {
 	srv *http.Server
 	ln  net.Listener
 	wg  sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  ReceiverFaults
-	uploads map[string]*upload
-	made    int
-	batches map[string]Batch // complete ones, by router and batch
-	again   int              // batches that came complete more than once
-	bad     []string
+	mu         sync.Mutex
+	faults     ReceiverFaults
+	uploads    map[string]*upload
+	created    int
+	batches    map[string]Batch // complete batches, by router and batch
+	duplicates int              // repeats of complete batches
+	violations []string
 }
 
+// upload is an upload that has been created.
 type upload struct {
 	length int
 	meta   map[string]string
@@ -61,57 +62,59 @@
 	r := &Receiver{ln: ln, uploads: map[string]*upload{}, batches: map[string]Batch{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /files", r.create)
-	mux.HandleFunc("HEAD /files/{id}", r.offset)
+	mux.HandleFunc("HEAD /files/{id}", r.head)
 	mux.HandleFunc("PATCH /files/{id}", r.patch)
-	r.srv = &http.Server{Handler: r.around(mux), ReadHeaderTimeout: 5 * time.Second}
+	r.srv = &http.Server{Handler: r.withFaults(mux), ReadHeaderTimeout: 5 * time.Second}
 	r.wg.Go(func() { _ = r.srv.Serve(ln) }) // ends with Close
 	return r, nil
 }
 
-// URL is where uploads are made.
+// URL returns the URL at which uploads are created.
 func (r *Receiver) URL() string { return fmt.Sprintf("http://%v/files", r.ln.Addr()) }
 
-// Close ends the receiver.
+// Close stops the receiver.
 func (r *Receiver) Close() {
 	_ = r.srv.Close()
 	r.wg.Wait()
 }
 
-// Set sets its faults.
+// Set sets the injected faults.
 func (r *Receiver) Set(f ReceiverFaults) {
 	r.mu.Lock()
 	r.faults = f
 	r.mu.Unlock()
 }
 
-// DropUploads loses all uploads, complete or not; what was taken stays taken.
+// DropUploads discards all uploads, but no complete batches.
 func (r *Receiver) DropUploads() {
 	r.mu.Lock()
 	clear(r.uploads)
 	r.mu.Unlock()
 }
 
-// Batches are the complete ones, Again how often a complete one came once more, Bad what broke the protocol.
-func (r *Receiver) Batches() (got map[string]Batch, again int, bad []string) {
+// Batches returns the complete batches, the number of repeats of complete batches, and the protocol violations
+// found.
+func (r *Receiver) Batches() (batches map[string]Batch, duplicates int, violations []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	got = map[string]Batch{}
+	batches = map[string]Batch{}
 	for k, v := range r.batches {
-		got[k] = v
+		batches[k] = v
 	}
-	return got, r.again, append([]string(nil), r.bad...)
+	return batches, r.duplicates, append([]string(nil), r.violations...)
 }
 
-func (r *Receiver) around(next http.Handler) http.Handler {
+// withFaults wraps a handler with the injected faults and checks the protocol version.
+func (r *Receiver) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.mu.Lock()
-		late, refuse := r.faults.Delay, r.faults.Refuse > 0
+		delay, refuse := r.faults.Delay, r.faults.Refuse > 0
 		if refuse {
 			r.faults.Refuse--
 		}
 		r.mu.Unlock()
-		if late > 0 {
-			t := time.NewTimer(late)
+		if delay > 0 {
+			t := time.NewTimer(delay)
 			defer t.Stop()
 			select {
 			case <-t.C:
@@ -123,7 +126,7 @@
 		case refuse:
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		case q.Header.Get("Tus-Resumable") != "1.0.0":
-			r.complain("no Tus-Resumable: 1.0.0")
+			r.addViolation("no Tus-Resumable: 1.0.0")
 			http.Error(w, "version", http.StatusPreconditionFailed)
 		default:
 			next.ServeHTTP(w, q)
@@ -131,16 +134,18 @@
 	})
 }
 
-func (r *Receiver) complain(format string, args ...any) {
+// addViolation records a protocol violation of the sender.
+func (r *Receiver) addViolation(format string, args ...any) {
 	r.mu.Lock()
-	r.bad = append(r.bad, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
+// create handles POST: it creates an upload.
 func (r *Receiver) create(w http.ResponseWriter, q *http.Request) {
 	length, err := strconv.Atoi(q.Header.Get("Upload-Length"))
 	if err != nil || length < 0 {
-		r.complain("Upload-Length %q", q.Header.Get("Upload-Length"))
+		r.addViolation("Upload-Length %q", q.Header.Get("Upload-Length"))
 		http.Error(w, "Upload-Length", http.StatusBadRequest)
 		return
 	}
@@ -149,13 +154,13 @@
 		key, value, _ := strings.Cut(strings.TrimSpace(part), " ")
 		text, err := base64.StdEncoding.DecodeString(value)
 		if err != nil || key == "" {
-			r.complain("Upload-Metadata %q", part)
+			r.addViolation("Upload-Metadata %q", part)
 		}
 		meta[key] = string(text)
 	}
 	r.mu.Lock()
-	r.made++
-	id := fmt.Sprintf("u%d", r.made)
+	r.created++
+	id := fmt.Sprintf("u%d", r.created)
 	r.uploads[id] = &upload{length: length, meta: meta}
 	lose := r.faults.LoseCreated > 0
 	if lose {
@@ -170,14 +175,15 @@
 	w.WriteHeader(http.StatusCreated)
 }
 
-// hangUp closes the connection without an answer.
+// hangUp closes the connection without a response.
 func hangUp(w http.ResponseWriter) {
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		_ = c.Close()
 	}
 }
 
-func (r *Receiver) find(w http.ResponseWriter, q *http.Request) *upload {
+// findUpload returns the upload of a request, or answers 404 and returns nil.
+func (r *Receiver) findUpload(w http.ResponseWriter, q *http.Request) *upload {
 	u := r.uploads[q.PathValue("id")]
 	if u == nil {
 		w.WriteHeader(http.StatusNotFound)
@@ -185,10 +191,11 @@
 	return u
 }
 
-func (r *Receiver) offset(w http.ResponseWriter, q *http.Request) {
+// head handles HEAD: it returns the offset of an upload.
+func (r *Receiver) head(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u := r.find(w, q); u != nil {
+	if u := r.findUpload(w, q); u != nil {
 		w.Header().Set("Upload-Offset", strconv.Itoa(len(u.data)))
 		w.Header().Set("Upload-Length", strconv.Itoa(u.length))
 		w.Header().Set("Cache-Control", "no-store")
@@ -196,6 +203,7 @@
 	}
 }
 
+// patch handles PATCH: it appends to an upload.
 func (r *Receiver) patch(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	cut := -1
@@ -204,24 +212,24 @@
 		cut = r.faults.CutAfter
 	}
 	r.mu.Unlock()
-	body, _ := io.ReadAll(q.Body) // a part is kept as far as it came
+	body, _ := io.ReadAll(q.Body) // a partial body is stored as far as it was received
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.find(w, q)
+	u := r.findUpload(w, q)
 	if u == nil {
 		return
 	}
 	at, err := strconv.Atoi(q.Header.Get("Upload-Offset"))
 	switch {
 	case q.Header.Get("Content-Type") != "application/offset+octet-stream":
-		r.bad = append(r.bad, "Content-Type "+q.Header.Get("Content-Type"))
+		r.violations = append(r.violations, "Content-Type "+q.Header.Get("Content-Type"))
 		w.WriteHeader(http.StatusUnsupportedMediaType)
 		return
 	case err != nil || at != len(u.data):
 		w.WriteHeader(http.StatusConflict)
 		return
 	case at+len(body) > u.length:
-		r.bad = append(r.bad, "more than the upload's length")
+		r.violations = append(r.violations, "PATCH exceeds the upload's length")
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -243,18 +251,18 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// complete takes a whole batch, once.
+// complete stores a complete batch, unless the same batch is stored already.
 func (r *Receiver) complete(u *upload) {
 	sum := sha256.Sum256(u.data)
 	if hex.EncodeToString(sum[:]) != u.meta["sha256"] {
-		r.bad = append(r.bad, "checksum of "+u.meta["filename"])
+		r.violations = append(r.violations, "checksum mismatch of "+u.meta["filename"])
 		return
 	}
 	key := u.meta["router"] + "/" + u.meta["batch"]
-	if had, ok := r.batches[key]; ok {
-		r.again++
-		if had.Meta["sha256"] != u.meta["sha256"] {
-			r.bad = append(r.bad, "two contents of batch "+key)
+	if stored, ok := r.batches[key]; ok {
+		r.duplicates++
+		if stored.Meta["sha256"] != u.meta["sha256"] {
+			r.violations = append(r.violations, "conflicting contents of batch "+key)
 		}
 		return
 	}
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -14,7 +14,7 @@
 	"pipitring/internal/capture"
 )
 
-// ListEntry is one exchange as the register lists it.
+// ListEntry is an exchange list entry of one processor.
 type ListEntry struct {
 	ID       string
 	Exchange int
@@ -24,8 +24,9 @@
 	Switch   netip.AddrPort
 }
 
-// DiscoveryServer stands in for the register: the published form of Consul's health API with blocking queries. Each
-// router has a path of its own (/router/3), since it knows the others by addresses of its own, and can be told late.
+// DiscoveryServer simulates service discovery: the published form of Consul's health API with blocking queries.
+// Each router has its own path (/router/3), since it knows the others by its own addresses, and can be sent
+// updates late.
 type DiscoveryServer struct {
 	srv  *http.Server
 	ln   net.Listener
@@ -33,23 +34,23 @@
 	addr func(viewer, exchange int) netip.AddrPort
 	wg   sync.WaitGroup
 
-	mu      sync.Mutex
-	index   uint64
-	views   map[int]*view
-	gone    bool
-	stopped chan struct{}
+	mu          sync.Mutex
+	index       uint64
+	views       map[int]*view
+	unavailable bool
+	stopped     chan struct{}
 }
 
-// view is the list as one router may know it.
+// view is the exchange list as one router sees it.
 type view struct {
-	index   uint64
-	lines   []ListEntry
-	changed chan struct{}
-	lag     time.Duration
-	last    time.Time // when the newest list becomes known, so that none overtakes another
+	index         uint64
+	entries       []ListEntry
+	changed       chan struct{}
+	lag           time.Duration
+	lastPublished time.Time // when the newest list becomes visible, so that updates stay in order
 }
 
-// NewDiscoveryServer starts a register; addr tells by which address a router knows an exchange.
+// NewDiscoveryServer starts a server. addr returns the address by which the router viewer knows an exchange.
 func NewDiscoveryServer(tap *capture.Writer, addr func(viewer, exchange int) netip.AddrPort) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,18 +64,19 @@
 	return r, nil
 }
 
-// URL is where a router asks.
+// URL returns the base URL for a router.
 func (r *DiscoveryServer) URL(router int) string {
 	return fmt.Sprintf("http://%v/router/%d", r.ln.Addr(), router)
 }
 
-// Close ends the register.
+// Close stops the server.
 func (r *DiscoveryServer) Close() {
 	close(r.stopped)
 	_ = r.srv.Close()
 	r.wg.Wait()
 }
 
+// view returns the view of a router. It must be called with the lock held.
 func (r *DiscoveryServer) view(router int) *view {
 	v := r.views[router]
 	if v == nil {
@@ -84,26 +86,26 @@
 	return v
 }
 
-// Lag makes a router learn of later changes so much later.
+// Lag sets the delay with which later updates become visible to a router.
 func (r *DiscoveryServer) Lag(router int, d time.Duration) {
 	r.mu.Lock()
 	r.view(router).lag = d
 	r.mu.Unlock()
 }
 
-// Gone makes the register answer nothing but errors, queries that wait included, or serve again.
+// Gone makes the server answer all queries with errors, including waiting ones, or ends that.
 func (r *DiscoveryServer) Gone(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone = on
+	r.unavailable = on
 	for _, v := range r.views {
 		close(v.changed)
 		v.changed = make(chan struct{})
 	}
 }
 
-// Publish makes a list known, to each router after its lag.
-func (r *DiscoveryServer) Publish(routers int, lines []ListEntry) {
+// Publish publishes an exchange list to routers 0 to routers-1, each after its lag.
+func (r *DiscoveryServer) Publish(routers int, entries []ListEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.index++
@@ -111,31 +113,31 @@
 	for n := range routers {
 		v := r.view(n)
 		at := time.Now().Add(v.lag)
-		if at.Before(v.last) {
-			at = v.last
+		if at.Before(v.lastPublished) {
+			at = v.lastPublished
 		}
-		v.last = at
-		show := func() {
+		v.lastPublished = at
+		publish := func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if index <= v.index {
 				return
 			}
-			v.index, v.lines = index, lines
+			v.index, v.entries = index, entries
 			close(v.changed)
 			v.changed = make(chan struct{})
 		}
 		if wait := time.Until(at); wait > 0 {
-			time.AfterFunc(wait, show)
+			time.AfterFunc(wait, publish)
 		} else {
 			r.mu.Unlock()
-			show()
+			publish()
 			r.mu.Lock()
 		}
 	}
 }
 
-// health is an answer's element in the published form.
+// health is an element of a response in the published form.
 type health struct {
 	Service service `json:"Service"`
 	Checks  []check `json:"Checks"`
@@ -154,62 +156,63 @@
 	Status  string `json:"Status"`
 }
 
+// serve answers a blocking query of a router.
 func (r *DiscoveryServer) serve(w http.ResponseWriter, q *http.Request) {
 	router, err := strconv.Atoi(q.PathValue("router"))
 	if err != nil {
 		http.Error(w, "router: not a number", http.StatusBadRequest)
 		return
 	}
-	after, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64) // none is 0, as Consul has it
+	after, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64) // a missing index is 0, as in Consul
 	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
 	if err != nil || wait <= 0 {
 		wait = 5 * time.Minute
 	}
-	index, lines, ok := r.await(q.Context(), router, after, wait)
+	index, entries, ok := r.await(q.Context(), router, after, wait)
 	if !ok {
 		http.Error(w, "closing", http.StatusServiceUnavailable)
 		return
 	}
 	var out []health
-	told := capture.List{Router: router}
-	for _, l := range lines {
-		a := r.addr(router, l.Exchange)
-		sw := ""
-		if l.Switch.IsValid() {
-			sw = l.Switch.String()
+	list := capture.List{Router: router}
+	for _, e := range entries {
+		a := r.addr(router, e.Exchange)
+		switchAddr := ""
+		if e.Switch.IsValid() {
+			switchAddr = e.Switch.String()
 		}
-		status := map[string]string{"ready": "passing", "draining": "warning", "gone": "critical"}[l.Phase]
-		out = append(out, health{service{l.ID, "exchange", a.Addr().String(), a.Port(), map[string]string{
-			"number": strconv.Itoa(l.Exchange), "zone": l.Zone, "started": l.Started.Format(time.RFC3339Nano),
-			"switch": sw}}, []check{{"processor", status}}})
-		told.Phases = append(told.Phases, capture.Phase{ID: l.ID, Exchange: l.Exchange, Phase: l.Phase})
+		status := map[string]string{"ready": "passing", "draining": "warning", "gone": "critical"}[e.Phase]
+		out = append(out, health{service{e.ID, "exchange", a.Addr().String(), a.Port(), map[string]string{
+			"number": strconv.Itoa(e.Exchange), "zone": e.Zone, "started": e.Started.Format(time.RFC3339Nano),
+			"switch": switchAddr}}, []check{{"processor", status}}})
+		list.Phases = append(list.Phases, capture.Phase{ID: e.ID, Exchange: e.Exchange, Phase: e.Phase})
 	}
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if r.tap != nil && index > after {
-		r.tap.Notice(time.Now(), capture.Notice{List: &told})
+		r.tap.Notice(time.Now(), capture.Notice{List: &list})
 	}
-	_ = json.NewEncoder(w).Encode(out) // a router that left asks again
+	_ = json.NewEncoder(w).Encode(out) // a router that closed the connection asks again
 }
 
-// await blocks until the router's view has passed an index.
+// await blocks until the router's view is newer than an index.
 func (r *DiscoveryServer) await(ctx context.Context, router int, after uint64, wait time.Duration) (uint64, []ListEntry, bool) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for {
 		r.mu.Lock()
 		v := r.view(router)
-		index, lines, changed, gone := v.index, v.lines, v.changed, r.gone
+		index, entries, changed, unavailable := v.index, v.entries, v.changed, r.unavailable
 		r.mu.Unlock()
-		if gone {
+		if unavailable {
 			return 0, nil, false
 		}
 		if index > after {
-			return index, lines, true
+			return index, entries, true
 		}
 		select {
 		case <-changed:
 		case <-limit.C:
-			return max(index, 1), lines, index > 0
+			return max(index, 1), entries, index > 0
 		case <-ctx.Done():
 			return 0, nil, false
 		case <-r.stopped:
--- a/internal/standin/register_test.go
+++ b/internal/standin/register_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestHealthAnswerKeepsItsKeys guards against a field whose key in the register's answer changes with its Go name.
+// TestHealthAnswerKeepsItsKeys guards against a change of a JSON key in the service discovery response when its
+// Go field is renamed.
 func TestHealthAnswerKeepsItsKeys(t *testing.T) {
 	const want = `{"Service":{"ID":"a","Service":"exchange","Address":"127.0.0.1","Port":4569,"Meta":{"number":"1"}},` +
 		`"Checks":[{"CheckID":"processor","Status":"passing"}]}`
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -11,22 +11,23 @@
 	"pipitring/internal/m3ua"
 )
 
-// StreamLink carries the M3UA association of two routers: the router of one exchange connects to its address, and it
-// connects on to the other. What is read at once is passed on in pieces, since a stream keeps no bounds.
+// StreamLink relays the M3UA connection of two routers: one connects to its address, and it connects to the
+// other. It forwards the bytes of one read in two pieces, since a TCP stream does not preserve message
+// boundaries.
 type StreamLink struct {
 	ln      *net.TCPListener
-	parties [2]capture.Party // who connects, and to whom
+	parties [2]capture.Party // the connecting and the listening router
 	target  netip.AddrPort
 	tap     *capture.Writer
 	mu      sync.Mutex
 	rng     *rand.Rand
-	f       LinkFaults
+	faults  LinkFaults
 	conns   map[net.Conn]bool
 	closing bool
 	wg      sync.WaitGroup
 }
 
-// NewStreamLink listens for the router of exchange a and passes on to that of exchange b, which listens at target.
+// NewStreamLink listens for the router of exchange a and connects to the router of exchange b at target.
 func NewStreamLink(a, b int, target netip.AddrPort, seed uint64, tap *capture.Writer) (*StreamLink, error) {
 	ln, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
@@ -38,14 +39,15 @@
 	return l, nil
 }
 
-// Addr is where the one router connects.
+// Addr returns the address that the link listens on.
 func (l *StreamLink) Addr() netip.AddrPort { return l.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Set changes what the link does: a cut resets its connections and takes no others. Loss is TCP's own to mend.
+// Set sets the injected faults. Cut resets all connections and rejects new ones. Loss has no effect, since TCP
+// would repair it.
 func (l *StreamLink) Set(f LinkFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.f = f
+	l.faults = f
 	if f.Cut {
 		for c := range l.conns {
 			reset(c)
@@ -53,14 +55,15 @@
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // RST instead of FIN
+		_ = t.SetLinger(0) // sends RST instead of FIN
 	}
 	c.Close()
 }
 
-// Close ends the link.
+// Close closes the listener and all connections.
 func (l *StreamLink) Close() {
 	l.mu.Lock()
 	l.closing = true
@@ -72,11 +75,12 @@
 	l.wg.Wait()
 }
 
-// keep holds a connection for Set and Close; false if it is not to live.
-func (l *StreamLink) keep(c net.Conn) bool {
+// track registers a connection for Set and Close. It resets the connection and returns false if the link is cut
+// or closing.
+func (l *StreamLink) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closing || l.f.Cut {
+	if l.closing || l.faults.Cut {
 		reset(c)
 		return false
 	}
@@ -84,66 +88,69 @@
 	return true
 }
 
-func (l *StreamLink) drop(c net.Conn) {
+// untrack closes a connection and forgets it.
+func (l *StreamLink) untrack(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	c.Close()
 }
 
+// accept relays each incoming connection until Close.
 func (l *StreamLink) accept() {
 	for {
 		from, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		if !l.keep(from) {
+		if !l.track(from) {
 			continue
 		}
 		l.wg.Go(func() {
-			defer l.drop(from)
+			defer l.untrack(from)
 			to, err := net.DialTimeout("tcp4", l.target.String(), time.Second)
-			if err != nil || !l.keep(to) {
+			if err != nil || !l.track(to) {
 				return
 			}
-			defer l.drop(to)
+			defer l.untrack(to)
 			var both sync.WaitGroup
-			both.Go(func() { l.carry(from, to, 0); reset(to) })
-			both.Go(func() { l.carry(to, from, 1); reset(from) })
+			both.Go(func() { l.relay(from, to, 0); reset(to) })
+			both.Go(func() { l.relay(to, from, 1); reset(from) })
 			both.Wait()
 		})
 	}
 }
 
-// carry passes one direction on until either end is gone; who is the end that it reads from.
-func (l *StreamLink) carry(from, to net.Conn, who int) {
-	var cut m3ua.Stream
+// relay forwards one direction until either end is closed; sender is the index of the sending end.
+func (l *StreamLink) relay(from, to net.Conn, sender int) {
+	var splitter m3ua.Stream
 	buf := make([]byte, 16<<10)
 	seq := uint32(0)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			if l.tap != nil {
-				l.tap.Reset(time.Now(), l.parties[who], l.parties[1-who])
+				l.tap.Reset(time.Now(), l.parties[sender], l.parties[1-sender])
 			}
 			return
 		}
 		if l.tap != nil {
-			at, a, b := time.Now(), l.parties[who], l.parties[1-who]
+			at, a, b := time.Now(), l.parties[sender], l.parties[1-sender]
 			l.tap.Segment(at, a, b, seq, buf[:n])
-			_ = cut.Feed(buf[:n], func(m []byte) error { l.tap.Message(at, a, b, m); return nil }) // what is no M3UA is in the segment
+			// Bytes that are not M3UA are recorded only in the segment.
+			_ = splitter.Feed(buf[:n], func(m []byte) error { l.tap.Message(at, a, b, m); return nil })
 		}
 		seq += uint32(n)
-		if !l.pass(to, buf[:n]) {
+		if !l.forward(to, buf[:n]) {
 			return
 		}
 	}
 }
 
-// pass writes bytes in pieces, after the link's delay.
-func (l *StreamLink) pass(to net.Conn, b []byte) bool {
+// forward writes bytes in two pieces, after the link's delay.
+func (l *StreamLink) forward(to net.Conn, b []byte) bool {
 	l.mu.Lock()
-	delay := l.f.Delay
+	delay := l.faults.Delay
 	first := 1 + l.rng.IntN(len(b))
 	l.mu.Unlock()
 	if delay > 0 {
