--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -32,7 +32,8 @@
 	}
 	s := Settings{Seed: 7, Groups: groups, Plan: plan, AnswerMargin: 50 * ms, DrainGrace: time.Second,
 		Patience: []time.Duration{3 * time.Second, 2 * time.Second},
-		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms, ColdCapacity: 0.3,
+		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms,
+			ColdCapacity: 0.3,
 			ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
 				{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1},
 				{HoldTime: 7 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 6 * time.Second, Value: 5}}}}
--- a/internal/call/flow.go
+++ b/internal/call/flow.go
@@ -83,7 +83,8 @@
 	ended.Attempt = k.attempts
 	k.attempts++
 	k.lastOutcome, k.lastCause = decide.NotSent, 0
-	k.attemptRecords = append(k.attemptRecords, Attempt{Exchange: decide.Unknown, Processor: a.Exchange, Sent: now, Outcome: decide.NotSent})
+	k.attemptRecords = append(k.attemptRecords, Attempt{Exchange: decide.Unknown, Processor: a.Exchange, Sent: now,
+		Outcome: decide.NotSent})
 	record := &k.attemptRecords[len(k.attemptRecords)-1]
 	x := c.exchanges[a.Exchange]
 	if x != nil {
@@ -388,7 +389,8 @@
 	r.Call, r.CallSeq, r.RecordSeq = k.id, k.seq, c.lastRecordSeq
 	r.Origin, r.Bearer = k.origin.Exchange, k.origin.Bearer
 	r.Class, r.Tenant, r.Dest, r.Width, r.Transit = k.class, k.tenant, k.dest, k.width, k.transit
-	r.Offered, r.Called, r.Calling, r.User, r.Context = k.offered, k.request.Called, k.request.Calling, k.request.User, k.request.Context
+	r.Offered, r.Called, r.Calling, r.User, r.Context = k.offered, k.request.Called, k.request.Calling,
+		k.request.User, k.request.Context
 	r.Attempts = k.attemptRecords
 	if r.Kind == AnswerRecord {
 		r.Attempts = slices.Clone(k.attemptRecords) // the call is still changing its own copy
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -107,11 +107,11 @@
 
 // New returns a front without associations.
 func New(core *call.Core, c Config) *Front {
-	f := &Front{core: core, config: c, groupByPointCode: map[uint32]*group{}, conns: map[ConnID]*conn{}, legs: map[call.LegID]*leg{},
-		routes: map[decide.ExchangeID]*group{}}
+	f := &Front{core: core, config: c, groupByPointCode: map[uint32]*group{}, conns: map[ConnID]*conn{},
+		legs: map[call.LegID]*leg{}, routes: map[decide.ExchangeID]*group{}}
 	for _, gc := range c.Groups {
-		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), ownPointCode: gc.Circuits.OwnPointCode, legs: map[*isup.Call]*leg{},
-			server: m3ua.ApplicationServer{Mode: c.Mode}}
+		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), ownPointCode: gc.Circuits.OwnPointCode,
+			legs: map[*isup.Call]*leg{}, server: m3ua.ApplicationServer{Mode: c.Mode}}
 		f.groups = append(f.groups, g)
 		f.groupByPointCode[gc.Circuits.FarPointCode] = g
 	}
@@ -265,7 +265,8 @@
 func (f *Front) sendMessages(g *group) {
 	for i := range g.isup.Out {
 		o := &g.isup.Out[i]
-		if !g.server.Send(m3ua.Data{OPC: g.ownPointCode, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2, SLS: o.SLS(), Payload: o.Data}) {
+		if !g.server.Send(m3ua.Data{OPC: g.ownPointCode, DPC: g.isup.FarPointCode(), SI: m3ua.ISUPIndicator, NI: 2,
+			SLS: o.SLS(), Payload: o.Data}) {
 			f.Stats.Unsent++
 		}
 	}
@@ -373,8 +374,8 @@
 	}
 	l := &leg{group: g, call: e.Call, incoming: true}
 	g.legs[e.Call] = l
-	l.id = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer(e.Call)}, call.Request{Called: r.Called, Calling: r.Calling,
-		Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < initialHopCounter})
+	l.id = f.core.Offer(now, call.Origin{Exchange: origin, Bearer: bearer(e.Call)},
+		call.Request{Called: r.Called, Calling: r.Calling, Context: r.User, ViaTandem: r.Hops >= 0 && r.Hops < initialHopCounter})
 	f.legs[l.id] = l
 	g.isup.Accept(now, e.Call) // stops T7 at the far end: the call is accepted or released at once
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -67,9 +67,10 @@
 				sizes[y] = 10
 			}
 		}
-		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, OwnCircuits: 60, Plan: plans(x), AnswerMargin: 80 * ms,
-			DrainGrace: time.Second, Patience: []time.Duration{3 * time.Second},
-			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms, ResendAfter: 500 * ms,
+		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, OwnCircuits: 60, Plan: plans(x),
+			AnswerMargin: 80 * ms, DrainGrace: time.Second, Patience: []time.Duration{3 * time.Second},
+			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms,
+				ResendAfter:  500 * ms,
 				ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
 					{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}}}},
 			IAX: iax2.Config{AcceptDelay: 100 * ms, AckDelay: 20 * ms}})
@@ -298,9 +299,11 @@
 // a group of unknown size is not taken to have a single line.
 func TestFirstCallsAfterStart(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		age         time.Duration
-		least, most int // answered calls of 20 made 50 ms apart, each released before the next; least applies at the own exchange, whose size is known
+		name string
+		age  time.Duration
+		// least and most limit the answered calls of 20 made 50 ms apart, each released before the next. least applies
+		// at the own exchange, whose size is known.
+		least, most int
 	}{
 		{"five hours ago", 5 * time.Hour, 20, 20},
 		{"three hours ahead", -3 * time.Hour, 20, 20},
@@ -397,7 +400,7 @@
 		t.Errorf("events at the caller: %v", got)
 	}
 	if w.nodes[1].Core.OpenCalls() != 1 {
-		t.Errorf("router 1 holds %d calls", w.nodes[1].Core.OpenCalls())
+		t.Errorf("router 1 has %d open calls, want 1", w.nodes[1].Core.OpenCalls())
 	}
 	// Router 1 sends no PING here; its switch hangs up, which ends the call on both sides.
 	w.offered[0].Dialog.Release(w.now, iax2.CauseNormal, "")
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -114,8 +114,8 @@
 	dialogs    map[dialogKey]*dialog
 	openTries  []*dialog // tries of callers, oldest first
 	calls      map[routerCall]*attempts
-	// noReadySince tells by router and exchange since when the router has known no ready processor there, -1 if it
-	// knows one.
+	// noReadySince is, by router and exchange, the time since which the router has known no ready processor there,
+	// or -1 if it knows one.
 	noReadySince map[int]map[int]time.Duration
 	coldStarts   map[int]*coldStart
 	up           map[int]bool
@@ -316,7 +316,8 @@
 		c.handleNew(from, to, f)
 		return
 	}
-	if d := c.dialogs[dialogKey{to, from, f.Dest}]; d != nil && f.Dest != 0 && (d.remoteNumber == 0 || d.remoteNumber == f.Source || f.Is(iax2.Inval)) {
+	if d := c.dialogs[dialogKey{to, from, f.Dest}]; d != nil && f.Dest != 0 &&
+		(d.remoteNumber == 0 || d.remoteNumber == f.Source || f.Is(iax2.Inval)) {
 		first := f.OSeq == 0 && !f.Is(iax2.Inval) && !f.Is(iax2.CallToken)
 		if d.remoteNumber == 0 && first {
 			d.remoteNumber = f.Source
@@ -405,13 +406,14 @@
 		// set-ups cannot be assigned to one of the two.
 		d.ambiguous = true
 	case a.endedAt > 0 && c.now > a.endedAt+c.tolerance(sendTolerance):
-		c.addViolation(OneAnswer, d.opener, d.call, "set-up to %v %.3f s after the call's end", d.other, (c.now - a.endedAt).Seconds())
+		c.addViolation(OneAnswer, d.opener, d.call, "set-up to %v %.3f s after the call's end", d.other,
+			(c.now - a.endedAt).Seconds())
 	case a.outstanding != nil && a.outstanding.answered && a.openCalls > 0:
 		// The answered dialog belongs to one of the received set-ups, this one to another.
 		d.ambiguous = true
 	case a.outstanding != nil && !a.outstanding.attemptEnded && a.outstanding.opened >= a.lastOpened:
-		c.addViolation(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v, %.3f s earlier, is in progress", d.other, a.outstanding.other,
-			(c.now - a.outstanding.opened).Seconds())
+		c.addViolation(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v, %.3f s earlier, is in progress",
+			d.other, a.outstanding.other, (c.now - a.outstanding.opened).Seconds())
 	case a.notBefore > 0 && c.now < a.notBefore-c.tolerance(waitTolerance):
 		c.addViolation(ReleaseWaitObserved, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
 			(a.notBefore - c.now).Seconds(), a.reason)
@@ -543,7 +545,8 @@
 // checkAnswerTime checks the time limit of rule 1.
 func (c *Checker) checkAnswerTime(d *dialog) {
 	if p := c.parameters.Patience[d.context]; p > 0 && c.now-d.opened > p+c.tolerance(answerTolerance) {
-		c.addViolation(OneAnswer, d.other, d.call, "final answer %.3f s after the end of the caller's patience", (c.now - d.opened - p).Seconds())
+		c.addViolation(OneAnswer, d.other, d.call, "final answer %.3f s after the end of the caller's patience",
+			(c.now - d.opened - p).Seconds())
 	}
 }
 
@@ -602,7 +605,8 @@
 	}
 	m[o]++
 	if c.KeepTries {
-		c.report.TryDetails = append(c.report.TryDetails, Try{d.other.Exchange, d.call, o, c.routerWasDown(d), d.remoteNumber != 0, c.now})
+		c.report.TryDetails = append(c.report.TryDetails, Try{d.other.Exchange, d.call, o, c.routerWasDown(d),
+			d.remoteNumber != 0, c.now})
 	}
 }
 
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -36,7 +36,8 @@
 }
 
 // newHost opens an address; tap may be nil.
-func newHost(n Net, listen netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg iax2.Config, onEvent func(iax2.Event)) (*Host, error) {
+func newHost(n Net, listen netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg iax2.Config,
+	onEvent func(iax2.Event)) (*Host, error) {
 	h := &Host{net: n, ep: iax2.NewEndpoint(cfg), cfg: cfg, party: party, router: router, tap: tap, onEvent: onEvent}
 	var err error
 	h.port, err = n.Open(listen, h)
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -41,9 +41,10 @@
 	stop          chan struct{}
 }
 
-func newISUPHost(routerAddr netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg isup.Config, onEvent func(isup.Event)) *ISUPHost {
-	return &ISUPHost{router: routerAddr, parties: [2]capture.Party{party, router}, tap: tap, config: cfg, group: isup.NewGroup(cfg),
-		start: time.Now(), onEvent: onEvent, needsReset: true, done: make(chan struct{}), stop: make(chan struct{})}
+func newISUPHost(routerAddr netip.AddrPort, party, router capture.Party, tap *capture.Writer, cfg isup.Config,
+	onEvent func(isup.Event)) *ISUPHost {
+	return &ISUPHost{router: routerAddr, parties: [2]capture.Party{party, router}, tap: tap, config: cfg,
+		group: isup.NewGroup(cfg), start: time.Now(), onEvent: onEvent, needsReset: true, done: make(chan struct{}), stop: make(chan struct{})}
 }
 
 func (h *ISUPHost) run() { go h.loop() }
@@ -191,7 +192,8 @@
 	}
 	for i := range h.group.Out {
 		o := &h.group.Out[i]
-		h.link.Send(m3ua.Data{OPC: h.config.OwnPointCode, DPC: h.config.FarPointCode, SI: m3ua.ISUPIndicator, SLS: o.SLS(), Payload: o.Data})
+		h.link.Send(m3ua.Data{OPC: h.config.OwnPointCode, DPC: h.config.FarPointCode, SI: m3ua.ISUPIndicator,
+			SLS: o.SLS(), Payload: o.Data})
 	}
 	h.group.Out = h.group.Out[:0]
 	if len(h.link.Out) > 0 {
@@ -226,7 +228,8 @@
 }
 
 // NewISUPSwitch starts a switch that connects to a router's M3UA address.
-func NewISUPSwitch(router netip.AddrPort, spec SwitchSpec, circuits isup.Config, seed uint64, tap *capture.Writer) *ISUPSwitch {
+func NewISUPSwitch(router netip.AddrPort, spec SwitchSpec, circuits isup.Config, seed uint64,
+	tap *capture.Writer) *ISUPSwitch {
 	s := &ISUPSwitch{processor: newProcessor(spec, seed), calls: map[*isup.Call]bool{}}
 	s.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch, Exchange: spec.Exchange},
 		capture.Party{Kind: capture.Router, Exchange: spec.Exchange}, tap, circuits, s.handleEvent)
@@ -308,8 +311,10 @@
 // NewISUPCallers connects to a router's M3UA address. Calls start with Start.
 func NewISUPCallers(router netip.AddrPort, circuits isup.Config, rate float64, hold time.Duration, called, context string,
 	answered func(time.Duration)) *ISUPCallers {
-	c := &ISUPCallers{rate: rate, hold: hold, called: called, context: context, answered: answered, calls: map[*isup.Call]*placedCall{}}
-	c.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch}, capture.Party{Kind: capture.Router}, nil, circuits, c.handleEvent)
+	c := &ISUPCallers{rate: rate, hold: hold, called: called, context: context, answered: answered,
+		calls: map[*isup.Call]*placedCall{}}
+	c.ISUPHost = newISUPHost(router, capture.Party{Kind: capture.Switch}, capture.Party{Kind: capture.Router}, nil,
+		circuits, c.handleEvent)
 	c.run()
 	return c
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -70,10 +70,10 @@
 	// Greet, if set, is called for each new connection before anything is sent on it.
 	Greet atomic.Pointer[func(p *JSONPeer)]
 
-	listener   net.Listener
-	mu    sync.Mutex
-	peers map[*JSONPeer]bool
-	done  sync.WaitGroup
+	listener net.Listener
+	mu       sync.Mutex
+	peers    map[*JSONPeer]bool
+	done     sync.WaitGroup
 }
 
 // StartPlatformSwitch listens on an address; port 0 selects a free one.
@@ -157,7 +157,7 @@
 
 // PlatformCoordinator simulates the coordinator: it sends numbered events to its clients.
 type PlatformCoordinator struct {
-	listener           net.Listener
+	listener      net.Listener
 	mu            sync.Mutex
 	events        []coordinator.Event
 	conns         map[net.Conn]bool
@@ -219,7 +219,9 @@
 }
 
 // Addr returns the address that the coordinator listens on.
-func (c *PlatformCoordinator) Addr() netip.AddrPort { return c.listener.Addr().(*net.TCPAddr).AddrPort() }
+func (c *PlatformCoordinator) Addr() netip.AddrPort {
+	return c.listener.Addr().(*net.TCPAddr).AddrPort()
+}
 
 // Stop closes the listener and all connections.
 func (c *PlatformCoordinator) Stop() {
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -33,7 +33,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &StreamLink{ln: ln, target: target, tap: tap, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, uint64(a)<<32|uint64(b))),
+	l := &StreamLink{ln: ln, target: target, tap: tap, conns: map[net.Conn]bool{},
+		rng:     rand.New(rand.NewPCG(seed, uint64(a)<<32|uint64(b))),
 		parties: [2]capture.Party{{Kind: capture.Router, Exchange: a}, {Kind: capture.Router, Exchange: b}}}
 	l.wg.Go(l.accept)
 	return l, nil
