--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -40,39 +40,39 @@
 	if err := s.Decide.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{Core: New(s), now: time.Second}
+	h := &harness{Core: New(s), now: time.Second}
 	l := decide.ListUpdate{Kind: decide.ListFull}
 	for n := range 4 {
 		l.Entries = append(l.Entries, decide.Entry{Exchange: decide.ExchangeID(100 + n), Number: n, Phase: decide.Ready})
 	}
-	b.SetList(b.now, l)
-	return b
+	h.SetList(h.now, l)
+	return h
 }
 
 // takeOutputs returns the outputs since the last call.
-func (b *harness) takeOutputs() []Output {
-	out := slices.Clone(b.Outputs)
-	b.Outputs = b.Outputs[:0]
+func (h *harness) takeOutputs() []Output {
+	out := slices.Clone(h.Outputs)
+	h.Outputs = h.Outputs[:0]
 	return out
 }
 
 // advanceClock moves the clock forward and runs the timers that are due on the way.
-func (b *harness) advanceClock(d time.Duration) {
-	until := b.now + d
+func (h *harness) advanceClock(d time.Duration) {
+	until := h.now + d
 	for {
-		at, ok := b.Next()
+		at, ok := h.Next()
 		if !ok || at > until {
-			b.now = until
+			h.now = until
 			return
 		}
-		b.now = max(b.now, at)
-		b.Advance(b.now)
+		h.now = max(h.now, at)
+		h.Advance(h.now)
 	}
 }
 
-func (b *harness) offer(called string) (LegID, Output) {
-	in := b.Offer(b.now, Origin{Exchange: Subscriber}, Request{Called: called, Calling: "9"})
-	out := b.takeOutputs()
+func (h *harness) offer(called string) (LegID, Output) {
+	in := h.Offer(h.now, Origin{Exchange: Subscriber}, Request{Called: called, Calling: "9"})
+	out := h.takeOutputs()
 	if len(out) != 1 {
 		return in, Output{}
 	}
@@ -80,36 +80,36 @@
 }
 
 func TestStandingCallEnds(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
-	in, o := b.offer("15")
+	h := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
+	in, o := h.offer("15")
 	if o.Kind != Connect || o.Exchange != 101 || o.Request.ViaTandem {
 		t.Fatalf("got %+v", o)
 	}
-	b.advanceClock(100 * ms)
-	b.Answered(b.now, o.Leg)
-	if got := b.takeOutputs(); len(got) != 1 || got[0].Kind != Answer || got[0].Leg != in || got[0].Other != o.Leg {
+	h.advanceClock(100 * ms)
+	h.Answered(h.now, o.Leg)
+	if got := h.takeOutputs(); len(got) != 1 || got[0].Kind != Answer || got[0].Leg != in || got[0].Other != o.Leg {
 		t.Fatalf("got %+v", got)
 	}
-	if free := b.groups.Group(1).Free(); free != 3 {
+	if free := h.groups.Group(1).Free(); free != 3 {
 		t.Errorf("%d circuits free while the call is standing", free)
 	}
-	b.advanceClock(time.Second)
-	b.Released(b.now, in, NormalClearing)
-	if got := b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
+	h.advanceClock(time.Second)
+	h.Released(h.now, in, NormalClearing)
+	if got := h.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
 		t.Fatalf("got %+v", got)
 	}
-	b.Closed(b.now, in)
-	if free := b.groups.Group(1).Free(); free != 3 {
+	h.Closed(h.now, in)
+	if free := h.groups.Group(1).Free(); free != 3 {
 		t.Errorf("%d circuits free before the far end closed its leg", free)
 	}
-	b.Closed(b.now, o.Leg)
-	if free := b.groups.Group(1).Free(); free != 4 || b.OpenCalls()+b.Legs() != 0 {
-		t.Errorf("%d circuits free, %d calls, %d legs", free, b.OpenCalls(), b.Legs())
+	h.Closed(h.now, o.Leg)
+	if free := h.groups.Group(1).Free(); free != 4 || h.OpenCalls()+h.Legs() != 0 {
+		t.Errorf("%d circuits free, %d calls, %d legs", free, h.OpenCalls(), h.Legs())
 	}
-	if len(b.Records) != 2 || b.Records[0].Kind != AnswerRecord || b.Records[0].Attempts[0].Duration != 100*ms {
-		t.Fatalf("records %+v", b.Records)
+	if len(h.Records) != 2 || h.Records[0].Kind != AnswerRecord || h.Records[0].Attempts[0].Duration != 100*ms {
+		t.Fatalf("records %+v", h.Records)
 	}
-	r := b.Records[1]
+	r := h.Records[1]
 	if r.End != Answered || r.SetupTime != 100*ms || r.Duration != time.Second || len(r.Attempts) != 1 {
 		t.Errorf("record %+v", r)
 	}
@@ -117,11 +117,11 @@
 
 // If the far end does not respond, the caller gets one failure answer in time, and no second attempt is made.
 func TestUnresponsiveFarEnd(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
-	in, o := b.offer("15")
-	b.advanceClock(5 * time.Second)
+	h := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
+	in, o := h.offer("15")
+	h.advanceClock(5 * time.Second)
 	var finals, again int
-	for _, x := range b.takeOutputs() {
+	for _, x := range h.takeOutputs() {
 		if x.Kind == Release && x.Leg == in {
 			finals++
 			if x.Cause.Refusal() {
@@ -132,32 +132,32 @@
 			again++
 		}
 	}
-	if finals != 1 || again != 0 || b.Records[0].End != Failed || b.Stats.Overdue != 0 {
-		t.Errorf("%d final answers, %d further attempts, records %+v", finals, again, b.Records)
+	if finals != 1 || again != 0 || h.Records[0].End != Failed || h.Stats.Overdue != 0 {
+		t.Errorf("%d final answers, %d further attempts, records %+v", finals, again, h.Records)
 	}
 }
 
 // If the caller hangs up while an attempt is in progress, the attempt is cancelled and a late answer is
 // ignored.
 func TestCallerAbandonsCall(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 4})
-	in, o := b.offer("15")
-	b.Released(b.now, in, NormalClearing)
-	b.Closed(b.now, in)
-	b.Answered(b.now, o.Leg)
-	b.Released(b.now, o.Leg, NormalClearing)
-	got := b.takeOutputs()
+	h := newHarness(t, map[int]int{1: 4})
+	in, o := h.offer("15")
+	h.Released(h.now, in, NormalClearing)
+	h.Closed(h.now, in)
+	h.Answered(h.now, o.Leg)
+	h.Released(h.now, o.Leg, NormalClearing)
+	got := h.takeOutputs()
 	if len(got) != 1 || got[0].Kind != Release || got[0].Leg != o.Leg {
 		t.Errorf("got %+v", got)
 	}
-	b.Closed(b.now, o.Leg)
-	if b.Records[0].End != Abandoned || len(b.Records) != 1 || b.Legs() != 0 {
-		t.Errorf("%+v, %d legs", b.Records, b.Legs())
+	h.Closed(h.now, o.Leg)
+	if h.Records[0].End != Abandoned || len(h.Records) != 1 || h.Legs() != 0 {
+		t.Errorf("%+v, %d legs", h.Records, h.Legs())
 	}
 }
 
 func TestRejectedOffers(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 4, 2: 0})
+	h := newHarness(t, map[int]int{1: 4, 2: 0})
 	for _, c := range []struct {
 		name  string
 		from  int
@@ -169,43 +169,43 @@
 		{"no circuit on the incoming group", 2, Request{Called: "1"}, NoCircuit},
 		{"no group with the exchange", 3, Request{Called: "1"}, NoCircuit},
 	} {
-		leg := b.Offer(b.now, Origin{Exchange: c.from}, c.r)
-		got := b.takeOutputs()
+		leg := h.Offer(h.now, Origin{Exchange: c.from}, c.r)
+		got := h.takeOutputs()
 		if len(got) != 1 || got[0].Kind != Release || got[0].Leg != leg || got[0].Cause != c.cause {
 			t.Errorf("%s: %+v", c.name, got)
 		}
-		b.Closed(b.now, leg)
+		h.Closed(h.now, leg)
 	}
-	b.Close()
-	if _, o := b.offer("1"); o.Kind != Release || o.Cause != Congestion {
+	h.Close()
+	if _, o := h.offer("1"); o.Kind != Release || o.Cause != Congestion {
 		t.Errorf("closing: %+v", o)
 	}
-	if b.OpenCalls() != 0 || b.Stats.Offered != 0 {
-		t.Errorf("%d calls were accepted, want none", b.Stats.Offered)
+	if h.OpenCalls() != 0 || h.Stats.Offered != 0 {
+		t.Errorf("%d calls were accepted, want none", h.Stats.Offered)
 	}
 }
 
 // A call in transit is forwarded to its destination marked ViaTandem, or rejected. A call to the own exchange
 // goes to the own processor and uses only the circuit that it arrived on.
 func TestTransitAndDelivery(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 20, 2: 20})
-	b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "2"})
-	got := b.takeOutputs()
+	h := newHarness(t, map[int]int{1: 20, 2: 20})
+	h.Offer(h.now, Origin{Exchange: 1}, Request{Called: "2"})
+	got := h.takeOutputs()
 	if len(got) != 1 || got[0].Exchange != 102 || !got[0].Request.ViaTandem {
 		t.Fatalf("in transit: %+v", got)
 	}
-	in := b.Offer(b.now, Origin{Exchange: 1}, Request{Called: "3"})
-	if got = b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || !got[0].Cause.Refusal() {
+	in := h.Offer(h.now, Origin{Exchange: 1}, Request{Called: "3"})
+	if got = h.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || !got[0].Cause.Refusal() {
 		t.Fatalf("without a route onward: %+v", got)
 	}
-	b.Offer(b.now, Origin{Exchange: 2}, Request{Called: "0", ViaTandem: true})
-	if got = b.takeOutputs(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.ViaTandem {
+	h.Offer(h.now, Origin{Exchange: 2}, Request{Called: "0", ViaTandem: true})
+	if got = h.takeOutputs(); len(got) != 1 || got[0].Exchange != 100 || got[0].Request.ViaTandem {
 		t.Fatalf("to the own exchange over a group: %+v", got)
 	}
-	if one, two := b.groups.Group(1), b.groups.Group(2); one.Free() != 18 || two.Free() != 18 {
+	if one, two := h.groups.Group(1), h.groups.Group(2); one.Free() != 18 || two.Free() != 18 {
 		t.Errorf("%d and %d circuits free", one.Free(), two.Free())
 	}
-	if _, o := b.offer("05"); o.Kind != Connect || o.Exchange != 100 {
+	if _, o := h.offer("05"); o.Kind != Connect || o.Exchange != 100 {
 		t.Errorf("to the own exchange: %+v", o)
 	}
 }
@@ -213,19 +213,19 @@
 // Without circuits in the direct group, the call goes via a tandem. A call rejected by one tandem is tried via
 // another, and then refused.
 func TestRejectedByTandemIsRerouted(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 0, 2: 30, 3: 30})
-	in, o := b.offer("15")
+	h := newHarness(t, map[int]int{1: 0, 2: 30, 3: 30})
+	in, o := h.offer("15")
 	if o.Kind != Connect || o.Exchange == 101 {
 		t.Fatalf("got %+v", o)
 	}
-	b.Released(b.now, o.Leg, NoCircuit)
-	got := b.takeOutputs()
+	h.Released(h.now, o.Leg, NoCircuit)
+	got := h.takeOutputs()
 	if len(got) != 1 || got[0].Kind != Connect || got[0].Exchange == o.Exchange || got[0].Exchange == 101 {
 		t.Fatalf("after the first tandem rejected it: %+v", got)
 	}
-	b.Released(b.now, got[0].Leg, NoCircuit)
-	b.advanceClock(time.Second) // queued for a circuit of its direct group only as long as that can help
-	if got = b.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || got[0].Cause != NoCircuit {
+	h.Released(h.now, got[0].Leg, NoCircuit)
+	h.advanceClock(time.Second) // queued for a circuit of its direct group only as long as that can help
+	if got = h.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || got[0].Cause != NoCircuit {
 		t.Fatalf("after the second tandem rejected it: %+v", got)
 	}
 }
@@ -233,15 +233,15 @@
 // Set-ups that a draining exchange has not acknowledged are withdrawn before the grace period ends; an
 // acknowledged one continues.
 func TestGraceWithdrawsUnacknowledgedSetUps(t *testing.T) {
-	b := newHarness(t, map[int]int{1: 9})
-	_, unacknowledged := b.offer("15")
-	_, acknowledged := b.offer("16")
-	b.Acknowledged(b.now, acknowledged.Leg)
-	b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
+	h := newHarness(t, map[int]int{1: 9})
+	_, unacknowledged := h.offer("15")
+	_, acknowledged := h.offer("16")
+	h.Acknowledged(h.now, acknowledged.Leg)
+	h.SetList(h.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 		{Exchange: 101, Number: 1, Phase: decide.Draining}}})
-	b.advanceClock(900 * ms)
+	h.advanceClock(900 * ms)
 	var withdrawn []LegID
-	for _, o := range b.takeOutputs() {
+	for _, o := range h.takeOutputs() {
 		if o.Kind == Release {
 			withdrawn = append(withdrawn, o.Leg)
 		}
@@ -249,7 +249,7 @@
 			t.Errorf("a set-up after the drain: %+v", o)
 		}
 	}
-	if !slices.Contains(withdrawn, unacknowledged.Leg) || slices.Contains(withdrawn, acknowledged.Leg) || b.Stats.Withdrawn != 1 {
+	if !slices.Contains(withdrawn, unacknowledged.Leg) || slices.Contains(withdrawn, acknowledged.Leg) || h.Stats.Withdrawn != 1 {
 		t.Errorf("withdrawn legs %v, of %v unacknowledged and %v acknowledged", withdrawn, unacknowledged.Leg, acknowledged.Leg)
 	}
 }
@@ -304,7 +304,7 @@
 // call or timer is left.
 func TestAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newHarness(t, map[int]int{1: 3, 2: 3, 3: 3})
+		h := newHarness(t, map[int]int{1: 3, 2: 3, 3: 3})
 		type state struct {
 			final, abandoned bool
 			out              LegID
@@ -316,15 +316,15 @@
 		legs := map[LegID]*state{}    // by outgoing leg
 		var open []LegID              // legs that the front has yet to close
 		handle := func() {
-			for _, o := range b.takeOutputs() {
+			for _, o := range h.takeOutputs() {
 				switch o.Kind {
 				case Connect:
 					k := callOf[o.Request.Calling]
 					if k.out != 0 || k.final || k.abandoned {
 						t.Fatalf("attempt while another is in progress or the call has ended: %+v", o)
 					}
-					if b.now < k.notBefore {
-						t.Fatalf("sent again %v before the end of the release wait", k.notBefore-b.now)
+					if h.now < k.notBefore {
+						t.Fatalf("sent again %v before the end of the release wait", k.notBefore-h.now)
 					}
 					k.out, legs[o.Leg] = o.Leg, k
 				case Answer:
@@ -336,7 +336,7 @@
 				case Release:
 					if k := legs[o.Leg]; k != nil {
 						if !k.final {
-							k.notBefore = b.now + 300*ms
+							k.notBefore = h.now + 300*ms
 						}
 						k.out = 0
 						open = append(open, o.Leg)
@@ -372,54 +372,54 @@
 				if rapid.IntRange(0, 4).Draw(t, "over") == 0 {
 					from = rapid.IntRange(1, 3).Draw(t, "from")
 				}
-				in := b.Offer(b.now, Origin{Exchange: from}, Request{Called: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "to")),
+				in := h.Offer(h.now, Origin{Exchange: from}, Request{Called: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "to")),
 					Calling: fmt.Sprint(n)})
 				calls[in] = k
 			case what == 2 && len(out) > 0:
 				l, _ := pick()
-				b.Answered(b.now, l)
+				h.Answered(h.now, l)
 			case what == 3 && len(out) > 0:
 				l, k := pick()
 				k.out, k.lastRelease = 0, l
-				b.Released(b.now, l, rapid.SampledFrom([]Cause{NormalClearing, UserBusy, NoCircuit, Congestion, NetworkDown}).Draw(t, "cause"))
+				h.Released(h.now, l, rapid.SampledFrom([]Cause{NormalClearing, UserBusy, NoCircuit, Congestion, NetworkDown}).Draw(t, "cause"))
 				open = append(open, l)
 			case what == 4 && len(out) > 0:
 				l, k := pick()
 				if !k.final {
-					k.notBefore = b.now + 300*ms
+					k.notBefore = h.now + 300*ms
 				}
 				k.out, k.lastRelease = 0, l
-				b.Lost(b.now, l, rapid.Bool().Draw(t, "reset"))
+				h.Lost(h.now, l, rapid.Bool().Draw(t, "reset"))
 				open = append(open, l)
 			case what == 5 && len(open) > 0:
-				b.Closed(b.now, open[0])
+				h.Closed(h.now, open[0])
 				open = open[1:]
 			case what == 6:
 				phase := rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "phase")
 				number := rapid.IntRange(0, 3).Draw(t, "exchange")
-				b.SetList(b.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
+				h.SetList(h.now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Entry{
 					{Exchange: decide.ExchangeID(100 + number), Number: number, Phase: phase}}})
 			default:
-				until := b.now + time.Duration(rapid.IntRange(1, 900).Draw(t, "ms"))*ms
-				for b.now < until {
-					at, ok := b.Next()
+				until := h.now + time.Duration(rapid.IntRange(1, 900).Draw(t, "ms"))*ms
+				for h.now < until {
+					at, ok := h.Next()
 					if !ok || at > until {
-						b.now = until
+						h.now = until
 						break
 					}
-					b.now = max(b.now, at)
-					b.Advance(b.now)
+					h.now = max(h.now, at)
+					h.Advance(h.now)
 					handle()
 				}
 			}
 			handle()
 		}
 		for range 200 { // finally all callers hang up
-			b.advanceClock(100 * ms)
+			h.advanceClock(100 * ms)
 			handle()
 			for in, k := range calls {
 				if k.final && k.out != 0 {
-					b.Released(b.now, in, NormalClearing)
+					h.Released(h.now, in, NormalClearing)
 					open = append(open, in)
 					k.abandoned = true
 					handle()
@@ -427,27 +427,27 @@
 			}
 		}
 		for _, l := range open {
-			b.Closed(b.now, l)
+			h.Closed(h.now, l)
 		}
 		for in := range calls {
-			b.Closed(b.now, in)
+			h.Closed(h.now, in)
 		}
-		b.advanceClock(time.Minute)
+		h.advanceClock(time.Minute)
 		for i, k := range callOf {
 			if !k.final {
 				t.Fatalf("call %s got no final answer", i)
 			}
 		}
-		if b.OpenCalls()+b.Legs()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.ActionFaults != 0 {
-			t.Fatalf("left over: %d calls, %d legs, %d timers; %+v", b.OpenCalls(), b.Legs(), b.Timers(), b.Stats)
+		if h.OpenCalls()+h.Legs()+h.Timers() != 0 || h.Stats.Overdue+h.Stats.ActionFaults != 0 {
+			t.Fatalf("left over: %d calls, %d legs, %d timers; %+v", h.OpenCalls(), h.Legs(), h.Timers(), h.Stats)
 		}
-		for _, g := range b.Groups() {
+		for _, g := range h.Groups() {
 			if g.Free() != g.Size() {
 				t.Fatalf("circuits of the group to %d: %d free of %d", g.Neighbour(), g.Free(), g.Size())
 			}
 		}
 		answered, ended := map[uint64]bool{}, map[uint64]bool{}
-		for i, r := range b.Records {
+		for i, r := range h.Records {
 			if r.RecordSeq != uint64(i+1) {
 				t.Fatalf("record %d has number %d", i+1, r.RecordSeq)
 			}
@@ -469,8 +469,8 @@
 				t.Fatalf("recorded as %v with cause %d", r.End, r.Cause)
 			}
 		}
-		if int(b.Stats.Offered) != len(ended) {
-			t.Fatalf("%d final records of %d calls", len(ended), b.Stats.Offered)
+		if int(h.Stats.Offered) != len(ended) {
+			t.Fatalf("%d final records of %d calls", len(ended), h.Stats.Offered)
 		}
 	})
 }
--- a/internal/call/instant_test.go
+++ b/internal/call/instant_test.go
@@ -12,36 +12,36 @@
 func TestSameInstantInEveryOrder(t *testing.T) {
 	for _, timeout := range []time.Duration{0, 30 * ms} {
 		for _, order := range permutations(4) {
-			b := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
-			b.settings.DurableTimeout = timeout
-			in, o := b.offer("15")
-			at, ok := b.Next()
+			h := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
+			h.settings.DurableTimeout = timeout
+			in, o := h.offer("15")
+			at, ok := h.Next()
 			if !ok {
 				t.Fatal("no time-out is due")
 			}
-			for k := range b.legs { // the attempt's own time limit, even if another timer is due earlier
-				if l := b.legs[k]; l.call != nil && l.call.attemptTimer.Running() {
+			for k := range h.legs { // the attempt's own time limit, even if another timer is due earlier
+				if l := h.legs[k]; l.call != nil && l.call.attemptTimer.Running() {
 					at = l.call.attemptTimer.At()
 				}
 			}
-			b.now = at
+			h.now = at
 			for _, what := range order {
 				switch what {
 				case 0:
-					b.Answered(b.now, o.Leg)
+					h.Answered(h.now, o.Leg)
 				case 1:
-					b.Released(b.now, o.Leg, UserBusy)
+					h.Released(h.now, o.Leg, UserBusy)
 				case 2:
-					b.Advance(b.now)
+					h.Advance(h.now)
 				case 3:
-					b.Released(b.now, in, NormalClearing)
+					h.Released(h.now, in, NormalClearing)
 				}
 			}
-			out := b.takeOutputs()
-			b.MarkDurable(b.now, 1000)
-			out = append(out, b.takeOutputs()...)
-			b.advanceClock(20 * time.Second)
-			out = append(out, b.takeOutputs()...)
+			out := h.takeOutputs()
+			h.MarkDurable(h.now, 1000)
+			out = append(out, h.takeOutputs()...)
+			h.advanceClock(20 * time.Second)
+			out = append(out, h.takeOutputs()...)
 			answers, releases := 0, 0
 			for _, x := range out {
 				switch {
@@ -59,21 +59,21 @@
 			}
 			for _, x := range out {
 				if x.Kind == Connect {
-					b.Closed(b.now, x.Leg)
+					h.Closed(h.now, x.Leg)
 				}
 			}
-			b.Closed(b.now, in)
-			b.Closed(b.now, o.Leg)
-			b.advanceClock(20 * time.Second)
+			h.Closed(h.now, in)
+			h.Closed(h.now, o.Leg)
+			h.advanceClock(20 * time.Second)
 			ends := 0
-			for _, r := range b.Records {
+			for _, r := range h.Records {
 				if r.Kind == FinalRecord {
 					ends++
 				}
 			}
-			if ends != 1 || b.OpenCalls()+b.Legs()+b.PendingAnswers()+b.Timers() != 0 || b.Stats.Overdue+b.Stats.ActionFaults != 0 {
+			if ends != 1 || h.OpenCalls()+h.Legs()+h.PendingAnswers()+h.Timers() != 0 || h.Stats.Overdue+h.Stats.ActionFaults != 0 {
 				t.Errorf("durable timeout %v, order %v: %d final records; %s", timeout, order, ends,
-					fmt.Sprint(b.OpenCalls(), " calls, ", b.Legs(), " legs, ", b.PendingAnswers(), " held, ", b.Timers(), " timers ", b.Stats))
+					fmt.Sprint(h.OpenCalls(), " calls, ", h.Legs(), " legs, ", h.PendingAnswers(), " held, ", h.Timers(), " timers ", h.Stats))
 			}
 		}
 	}
