--- a/internal/call/cause.go
+++ b/internal/call/cause.go
@@ -29,7 +29,7 @@
 )
 
 // Refusal reports whether a final answer with this cause counts as a refusal. Any other cause, except a normal
-// release, counts as a failure. Callers, checkers and records must all use this table.
+// release, counts as a failure. Callers, checkers and records all follow this table.
 func (c Cause) Refusal() bool {
 	switch c {
 	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber, NoCircuit,
