--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -57,24 +57,24 @@
 
 // Call is the use of a circuit by one call.
 type Call struct {
-	Ref     uint64 // free for the user of the call; this package does not read it
+	Ref     uint64 // free for the application; this package does not read it
 	circuit *circuit
-	ended   bool // the user has been notified of its end, or has released it
+	ended   bool // the application has been notified of its end, or has released it
 }
 
-// CIC returns the circuit of the call.
+// CIC returns the CIC of the circuit that the call is or was on.
 func (k *Call) CIC() CIC { return k.circuit.cic }
 
 // circuit is the state of one circuit as seen from this end.
 type circuit struct {
 	cic          CIC
 	state        state
-	call         *Call // nil if the user has no call on it
+	call         *Call // nil if the application has no call on it
 	outgoing     bool
 	releaseCause uint8 // cause of the REL, for its repetitions
 	timer        timers.Entry[*circuit]
-	escalateAt   time.Duration // when T5 or T17 expires
-	alarmed      bool
+	escalateAt   time.Duration // when T5 (releasing) or T17 (resetting) expires
+	alarmRaised  bool
 	localBlocked bool // blocked by this end: the far end sends no new calls on it
 	farBlocked   bool // blocked by the far end
 	pendingBlock Type // BLO or UBL that awaits its answer; 0 if none
@@ -85,7 +85,7 @@
 // EventKind is the type of an Event.
 type EventKind uint8
 
-// Kinds of Event. Every call known to the user ends with exactly one Closed.
+// Kinds of Event. Every call, from Offered or Seize on, ends with exactly one Closed.
 const (
 	// Offered reports that an IAM was received; Request is set.
 	Offered EventKind = iota + 1
@@ -95,7 +95,7 @@
 	Answered
 	// Released reports that the far end released the call; Cause is set.
 	Released
-	// Glare reports a dual seizure in which the call of this end gives way.
+	// Glare reports a dual seizure (glare) in which the call of this end gives way.
 	Glare
 	// Lost reports that ACM or ANM did not arrive in time, or that the circuit was reset or withdrawn.
 	Lost
@@ -111,7 +111,7 @@
 	Call    *Call
 	CIC     CIC
 	Cause   uint8
-	Reset   bool // on Lost: the far end no longer knows the call
+	Reset   bool // on Lost: the circuit was reset or withdrawn; false if ACM or ANM came too late
 	Request Request
 	Text    string
 }
@@ -134,27 +134,28 @@
 // stay in order (Q.704).
 func (o *OutMessage) SLS() uint8 { return uint8(o.CIC & 0xf) }
 
-// Stats counts what a group has done since it was created: messages received, sent, malformed, of unknown type
-// and for circuits that this end does not have; dual seizures; repeated messages; and alarms.
+// Stats counts what a group has done since it was created. In and Out count messages received and sent; Malformed,
+// Unknown and Unequipped count received messages that could not be parsed, that have an unknown type, and that are
+// for a circuit that this end does not have. Glares counts dual seizures, Retransmits repeated messages.
 type Stats struct {
 	In, Out, Malformed, Unknown, Unequipped, Glares, Retransmits, Alarms uint64
 }
 
 // Group is one end of a group of circuits.
 type Group struct {
-	Out    []OutMessage // messages to send, in order; the user takes them and resets the slice
-	Events []Event
+	Out    []OutMessage // messages to send, in order; the application takes them and resets the slice
+	Events []Event      // in order; taken and reset like Out
 	Stats  Stats
 
-	cfg           Config
-	circuits      []*circuit
-	seizeOrder    []*circuit // in seizing order: circuits controlled by this end first
-	timerQueue    timers.Queue[*circuit]
-	blockTimers   timers.Queue[*circuit]
-	pendingGroup  Type // group message that awaits its answer, always GRS; 0 if none
-	groupRepeatAt time.Duration
-	groupAlarmAt  time.Duration
-	msg           Message
+	cfg                Config
+	circuits           []*circuit
+	seizeOrder         []*circuit // in seizing order: circuits controlled by this end first
+	timerQueue         timers.Queue[*circuit]
+	blockTimers        timers.Queue[*circuit]
+	pendingGroupReset  Type // GRS if any group reset awaits its GRA, otherwise 0
+	groupResetRepeatAt time.Duration
+	groupResetAlarmAt  time.Duration
+	msg                Message
 }
 
 // NewGroup returns a group whose circuits are all idle.
@@ -162,17 +163,17 @@
 	c.Timers = c.Timers.withDefaults()
 	g := &Group{cfg: c}
 	for i := range c.Circuits {
-		k := &circuit{cic: c.FirstCIC + CIC(i)}
-		k.timer.Value, k.blockTimer.Value = k, k
-		g.circuits = append(g.circuits, k)
+		circ := &circuit{cic: c.FirstCIC + CIC(i)}
+		circ.timer.Value, circ.blockTimer.Value = circ, circ
+		g.circuits = append(g.circuits, circ)
 	}
 	g.seizeOrder = slices.Clone(g.circuits)
 	slices.SortStableFunc(g.seizeOrder, func(a, b *circuit) int { return cmp.Compare(g.seizeRank(a), g.seizeRank(b)) })
 	return g
 }
 
-// controls reports whether this end wins a dual seizure of the circuit: the end with the higher point code
-// controls the even circuits (Q.764, 2.9.1.4).
+// controls reports whether this end controls the circuit, and so wins a dual seizure of it: the end with the higher
+// point code controls the even circuits (2.9.1.4).
 func (g *Group) controls(c *circuit) bool {
 	return (c.cic%2 == 0) == (g.cfg.OwnPointCode > g.cfg.FarPointCode)
 }
@@ -216,8 +217,8 @@
 	if b, bok := g.blockTimers.Next(); bok && (!ok || b < at) {
 		at, ok = b, true
 	}
-	if g.pendingGroup != 0 && (!ok || g.groupRepeatAt < at) {
-		at, ok = g.groupRepeatAt, true
+	if g.pendingGroupReset != 0 && (!ok || g.groupResetRepeatAt < at) {
+		at, ok = g.groupResetRepeatAt, true
 	}
 	return at, ok
 }
@@ -254,6 +255,7 @@
 	}
 	c := g.seizeOrder[i]
 	c.state, c.outgoing, c.call = waitACM, true, &Call{circuit: c}
+	// Forward call indicators: ISUP used, and not required, all the way. Category: ordinary calling subscriber.
 	params := []Parameter{{CalledNumber, called}, {ForwardCall, []byte{0x60, 0}}, {CallingCategory, []byte{10}}}
 	if calling, err := AppendNumber(nil, r.Calling); err == nil && r.Calling != "" {
 		params = append(params, Parameter{CallingNumber, calling})
@@ -269,7 +271,8 @@
 	return c.call
 }
 
-// Accept sends ACM for an offered call.
+// Accept sends ACM for an offered call. Its backward call indicators say: charge, subscriber free, ordinary
+// subscriber, ISUP used all the way.
 func (g *Group) Accept(now time.Duration, k *Call) {
 	if c := k.circuit; c.call == k && c.state == offered {
 		c.state = alerting
@@ -284,7 +287,7 @@
 		return
 	}
 	switch c.state {
-	case offered: // CON stands for ACM and ANM
+	case offered: // CON takes the place of ACM and ANM and carries the indicators of ACM
 		g.send(c.cic, CON, Parameter{BackwardCall, []byte{0x16, 0x04}})
 	case alerting:
 		g.send(c.cic, ANM)
@@ -295,7 +298,7 @@
 	g.timerQueue.Stop(&c.timer)
 }
 
-// Release releases a call. Closed follows when the circuit is idle again.
+// Release releases a call with a Q.850 cause. Closed follows when the circuit is idle again.
 func (g *Group) Release(now time.Duration, k *Call, cause uint8) {
 	c := k.circuit
 	if c.call != k || k.ended && c.state >= releasing {
@@ -318,7 +321,7 @@
 // setIdle makes a circuit idle and reports the end of its call.
 func (g *Group) setIdle(c *circuit) {
 	g.timerQueue.Stop(&c.timer)
-	c.state, c.outgoing, c.alarmed = idle, false, false
+	c.state, c.outgoing, c.alarmRaised = idle, false, false
 	if k := c.call; k != nil {
 		c.call = nil
 		k.ended = true
@@ -326,7 +329,7 @@
 	}
 }
 
-// endCall reports to the user why a call ends, at most once per call.
+// endCall reports why a call ends, at most once per call and not if the application has released it.
 func (g *Group) endCall(c *circuit, e Event) {
 	if k := c.call; k != nil && !k.ended {
 		k.ended = true
@@ -351,7 +354,7 @@
 	for e := g.blockTimers.Due(now); e != nil; e = g.blockTimers.Due(now) {
 		g.onBlockTimer(now, e.Value)
 	}
-	if g.pendingGroup != 0 && g.groupRepeatAt <= now {
+	if g.pendingGroupReset != 0 && g.groupResetRepeatAt <= now {
 		g.sendGroupResets(now)
 	}
 }
@@ -374,8 +377,8 @@
 	case resetting: // T16, finally T17
 		interval := t.T16
 		if now >= c.escalateAt {
-			if !c.alarmed {
-				c.alarmed = true
+			if !c.alarmRaised {
+				c.alarmRaised = true
 				g.raiseAlarm(c, "no RLC received in answer to RSC before T17 expired; RSC is repeated")
 			}
 			interval = t.T17
@@ -388,11 +391,11 @@
 
 // Q.850 causes sent by this package.
 const (
-	causeNormal   = 16
-	causeTempFail = 41
-	causeTimer    = 102
-	causeNoType   = 97 // message type non-existent or not implemented
-	causeProtocol = 111
+	causeNormal             = 16
+	causeTempFail           = 41
+	causeTimer              = 102
+	causeUnknownMessageType = 97 // message type non-existent or not implemented
+	causeProtocol           = 111
 )
 
 // RetransmitPending repeats REL, RSC and GRS that await an answer, as they may have been lost while no
@@ -411,7 +414,7 @@
 			g.timerQueue.Set(&c.timer, now+g.cfg.Timers.T16)
 		}
 	}
-	if g.pendingGroup != 0 {
+	if g.pendingGroupReset != 0 {
 		g.sendGroupResets(now)
 	}
 }
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Every message with all parameters of its layout, and with optional ones, survives encoding and decoding.
+// Every message type, with all parameters of its layout and with optional ones, survives encoding and decoding.
 func TestMessagesRoundTrip(t *testing.T) {
 	for ty, l := range layouts {
 		var params []Parameter
@@ -93,14 +93,15 @@
 	})
 }
 
-// groupPair simulates both ends of a circuit group. Messages take one step to arrive and may be dropped.
+// groupPair is a test harness of both ends of a circuit group. A message arrives at the next call of deliver unless
+// it is dropped.
 type groupPair struct {
 	now      time.Duration
 	ends     [2]*Group
 	inFlight [2][][]byte // messages under way to each end
 	drop     func(to int, m *Message) bool
 	events   [2][]Event
-	log      []string
+	log      []string // messages sent: time, sending and receiving end, type, CIC
 }
 
 func newGroupPair(circuits int) *groupPair {
@@ -110,7 +111,7 @@
 	return p
 }
 
-// collect takes the messages and events of both ends.
+// collect takes the messages and events of both ends, and drops the messages that drop selects.
 func (p *groupPair) collect() {
 	for i, g := range p.ends {
 		for _, o := range g.Out {
@@ -129,7 +130,7 @@
 	}
 }
 
-// deliver delivers the messages under way.
+// deliver delivers the messages under way and collects the answers.
 func (p *groupPair) deliver() {
 	p.collect()
 	arriving := p.inFlight
@@ -228,8 +229,8 @@
 	p.checkIdle(t)
 }
 
-// If ANM crosses REL, or REL crosses REL, both ends return to idle and the call ends once.
-func TestCrossings(t *testing.T) {
+// If ANM or REL of the called end crosses REL of the caller, both ends return to idle and the call ends once.
+func TestCrossingMessages(t *testing.T) {
 	for _, cross := range []string{"ANM", "REL"} {
 		p := newGroupPair(2)
 		k := p.seizeCall(t)
@@ -304,7 +305,7 @@
 }
 
 // If ACM (T7) or ANM (T9) does not arrive, the call is lost once and the circuit becomes idle.
-func TestNoACMNoANM(t *testing.T) {
+func TestNoACMOrANM(t *testing.T) {
 	for _, accept := range []bool{false, true} {
 		p := newGroupPair(1)
 		p.seizeCall(t)
@@ -347,9 +348,9 @@
 	p.checkIdle(t)
 }
 
-// The ends seize circuits from opposite sides, so that no dual seizure occurs while the group is at most half
+// The ends seize circuits from opposite sides of the group, so that no dual seizure occurs while it is at most half
 // full.
-func TestSeizingFromBothSides(t *testing.T) {
+func TestSeizingFromOppositeSides(t *testing.T) {
 	p := newGroupPair(10)
 	for range 5 {
 		for _, g := range p.ends {
@@ -358,7 +359,7 @@
 	}
 	p.deliverAll()
 	if n := p.ends[0].Stats.Glares + p.ends[1].Stats.Glares; n != 0 {
-		t.Errorf("%d glares on a half full group", n)
+		t.Errorf("%d dual seizures on a half full group", n)
 	}
 }
 
@@ -443,7 +444,7 @@
 		seen := [2]int{}
 		losing := true
 		p.drop = func(int, *Message) bool { return losing && rapid.IntRange(0, 4).Draw(t, "lose") == 0 }
-		learn := func() {
+		recordOffered := func() {
 			for end := range 2 {
 				for _, e := range p.events[end][seen[end]:] {
 					if e.Kind == Offered {
@@ -460,37 +461,37 @@
 			if n := len(calls[end]); n > 0 {
 				k = calls[end][rapid.IntRange(0, n-1).Draw(t, "call")]
 			}
-			switch what := rapid.IntRange(0, 7).Draw(t, "what"); {
-			case what <= 1:
+			switch action := rapid.IntRange(0, 7).Draw(t, "what"); {
+			case action <= 1:
 				if k := g.Seize(p.now, Request{Called: "12", Hops: -1}); k != nil {
 					calls[end] = append(calls[end], k)
 				}
-			case what == 2 && k != nil:
+			case action == 2 && k != nil:
 				g.Accept(p.now, k)
-			case what == 3 && k != nil:
+			case action == 3 && k != nil:
 				g.Answer(p.now, k)
-			case what == 4 && k != nil:
+			case action == 4 && k != nil:
 				g.Release(p.now, k, 16)
-			case what == 5:
+			case action == 5:
 				g.Block(p.now, CIC(rapid.IntRange(1, 3).Draw(t, "cic")), rapid.Bool().Draw(t, "on"))
-			case what == 6 && rapid.IntRange(0, 5).Draw(t, "restart") == 0:
+			case action == 6 && rapid.IntRange(0, 5).Draw(t, "restart") == 0:
 				g.ResetAll(p.now)
 			default:
 				p.advance(time.Duration(rapid.IntRange(0, 100).Draw(t, "s")) * time.Second)
 			}
 			p.deliver()
-			learn()
+			recordOffered()
 		}
 		losing = false
 		p.advance(10 * time.Minute) // lets every pending request be answered
-		learn()
+		recordOffered()
 		for end := range 2 {
 			for _, k := range calls[end] {
 				p.ends[end].Release(p.now, k, 16)
 			}
 		}
 		p.advance(2 * time.Hour)
-		learn()
+		recordOffered()
 		p.checkIdle(t)
 		for end := range 2 {
 			closes, ends := map[*Call]int{}, map[*Call]int{}
--- a/internal/isup/message.go
+++ b/internal/isup/message.go
@@ -1,6 +1,9 @@
 // Package isup implements the ISDN user part: the messages of Q.763 and the circuit procedures of Q.764, for
 // either end of a group of circuits. It performs no I/O: a Group receives the current time and incoming
-// messages, and collects outgoing messages and the events of its calls.
+// messages, and collects outgoing messages and the events of its calls. The application is the code that owns
+// the Group.
+//
+// Section numbers in comments, such as (2.9.5.1), refer to Q.764 unless another Recommendation is named.
 package isup
 
 import (
@@ -77,7 +80,7 @@
 )
 
 // layout describes the format of a message: its mandatory parameters of fixed length, its mandatory parameters
-// of variable length, and whether optional parameters may follow.
+// of variable length, and whether optional parameters may follow. Codes and sizes follow the tables of Q.763.
 type layout struct {
 	fixed    []fixedParam
 	variable []ParamCode
@@ -86,7 +89,7 @@
 
 type fixedParam struct {
 	code ParamCode
-	size int
+	size int // in bytes
 }
 
 var layouts = map[Type]layout{
@@ -175,8 +178,8 @@
 	return m.parseOptional(b, len(l.variable))
 }
 
-// variableParam returns the data of the parameter of variable length at the i-th pointer. The pointer leads to
-// a length byte, which the data follows.
+// variableParam returns the data of the parameter of variable length whose pointer is byte i of b. The pointer is
+// the distance from itself to a length byte, which the data follows.
 func variableParam(b []byte, i int) ([]byte, error) {
 	if i >= len(b) {
 		return nil, ErrShort
@@ -188,6 +191,8 @@
 	return b[at+1 : at+1+int(b[at])], nil
 }
 
+// parseOptional reads the optional parameters. Byte pointer of b is the distance from itself to the first of them, or
+// 0 if there are none; a zero byte ends them.
 func (m *Message) parseOptional(b []byte, pointer int) error {
 	if b[pointer] == 0 {
 		return nil
@@ -214,8 +219,9 @@
 	Data []byte
 }
 
-// Append appends a message. Mandatory parameters that are not given are sent as zeros or with length 0; all
-// others are sent as optional parameters, in the given order.
+// Append appends a message. Mandatory parameters that are not given are sent as zeros or with length 0. The given
+// parameters that are not mandatory for the type are sent as optional ones in the given order, or left out if the
+// type allows none.
 func Append(b []byte, cic CIC, t Type, params ...Parameter) []byte {
 	l := layouts[t]
 	b = binary.LittleEndian.AppendUint16(b, uint16(cic&MaxCIC))
@@ -267,8 +273,8 @@
 	return b
 }
 
-// digitCodes holds the digits of a number, indexed by their code (Q.763, 3.9). Codes 11 and 12 represent * and
-// # here; code 10 is unused.
+// digitCodes holds the digits of a number, indexed by their code (Q.763, 3.9). On these trunk groups codes 11 and
+// 12 represent * and #; code 10, here the dot, is unused.
 const digitCodes = "0123456789.*#"
 
 // The first two bytes of a number: odd/even indicator and nature of address, then the numbering plan.
@@ -294,7 +300,7 @@
 			}
 		}
 		if code < 0 {
-			return nil, fmt.Errorf("isup: character %q in number %q is not a valid digit", number[i], number)
+			return nil, fmt.Errorf("isup: character %q in number %q is not a digit, * or #", number[i], number)
 		}
 		if i%2 == 0 {
 			b = append(b, byte(code))
@@ -331,8 +337,8 @@
 	return string(out), true
 }
 
-// causeLocation is the first byte of cause indicators: extension bit, coding standard CCITT, location "private
-// network serving the remote user". extensionBit marks the last byte of a field.
+// causeLocation is the first byte of cause indicators (Q.850): extension bit, coding standard ITU-T, location
+// "private network serving the remote user". extensionBit marks the last byte of a field.
 const causeLocation, extensionBit = 0x85, 0x80
 
 // Cause returns cause indicators with the given Q.850 cause.
@@ -348,8 +354,8 @@
 	return 0
 }
 
-// Range returns a range and status parameter for n circuits, beginning with the CIC of the message. status
-// holds one bit for each circuit; if it is nil, no status is sent.
+// Range returns a range and status parameter for n circuits, beginning with the CIC of the message; n must be 1 to
+// 256. status holds one value for each circuit; if it is nil, no status is sent.
 func Range(n int, status []bool) Parameter {
 	data := []byte{byte(n - 1)}
 	if status != nil {
--- a/internal/isup/receive.go
+++ b/internal/isup/receive.go
@@ -9,21 +9,21 @@
 	err := Parse(b, m)
 	c := g.findCircuit(m.CIC)
 	switch {
-	case err == ErrUnknown: // Q.764, 2.9.5.2: a message that is not understood is answered by CFN
+	case err == ErrUnknown: // a message of unknown type is answered by CFN (2.9.5.2)
 		g.Stats.Unknown++
 		if c != nil {
-			g.send(m.CIC, CFN, Cause(causeNoType))
+			g.send(m.CIC, CFN, Cause(causeUnknownMessageType))
 		}
 		return
 	case err != nil:
 		g.Stats.Malformed++
 		return
 	case m.Type == GRS, m.Type == GRA, m.Type == CGB, m.Type == CGU, m.Type == CGBA, m.Type == CGUA, m.Type == CQM:
-		g.receiveGroup(now, m)
+		g.receiveGroupMessage(now, m)
 		return
 	case c == nil:
 		g.Stats.Unequipped++
-		if m.Type != UCIC { // 2.12: this end does not have the circuit
+		if m.Type != UCIC { // unequipped circuit identification code (2.12)
 			g.send(m.CIC, UCIC)
 		}
 		return
@@ -47,8 +47,8 @@
 		g.receiveBlocking(c, m.Type)
 	case UCIC:
 		g.receiveUCIC(c)
-	case CCR, COT: // continuity checks are not used on these circuits (7.1)
-		g.send(c.cic, CFN, Cause(causeNoType))
+	case CCR, COT: // continuity checks are not supported (7.1)
+		g.send(c.cic, CFN, Cause(causeUnknownMessageType))
 	case SUS, RES, CFN:
 	}
 }
@@ -71,7 +71,7 @@
 	r := Request{Hops: -1}
 	var ok bool
 	if r.Called, ok = ParseNumber(m.Param(CalledNumber)); !ok || r.Called == "" {
-		c.state = offered
+		c.state = offered // releaseCircuit sends no REL for an idle circuit
 		g.releaseCircuit(now, c, causeProtocol)
 		return
 	}
@@ -84,7 +84,7 @@
 	}
 	c.farBlocked = false // an IAM on a circuit blocked by its sender ends the blocking (2.8.2.1)
 	c.state, c.outgoing, c.call = offered, false, &Call{circuit: c}
-	if c.localBlocked { // the far end seems to have missed the blocking
+	if c.localBlocked { // the far end does not know of the blocking
 		g.send(c.cic, BLO)
 	}
 	g.emit(Event{Kind: Offered, Call: c.call, CIC: c.cic, Request: r})
@@ -114,7 +114,7 @@
 	g.send(c.cic, RLC)
 	switch c.state {
 	case idle, resetting:
-	case releasing: // both ends release at once (2.3.1): idle after RLC
+	case releasing: // both ends release at once (2.3.1): idle after the RLC for our REL
 	default:
 		g.endCall(c, Event{Kind: Released, Cause: ParseCause(m)})
 		g.setIdle(c)
@@ -132,13 +132,14 @@
 	}
 }
 
-// receiveRSC frees the circuit at once (2.9.3.1). If this end blocks the circuit, it sends BLO again, as the
-// far end has lost the blocking.
+// receiveRSC makes the circuit idle at once and confirms this by RLC (2.9.3.1).
 func (g *Group) receiveRSC(now time.Duration, c *circuit) {
 	g.resetByPeer(c)
 	g.send(c.cic, RLC)
 }
 
+// resetByPeer ends the call on a circuit that the far end resets. If this end blocks the circuit, it sends BLO again,
+// since the far end has lost the blocking with the reset.
 func (g *Group) resetByPeer(c *circuit) {
 	g.endCall(c, Event{Kind: Lost, Reset: true})
 	g.setIdle(c)
@@ -148,8 +149,9 @@
 	}
 }
 
+// receiveUCIC takes a circuit out of service that the far end does not have.
 func (g *Group) receiveUCIC(c *circuit) {
-	if c.state == waitACM { // 2.12: the call is retried on another circuit, and this one is not seized again
+	if c.state == waitACM { // the call may be tried on another circuit, and this one is not seized again (2.12)
 		g.endCall(c, Event{Kind: Lost, Reset: true})
 		g.setIdle(c)
 	}
@@ -157,8 +159,8 @@
 	g.raiseAlarm(c, "far end does not have this circuit (UCIC); circuit taken out of service")
 }
 
-// Block takes a circuit out of service for new calls if on is set, and returns it to service otherwise. A call
-// in progress is not affected (2.8.2).
+// Block takes a circuit out of service for new calls if on is set, and returns it to service otherwise. BLO or UBL is
+// repeated until it is answered. A call in progress is not affected (2.8.2).
 func (g *Group) Block(now time.Duration, cic CIC, on bool) {
 	c := g.findCircuit(cic)
 	if c == nil || c.localBlocked == on && c.pendingBlock == 0 {
@@ -196,7 +198,7 @@
 		if c.pendingBlock == BLO && t == BLA || c.pendingBlock == UBL && t == UBA {
 			c.pendingBlock = 0
 			g.blockTimers.Stop(&c.blockTimer)
-		} else if t == BLA && !c.localBlocked { // 2.8.2.3: BLA without BLO
+		} else if t == BLA && !c.localBlocked { // BLA without BLO: the far end takes the circuit for blocked (2.8.2.3)
 			g.send(c.cic, UBL)
 		}
 	}
@@ -209,14 +211,15 @@
 		g.timerQueue.Stop(&c.timer)
 		c.state = resetting
 	}
-	g.pendingGroup, g.groupAlarmAt = GRS, now+g.cfg.Timers.T17
+	g.pendingGroupReset, g.groupResetAlarmAt = GRS, now+g.cfg.Timers.T17
 	g.sendGroupResets(now)
 }
 
 // maxResetRange is the largest number of circuits in one GRS (Q.763, 3.43).
 const maxResetRange = 32
 
-// sendGroupResets sends GRS for the circuits that still await its answer.
+// sendGroupResets sends GRS for each range that has a circuit whose group reset is unanswered. A circuit with a running
+// timer is being reset by RSC instead.
 func (g *Group) sendGroupResets(now time.Duration) {
 	waiting := false
 	for from := 0; from < len(g.circuits); from += maxResetRange {
@@ -230,14 +233,14 @@
 		}
 	}
 	if !waiting {
-		g.pendingGroup = 0
+		g.pendingGroupReset = 0
 		return
 	}
-	g.groupRepeatAt = now + g.cfg.Timers.T16
-	if now >= g.groupAlarmAt && len(g.circuits) > 0 {
+	g.groupResetRepeatAt = now + g.cfg.Timers.T16
+	if now >= g.groupResetAlarmAt && len(g.circuits) > 0 {
 		g.raiseAlarm(g.circuits[0], "no GRA received in answer to GRS before T23 expired; GRS is repeated")
-		g.groupRepeatAt = now + g.cfg.Timers.T17
-		g.groupAlarmAt = g.groupRepeatAt
+		g.groupResetRepeatAt = now + g.cfg.Timers.T17
+		g.groupResetAlarmAt = g.groupResetRepeatAt
 	}
 }
 
@@ -249,8 +252,8 @@
 	g.send(from, GRS, Range(n, nil))
 }
 
-// receiveGroup handles the messages that refer to a range of circuits.
-func (g *Group) receiveGroup(now time.Duration, m *Message) {
+// receiveGroupMessage handles the messages that refer to a range of circuits.
+func (g *Group) receiveGroupMessage(now time.Duration, m *Message) {
 	n, status := ParseRange(m)
 	if n == 0 {
 		g.Stats.Malformed++
@@ -263,7 +266,7 @@
 			}
 		}
 	}
-	marked := func(i int) bool { return i < len(status) && status[i] }
+	statusSet := func(i int) bool { return i < len(status) && status[i] }
 	supervision := Parameter{SupervisionType, m.Param(SupervisionType)}
 	switch m.Type {
 	case GRS:
@@ -280,14 +283,14 @@
 			if c.state == resetting && !c.timer.Running() {
 				g.setIdle(c)
 			}
-			c.farBlocked = marked(i)
+			c.farBlocked = statusSet(i)
 		})
 	case CGB, CGU:
 		on := m.Type == CGB
-		// Calls on the circuits end if they are blocked because of a hardware failure.
+		// Calls on the circuits end only if the supervision type is "hardware failure oriented" (1).
 		hardwareFailure := len(supervision.Data) > 0 && supervision.Data[0]&3 == 1
 		forEach(func(i int, c *circuit) {
-			if !marked(i) {
+			if !statusSet(i) {
 				return
 			}
 			c.farBlocked = on
@@ -313,7 +316,8 @@
 	}
 }
 
-// stateIndicator returns the circuit state indicator (Q.763, 3.14).
+// stateIndicator returns the circuit state indicator (Q.763, 3.14): bits 0 and 1 are blocked by this end and by the
+// far end; bits 2 and 3 are 1 for an incoming call, 2 for an outgoing call and 3 for idle.
 func (c *circuit) stateIndicator() byte {
 	var b byte
 	if c.localBlocked {
