--- a/internal/m3ua/link.go
+++ b/internal/m3ua/link.go
@@ -11,17 +11,17 @@
 	RoutingContext uint32
 	// Mode is the traffic mode; default TrafficOverride.
 	Mode uint32
-	// ASP is the identifier of the own ASP; 0 sends none.
+	// ASP is the ASP identifier sent with ASPUP; 0 sends none.
 	ASP uint32
 	// AckTimeout is T(ack), the time after which a request without an acknowledgement, such as ASPUP, is
 	// repeated; default 2 s.
 	AckTimeout time.Duration
 	// MaxRetries is the number of repetitions after which the association fails; default 4.
 	MaxRetries int
-	// HeartbeatInterval is the time without received data after which BEAT is sent; default 5 s. After twice
-	// this time without received data the association fails.
+	// HeartbeatInterval is the time without received bytes after which BEAT is sent; default 5 s. After twice
+	// this time without received bytes the association fails.
 	HeartbeatInterval time.Duration
-	// MaxUnsentBytes limits the outgoing bytes that wait for a peer that does not read; default 256 KiB.
+	// MaxUnsentBytes limits the bytes in Link.Out, which grow if the peer does not read; default 256 KiB.
 	MaxUnsentBytes int
 }
 
@@ -67,36 +67,36 @@
 // Event reports one change of a link.
 type Event struct {
 	Kind EventKind
-	Data Data // set on Received
-	PC   uint32
-	Err  error
+	Data Data   // set on Received
+	PC   uint32 // point code, set on DestinationUnavailable and DestinationAvailable
+	Err  error  // set on AssociationDown
 }
 
 // Link is one end of an association between two signalling processes. The IPSP double exchange is not used: the
 // end that opened the connection sends ASPUP and ASPAC (4.3).
 type Link struct {
-	Out    []byte // bytes for the connection; the user writes them and resets the slice
-	Events []Event
+	Out    []byte  // bytes for the connection, to be written to it and removed
+	Events []Event // in order, to be taken and removed
 	Stats  Stats
 
-	cfg         Config
-	initiator   bool
-	state       State
-	stream      Stream
-	msg         Message
-	awaited     Type          // acknowledgement that answers the pending request
-	request     Type          // pending request: ASPUP, ASPAC, ASPIA or ASPDN
-	repeatAt    time.Duration // when the pending request is repeated; 0 if none is pending
-	retries     int
-	receivedAt  time.Duration // when data was last received
-	heartbeatAt time.Duration
-	closed      bool
-	stopping    bool
-	peerASP     uint32 // ASP identifier received from the peer
+	cfg            Config
+	initiator      bool
+	state          State
+	stream         Stream
+	msg            Message
+	awaitedAck     Type          // acknowledgement that answers the pending request
+	pendingRequest Type          // pending request: ASPUP, ASPAC, ASPIA or ASPDN
+	repeatAt       time.Duration // when the pending request is repeated; 0 if none is pending
+	retries        int
+	receivedAt     time.Duration // when bytes were last received
+	heartbeatAt    time.Duration
+	closed         bool   // the association has ended
+	stopping       bool   // Stop was called
+	peerASP        uint32 // ASP identifier received from the peer; 0 if none
 }
 
-// Stats counts what a link has done since it was created: messages received and sent, ERR messages sent, and
-// messages of unknown type.
+// Stats counts what a link has done since it was created. In and Out count messages received and sent, Errors ERR
+// messages sent, and Unknown received messages of unknown type.
 type Stats struct {
 	In, Out, Errors, Unknown uint64
 }
@@ -144,8 +144,8 @@
 	return true
 }
 
-// Stop takes the ASP out of service: it sends ASPIA and then ASPDN, and the association ends when the peer has
-// acknowledged both.
+// Stop takes an active ASP out of service: it sends ASPIA and then ASPDN, and the association ends when the peer has
+// acknowledged both. It has no effect in other states.
 func (l *Link) Stop(now time.Duration) {
 	if l.state == Active && !l.stopping {
 		l.stopping = true
@@ -183,7 +183,7 @@
 		}
 		l.retries++
 		l.repeatAt = now + l.cfg.AckTimeout
-		l.send(l.request, l.requestParams(l.request)...)
+		l.send(l.pendingRequest, l.requestParams(l.pendingRequest)...)
 	}
 	if l.heartbeatAt <= now {
 		if now-l.receivedAt >= 2*l.cfg.HeartbeatInterval {
@@ -209,8 +209,9 @@
 	l.send(ERR, Uint32Param(TagErrorCode, code))
 }
 
+// sendRequest sends a request, which Advance repeats until ack arrives.
 func (l *Link) sendRequest(now time.Duration, t, ack Type) {
-	l.request, l.awaited, l.retries, l.repeatAt = t, ack, 0, now+l.cfg.AckTimeout
+	l.pendingRequest, l.awaitedAck, l.retries, l.repeatAt = t, ack, 0, now+l.cfg.AckTimeout
 	l.send(t, l.requestParams(t)...)
 }
 
@@ -265,7 +266,7 @@
 		l.sendError(code)
 		return
 	}
-	if l.repeatAt != 0 && m.Type == l.awaited {
+	if l.repeatAt != 0 && m.Type == l.awaitedAck {
 		l.repeatAt = 0
 		l.handleAck(now)
 		return
@@ -279,7 +280,7 @@
 		l.handleRequest(m)
 	case DUNA, DAVA, DUPU, SCON, DRST:
 		l.handleDestinationStatus(m)
-	case DAUD: // this process is the only destination here, so each audited one is reported as available
+	case DAUD: // only this process can be reached here, so every audited destination is reported as available
 		l.send(DAVA, m.Params...)
 	case BEATAck, NTFY, ERR, ASPUPAck, ASPACAck, ASPIAAck, ASPDNAck:
 	default:
@@ -294,7 +295,7 @@
 
 // handleAck continues after the peer has acknowledged the pending request.
 func (l *Link) handleAck(now time.Duration) {
-	switch l.awaited {
+	switch l.awaitedAck {
 	case ASPUPAck:
 		l.setState(Inactive)
 		l.sendRequest(now, ASPAC, ASPACAck)
@@ -321,7 +322,7 @@
 	switch m.Type {
 	case ASPUP:
 		l.peerASP, _ = m.Uint(TagASPIdentifier)
-		l.setState(Inactive) // applies to an active ASP as well: the peer has restarted (4.3.4.1)
+		l.setState(Inactive) // even if the ASP is active: the peer has restarted (4.3.4.1)
 		l.send(ASPUPAck)
 		l.send(NTFY, Uint32Param(TagStatus, StatusASInactive))
 	case ASPAC:
@@ -363,6 +364,8 @@
 	l.emit(Event{Kind: Received, Data: d})
 }
 
+// handleDestinationStatus reports which destinations can be reached. DUPU, an unavailable user part, counts as an
+// unavailable destination; congestion (SCON) and restriction (DRST) are ignored.
 func (l *Link) handleDestinationStatus(m *Message) {
 	pcs := m.Param(TagAffectedPC)
 	for ; len(pcs) >= 4; pcs = pcs[4:] {
@@ -376,7 +379,7 @@
 	}
 }
 
-// linkError is the reason why an association ended.
+// linkError is the reason of an AssociationDown event.
 type linkError string
 
 func (e linkError) Error() string { return "m3ua: " + string(e) }
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestImpossibleLengths(t *testing.T) {
+func TestInvalidStreamLengths(t *testing.T) {
 	for _, n := range []byte{0, 7, 9, 10} {
 		var s Stream
 		b := []byte{1, 0, 3, 1, 0, 0, 0, n, 0, 0, 0, 0}
@@ -91,7 +91,7 @@
 	}
 }
 
-// deliver carries bytes between two links until neither has any left to send.
+// deliver exchanges the bytes of two links until neither has any left to send.
 func deliver(now time.Duration, a, b *Link) {
 	for len(a.Out)+len(b.Out) > 0 {
 		ab, ba := bytes.Clone(a.Out), bytes.Clone(b.Out)
@@ -113,7 +113,7 @@
 	return k
 }
 
-func TestUpDataDown(t *testing.T) {
+func TestAssociationLifecycle(t *testing.T) {
 	a, b := NewLink(0, true, Config{RoutingContext: 4}), NewLink(0, false, Config{RoutingContext: 4})
 	if a.Send(Data{}) {
 		t.Error("sent before the ASP was active")
@@ -138,8 +138,8 @@
 	}
 }
 
-// If the peer does not answer, ASPUP is repeated at intervals, then the association ends once.
-func TestNoAnswer(t *testing.T) {
+// If the peer does not acknowledge ASPUP, it is repeated at intervals, then the association ends once.
+func TestNoAcknowledgement(t *testing.T) {
 	l := NewLink(0, true, Config{AckTimeout: time.Second, MaxRetries: 2, HeartbeatInterval: time.Hour})
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * ms {
 		l.Advance(now)
@@ -187,8 +187,8 @@
 	}
 }
 
-// Bytes that arrive one at a time, up to any point of a message sequence, do not break the association, and a
-// new connection afterwards starts in a valid state.
+// A message sequence that arrives one byte at a time and is cut at any byte does not end the association, and a new
+// connection starts in the usual state.
 func TestCutAtEveryByte(t *testing.T) {
 	var whole []byte
 	for _, ty := range []Type{ASPUP, ASPAC, DATA, BEAT, DAUD, NTFY, ERR, ASPIA, ASPDN} {
@@ -267,7 +267,7 @@
 	s.Add(one)
 	s.Add(two) // overrides the first ASP
 	s.Send(Data{SLS: 1})
-	two.state = Down // the server has not been notified yet: the message is sent by the other ASP
+	two.state = Down // not yet removed from the server: the message is sent by the other ASP
 	s.Send(Data{SLS: 2})
 	s.Remove(two)
 	s.Send(Data{SLS: 3})
--- a/internal/m3ua/message.go
+++ b/internal/m3ua/message.go
@@ -1,6 +1,6 @@
 // Package m3ua implements the MTP3 user adaptation layer (RFC 4666), carried over TCP: messages are delimited
 // by their length field. It performs no I/O: a Link receives the current time and incoming bytes, and collects
-// outgoing bytes and events.
+// outgoing bytes and events. Section numbers in comments, such as (4.3.1), refer to RFC 4666.
 package m3ua
 
 import (
@@ -64,7 +64,7 @@
 // Tag identifies a parameter (3.2).
 type Tag uint16
 
-// Parameter tags, sizes in bytes and traffic modes.
+// Parameter tags, sizes in bytes, the protocol version and traffic modes.
 const (
 	TagInfo              Tag    = 0x0004
 	TagRoutingContext    Tag    = 0x0006
@@ -80,11 +80,11 @@
 	TagCongestion        Tag    = 0x0205
 	TagNetworkAppearance Tag    = 0x0200
 	TagProtocolData      Tag    = 0x0210
-	headerSize                  = 8
-	paramHeaderSize             = 4
-	dataHeaderSize              = 12
+	headerSize                  = 8  // of a message
+	paramHeaderSize             = 4  // tag and length
+	dataHeaderSize              = 12 // of the protocol data, before the user message
 	protocolVersion             = 1
-	MaxMessageSize              = 4096 // largest accepted message in bytes; ISUP needs less than 400
+	MaxMessageSize              = 4096 // largest accepted message; ISUP needs less than 400
 	TrafficOverride      uint32 = 1
 	TrafficLoadshare     uint32 = 2
 )
@@ -196,11 +196,11 @@
 
 // Data is the protocol data of a DATA message (3.3.1): one MTP3 user message.
 type Data struct {
-	OPC, DPC uint32
-	SI       uint8 // service indicator
-	NI       uint8
-	MP       uint8
-	SLS      uint8
+	OPC, DPC uint32 // point codes of origin and destination
+	SI       uint8  // service indicator
+	NI       uint8  // network indicator
+	MP       uint8  // message priority
+	SLS      uint8  // signalling link selection
 	Payload  []byte
 }
 
--- a/internal/m3ua/server.go
+++ b/internal/m3ua/server.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// ASP is one process of an application server, usually a Link.
+// ASP is the connection to one process of an application server, usually a Link.
 type ASP interface {
 	Send(d Data) bool
 	State() State
@@ -12,11 +12,11 @@
 // carries all traffic (4.3.4.3); in loadshare mode the SLS selects the ASP, so that the messages of one circuit
 // stay in order.
 type ApplicationServer struct {
-	Mode uint32 // TrafficOverride or TrafficShare
-	asps []ASP  // active ones, oldest first
+	Mode uint32 // TrafficOverride or TrafficLoadshare
+	asps []ASP  // in service, in the order of Add
 }
 
-// Add takes an ASP into service, as the newest one.
+// Add takes an ASP into service as the one activated last, also if it was in service before.
 func (s *ApplicationServer) Add(p ASP) {
 	s.Remove(p)
 	s.asps = append(s.asps, p)
