--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,16 +12,16 @@
 // InstanceSettings are the settings of one instance, read from the settings text of its Hello.
 type InstanceSettings struct {
 	Settings     decide.Settings
-	ReportFields []string // names of the values in a load report
-	ClassNames   []string // as callers on sockets give them
-	ZoneNames    []string
-	TenantNames  []string // as callers on sockets give them
+	ReportFields []string // names of the values in a load report, in the order of Stats.V
+	ClassNames   []string // by class index; callers of the platform use these names
+	ZoneNames    []string // by zone index
+	TenantNames  []string // by tenant index; callers of the platform use these names
 
 	ConnectTimeout time.Duration // a connection attempt fails after this
 	MaxOpenCalls   int           // open calls of one instance; 0 is no limit
 }
 
-// settingsText is the JSON form of the settings text.
+// settingsText is the JSON form of the settings text. Most fields are named after their keys.
 type settingsText struct {
 	Clients struct {
 		MarksRetry bool `json:"marksRetry"`
@@ -72,7 +72,8 @@
 }
 
 // ParseSettings reads a settings text. Unknown keys are ignored. Absent keys are zero, except for widths (1),
-// repeat (safe) and maxAttempts (1).
+// selfNo (unknown), repeat (safe) and maxAttempts (1). It returns an error if the text is not JSON, if holdingS does
+// not have one value for each class, or if a value is out of range.
 func ParseSettings(text []byte) (InstanceSettings, error) {
 	var t settingsText
 	if err := json.Unmarshal(text, &t); err != nil {
@@ -119,8 +120,8 @@
 		ConnectTimeout: Seconds(t.Limits.ConnectTimeoutS), MaxOpenCalls: t.Limits.MaxOpen}, nil
 }
 
-// Seconds converts seconds on the wire to a duration of whole microseconds. Values beyond 1e9 s either way
-// are limited to that; NaN is 0.
+// Seconds converts seconds on the wire to a duration of whole microseconds. Values are limited to -1e9 to 1e9 s;
+// NaN is 0.
 func Seconds(s float64) time.Duration {
 	const limit = 1e9
 	if math.IsNaN(s) {
@@ -130,7 +131,7 @@
 	return time.Duration(math.Round(s*1e6)) * time.Microsecond
 }
 
-// RoundToInt converts a number that should be whole to an int. NaN and values beyond 1e9 either way are
+// RoundToInt converts a number that should be whole to an int. NaN and values below -1e9 or above 1e9 give
 // decide.Unknown.
 func RoundToInt(v float64) int {
 	if math.IsNaN(v) || math.Abs(v) > 1e9 {
@@ -152,8 +153,8 @@
 	return r
 }
 
-// SetReportField sets one field of a load report by its name on the wire. Each figure of the group has two
-// names.
+// SetReportField sets one field of a load report by its name on the wire. The circuits of the group have two names
+// each. Unknown names, and values that are negative, NaN or infinite, have no effect.
 func SetReportField(r *decide.Report, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,7 @@
 // Package wire encodes and decodes the simulator's wire protocol: frames, their records and the settings text.
+//
+// A frame is a header, records of fixed size and a tail. Data of variable length lies in the tail; a record refers
+// to it by offset and length. Names follow the protocol's specification, comments give the router's term.
 package wire
 
 import (
@@ -9,12 +12,12 @@
 	"math"
 )
 
-// Sizes of the fixed parts of a frame, in bytes.
+// Sizes of the frame header, of each kind of record and of a table entry in the tail, in bytes.
 const (
-	eventSize   = 56
-	actionSize  = 24
-	entrySize   = 25
-	batchHeader = 16
+	eventSize       = 56
+	actionSize      = 24
+	entrySize       = 25
+	batchHeaderSize = 16
 )
 
 // Codes of events, as in the protocol's specification.
@@ -23,7 +26,7 @@
 	OpResult uint8 = iota
 	// OpStreaming reports that an attempt set up its call.
 	OpStreaming
-	// OpTable carries a numbered table of list entries for later Sync events.
+	// OpTable carries a numbered table of exchange list entries, to which later OpSync events refer.
 	OpTable
 	// OpDatagram carries a message from another proxy.
 	OpDatagram
@@ -33,7 +36,7 @@
 	OpShutdown
 	// OpClientLeft reports that a caller abandoned its call.
 	OpClientLeft
-	// OpProbeResult reports the result of a Test.
+	// OpProbeResult reports the result of an OpTest.
 	OpProbeResult
 	// OpSync reports the exchange list or its changes.
 	OpSync
@@ -45,7 +48,7 @@
 
 // Codes of actions, as in the protocol's specification.
 const (
-	// OpPlace sends a call to a switch.
+	// OpPlace sends the set-up of a call to a switch.
 	OpPlace uint8 = iota + 64
 	// OpShed refuses a call.
 	OpShed
@@ -65,85 +68,87 @@
 	OpJournalLine
 	// OpPanic reports that an instance panicked.
 	OpPanic
-	// OpStreamChanges subscribes to list changes or unsubscribes.
+	// OpStreamChanges subscribes to changes of the exchange list, or unsubscribes.
 	OpStreamChanges
-	// OpReload requests the list once.
+	// OpReload requests the exchange list once.
 	OpReload
 )
 
 // Bits of Event.Attrs.
 const (
-	// AttrRedial marks a call whose caller tried before.
+	// AttrRedial marks a redial: the caller tried this call before.
 	AttrRedial = 2
 	// AttrTransit marks a transit call.
 	AttrTransit = 8
-	// AttrWasCut marks a call that was cut and is submitted again.
+	// AttrWasCut marks a standing call that was cut and is offered again.
 	AttrWasCut = 16
 )
 
 // Addr is a switch's address: four address bytes and a port, kept unchanged.
 type Addr [6]byte
 
-// Stats are the values of a load report.
+// Stats are the values of a load report. Their names are in the settings (InstanceSettings.ReportFields).
 type Stats struct {
-	N uint8
+	N uint8 // number of values in V that are in use
 	V [4]float32
 }
 
-// Entry is one entry of a Table, the simulator's form of an exchange list.
+// Entry is one entry of an OpTable, the simulator's form of an exchange list. The router does not use Kind and
+// Rating.
 type Entry struct {
 	Switch            Addr
-	Hall, Kind, Point uint16
-	Phase             uint8
+	Hall, Kind, Point uint16 // Hall: zone; Point: number of the exchange or pool
+	Phase             uint8  // as decide.Phase
 	Rating            float32
-	ReadyAt           float64
+	ReadyAt           float64 // start time in seconds
 }
 
-// Event is one event record. Op determines which of the other fields are in use.
+// Event is one event record. Op determines which of the other fields are in use. Times are in seconds. The router
+// does not use Version and Effort.
 type Event struct {
 	Op       uint8
-	Proxy    uint32
-	ID       uint32
-	Attempt  uint16
+	Proxy    uint32 // number of the instance
+	ID       uint32 // call
+	Attempt  uint16 // number of the attempt of the call
 	Switch   Addr
-	How      uint16
+	How      uint16 // outcome, as decide.Outcome
 	Duration float64
-	Ended    uint8
+	Ended    uint8 // not 0 if the call no longer needs an answer
 	Cause    uint32
 	Stats    Stats
-	Cookie   uint64
-	Sender   uint32
+	Cookie   uint64 // timer token
+	Sender   uint32 // proxy that sent a datagram
 	Blob     []byte // Datagram payload or settings text
-	Entropy  uint64
-	Scope    uint8
+	Entropy  uint64 // seed of the instance
+	Scope    uint8  // kind of list update, as decide.ListKind
 	Version  uint64
-	Buffer   uint16
-	Elements []Entry
-	Priority uint16
-	Party    uint16
-	RouteKey uint64
-	Grace    float64
+	Buffer   uint16  // number of the table
+	Elements []Entry // entries of the table
+	Priority uint16  // index of the class
+	Party    uint16  // index of the tenant
+	RouteKey uint64  // called number
+	Grace    float64 // patience of the caller
 	Effort   float64
-	Dest     float32
-	Units    float32
-	Through  float32
-	Attrs    uint16
+	Dest     float32 // number of the exchange called
+	Units    float32 // width: circuits on each group
+	Through  float32 // advised tandem; of a transit call the exchange that it comes from
+	Attrs    uint16  // bits, see AttrRedial
 }
 
-// Action is one action record. Op determines which of the other fields are in use.
+// Action is one action record. Op determines which of the other fields are in use. Times are in seconds.
 type Action struct {
 	Op       uint8
-	Proxy    uint32
-	ID       uint32
+	Proxy    uint32 // number of the instance
+	ID       uint32 // call
 	Switch   Addr
-	TryFor   float64
+	TryFor   float64 // timeout of the attempt
 	Attempt  uint16
-	SleepFor float64
-	Cookie   uint64
-	CoolDown float64
-	Dst      uint32
-	Blob     []byte
-	Active   uint8
+	SleepFor float64 // time until the timer expires
+	Cookie   uint64  // timer token
+	CoolDown float64 // retry-after
+	Dst      uint32  // proxy that a datagram is for
+	Blob     []byte  // datagram payload or text
+	Active   uint8   // 1 subscribes, 0 unsubscribes
 }
 
 // Batch is one decoded frame of events. Its clock is in seconds.
@@ -152,233 +157,235 @@
 	Events []Event
 }
 
-// fields reads or writes the fields of one record in order, so that each layout is defined once for both.
-type fields struct {
-	b      []byte
-	offset int
-	write  bool
-	tail   []byte
-	err    error
+// recordCodec reads or writes the fields of one record in order, so that one function defines the layout of a record
+// for both directions.
+type recordCodec struct {
+	b      []byte // the record
+	offset int    // of the next field
+	write  bool   // encode instead of decode
+	tail   []byte // tail of the frame; grows when encoding
+	err    error  // the first error
 }
 
-func (f *fields) next(n int) []byte {
-	f.offset += n
-	return f.b[f.offset-n : f.offset]
+func (c *recordCodec) next(n int) []byte {
+	c.offset += n
+	return c.b[c.offset-n : c.offset]
 }
 
-func (f *fields) u8(p *uint8) {
-	if b := f.next(1); f.write {
+func (c *recordCodec) u8(p *uint8) {
+	if b := c.next(1); c.write {
 		b[0] = *p
 	} else {
 		*p = b[0]
 	}
 }
 
-func (f *fields) u16(p *uint16) {
-	if b := f.next(2); f.write {
+func (c *recordCodec) u16(p *uint16) {
+	if b := c.next(2); c.write {
 		binary.LittleEndian.PutUint16(b, *p)
 	} else {
 		*p = binary.LittleEndian.Uint16(b)
 	}
 }
 
-func (f *fields) u32(p *uint32) {
-	if b := f.next(4); f.write {
+func (c *recordCodec) u32(p *uint32) {
+	if b := c.next(4); c.write {
 		binary.LittleEndian.PutUint32(b, *p)
 	} else {
 		*p = binary.LittleEndian.Uint32(b)
 	}
 }
 
-func (f *fields) u64(p *uint64) {
-	if b := f.next(8); f.write {
+func (c *recordCodec) u64(p *uint64) {
+	if b := c.next(8); c.write {
 		binary.LittleEndian.PutUint64(b, *p)
 	} else {
 		*p = binary.LittleEndian.Uint64(b)
 	}
 }
 
-func (f *fields) f32(p *float32) {
+func (c *recordCodec) f32(p *float32) {
 	v := math.Float32bits(*p)
-	f.u32(&v)
+	c.u32(&v)
 	*p = math.Float32frombits(v)
 }
 
-func (f *fields) f64(p *float64) {
+func (c *recordCodec) f64(p *float64) {
 	v := math.Float64bits(*p)
-	f.u64(&v)
+	c.u64(&v)
 	*p = math.Float64frombits(v)
 }
 
-func (f *fields) addr(p *Addr) {
-	if b := f.next(6); f.write {
+func (c *recordCodec) addr(p *Addr) {
+	if b := c.next(6); c.write {
 		copy(b, p[:])
 	} else {
 		copy(p[:], b)
 	}
 }
 
-func (f *fields) stats(p *Stats) {
-	f.u8(&p.N)
+func (c *recordCodec) stats(p *Stats) {
+	c.u8(&p.N)
 	for i := range p.V {
-		f.f32(&p.V[i])
+		c.f32(&p.V[i])
 	}
-	if p.N > 4 && f.err == nil {
-		f.err = fmt.Errorf("load report of %d values, at most 4 allowed", p.N)
+	if p.N > 4 && c.err == nil {
+		c.err = fmt.Errorf("load report of %d values, at most 4 allowed", p.N)
 	}
 }
 
-// span reads or writes the reference to count items of a size in the tail, and returns their bytes when
-// reading.
-func (f *fields) span(count, item int) []byte {
-	off, n := uint32(len(f.tail)), uint32(count)
-	f.u32(&off)
-	f.u32(&n)
-	if f.write {
+// span reads or writes a reference to items in the tail, of item bytes each. When writing, it refers to count items at
+// the end of the tail, which the caller then appends, and returns nil. When reading, it ignores count and returns
+// the bytes of the items.
+func (c *recordCodec) span(count, item int) []byte {
+	off, n := uint32(len(c.tail)), uint32(count)
+	c.u32(&off)
+	c.u32(&n)
+	if c.write {
 		return nil
 	}
 	end := uint64(off) + uint64(n)*uint64(item)
-	if end > uint64(len(f.tail)) {
-		if f.err == nil {
-			f.err = fmt.Errorf("tail reference to bytes %d to %d, but the tail has %d", off, end, len(f.tail))
+	if end > uint64(len(c.tail)) {
+		if c.err == nil {
+			c.err = fmt.Errorf("tail reference to bytes %d to %d, but the tail has %d", off, end, len(c.tail))
 		}
 		return nil
 	}
-	return f.tail[off:end]
+	return c.tail[off:end]
 }
 
-func (f *fields) blob(p *[]byte) {
-	got := f.span(len(*p), 1)
-	if f.write {
-		f.tail = append(f.tail, *p...)
+func (c *recordCodec) blob(p *[]byte) {
+	got := c.span(len(*p), 1)
+	if c.write {
+		c.tail = append(c.tail, *p...)
 	} else {
 		*p = got
 	}
 }
 
-func (f *fields) entries(p *[]Entry) {
-	got := f.span(len(*p), entrySize)
-	if f.write {
+func (c *recordCodec) entries(p *[]Entry) {
+	got := c.span(len(*p), entrySize)
+	if c.write {
 		for i := range *p {
-			e := fields{b: make([]byte, entrySize), write: true}
+			e := recordCodec{b: make([]byte, entrySize), write: true}
 			e.entry(&(*p)[i])
-			f.tail = append(f.tail, e.b...)
+			c.tail = append(c.tail, e.b...)
 		}
 		return
 	}
 	*p = make([]Entry, len(got)/entrySize)
 	for i := range *p {
-		e := fields{b: got[i*entrySize:]}
+		e := recordCodec{b: got[i*entrySize:]}
 		e.entry(&(*p)[i])
 	}
 }
 
-func (f *fields) entry(e *Entry) {
-	f.addr(&e.Switch)
-	f.u16(&e.Hall)
-	f.u16(&e.Kind)
-	f.u16(&e.Point)
-	f.u8(&e.Phase)
-	f.f32(&e.Rating)
-	f.f64(&e.ReadyAt)
+func (c *recordCodec) entry(e *Entry) {
+	c.addr(&e.Switch)
+	c.u16(&e.Hall)
+	c.u16(&e.Kind)
+	c.u16(&e.Point)
+	c.u8(&e.Phase)
+	c.f32(&e.Rating)
+	c.f64(&e.ReadyAt)
 }
 
-func (f *fields) event(e *Event) {
-	f.u8(&e.Op)
+func (c *recordCodec) event(e *Event) {
+	c.u8(&e.Op)
 	if e.Op == OpTable {
-		f.u16(&e.Buffer)
-		f.entries(&e.Elements)
+		c.u16(&e.Buffer)
+		c.entries(&e.Elements)
 		return
 	}
-	f.u32(&e.Proxy)
+	c.u32(&e.Proxy)
 	switch e.Op {
 	case OpResult, OpStreaming:
-		f.u32(&e.ID)
-		f.u16(&e.Attempt)
-		f.addr(&e.Switch)
+		c.u32(&e.ID)
+		c.u16(&e.Attempt)
+		c.addr(&e.Switch)
 		if e.Op == OpStreaming {
-			f.f64(&e.Duration)
+			c.f64(&e.Duration)
 			return
 		}
-		f.u16(&e.How)
-		f.f64(&e.Duration)
-		f.u8(&e.Ended)
-		f.u32(&e.Cause)
-		f.stats(&e.Stats)
+		c.u16(&e.How)
+		c.f64(&e.Duration)
+		c.u8(&e.Ended)
+		c.u32(&e.Cause)
+		c.stats(&e.Stats)
 	case OpDatagram:
-		f.u32(&e.Sender)
-		f.blob(&e.Blob)
+		c.u32(&e.Sender)
+		c.blob(&e.Blob)
 	case OpDue:
-		f.u64(&e.Cookie)
+		c.u64(&e.Cookie)
 	case OpShutdown:
 	case OpClientLeft:
-		f.u32(&e.ID)
+		c.u32(&e.ID)
 	case OpProbeResult:
-		f.addr(&e.Switch)
-		f.u16(&e.How)
-		f.f64(&e.Duration)
-		f.stats(&e.Stats)
+		c.addr(&e.Switch)
+		c.u16(&e.How)
+		c.f64(&e.Duration)
+		c.stats(&e.Stats)
 	case OpSync:
-		f.u8(&e.Scope)
-		f.u64(&e.Version)
-		f.u16(&e.Buffer)
+		c.u8(&e.Scope)
+		c.u64(&e.Version)
+		c.u16(&e.Buffer)
 	case OpSubmit:
-		f.u32(&e.ID)
-		f.u16(&e.Priority)
-		f.u16(&e.Party)
-		f.u64(&e.RouteKey)
-		f.f64(&e.Grace)
-		f.f64(&e.Effort)
-		f.f32(&e.Dest)
-		f.f32(&e.Units)
-		f.f32(&e.Through)
-		f.u16(&e.Attrs)
+		c.u32(&e.ID)
+		c.u16(&e.Priority)
+		c.u16(&e.Party)
+		c.u64(&e.RouteKey)
+		c.f64(&e.Grace)
+		c.f64(&e.Effort)
+		c.f32(&e.Dest)
+		c.f32(&e.Units)
+		c.f32(&e.Through)
+		c.u16(&e.Attrs)
 	case OpHello:
-		f.u64(&e.Entropy)
-		f.blob(&e.Blob)
+		c.u64(&e.Entropy)
+		c.blob(&e.Blob)
 	default:
-		f.err = fmt.Errorf("unknown event code %d", e.Op)
+		c.err = fmt.Errorf("unknown event code %d", e.Op)
 	}
 }
 
-func (f *fields) action(a *Action) {
-	f.u8(&a.Op)
-	f.u32(&a.Proxy)
+func (c *recordCodec) action(a *Action) {
+	c.u8(&a.Op)
+	c.u32(&a.Proxy)
 	switch a.Op {
 	case OpPlace:
-		f.u32(&a.ID)
-		f.addr(&a.Switch)
-		f.f64(&a.TryFor)
+		c.u32(&a.ID)
+		c.addr(&a.Switch)
+		c.f64(&a.TryFor)
 	case OpShed:
-		f.u32(&a.ID)
-		f.f64(&a.CoolDown)
+		c.u32(&a.ID)
+		c.f64(&a.CoolDown)
 	case OpEndFailed:
-		f.u32(&a.ID)
+		c.u32(&a.ID)
 	case OpDropAttempt:
-		f.u32(&a.ID)
-		f.u16(&a.Attempt)
+		c.u32(&a.ID)
+		c.u16(&a.Attempt)
 	case OpSleep:
-		f.f64(&a.SleepFor)
-		f.u64(&a.Cookie)
+		c.f64(&a.SleepFor)
+		c.u64(&a.Cookie)
 	case OpTest, OpCloseIdle:
-		f.addr(&a.Switch)
+		c.addr(&a.Switch)
 	case OpWritePeer:
-		f.u32(&a.Dst)
-		f.blob(&a.Blob)
+		c.u32(&a.Dst)
+		c.blob(&a.Blob)
 	case OpJournalLine, OpPanic:
-		f.blob(&a.Blob)
+		c.blob(&a.Blob)
 	case OpStreamChanges:
-		f.u8(&a.Active)
+		c.u8(&a.Active)
 	case OpReload:
 	default:
-		f.err = fmt.Errorf("unknown action code %d", a.Op)
+		c.err = fmt.Errorf("unknown action code %d", a.Op)
 	}
 }
 
-// ReadBatch reads and decodes one frame. At the end of input, before any byte of a frame, it returns io.EOF
-// itself.
+// ReadBatch reads and decodes one frame. It returns io.EOF unwrapped if the input ends before the first byte of a
+// frame.
 func ReadBatch(r io.Reader) (Batch, error) {
-	var h [batchHeader]byte
+	var h [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		if err == io.EOF {
 			return Batch{}, err
@@ -401,14 +408,15 @@
 	return decodeBody(clock, int(count), body.Bytes())
 }
 
+// decodeBody decodes the count records of a body. The rest of the body is the tail.
 func decodeBody(clock float64, count int, body []byte) (Batch, error) {
 	out := Batch{Clock: clock, Events: make([]Event, count)}
 	tail := body[count*eventSize:]
 	for i := range out.Events {
-		f := fields{b: body[i*eventSize : (i+1)*eventSize], tail: tail}
-		f.event(&out.Events[i])
-		if f.err != nil {
-			return Batch{}, fmt.Errorf("record %d of %d (code %d): %w", i, count, f.b[0], f.err)
+		c := recordCodec{b: body[i*eventSize : (i+1)*eventSize], tail: tail}
+		c.event(&out.Events[i])
+		if c.err != nil {
+			return Batch{}, fmt.Errorf("record %d of %d (code %d): %w", i, count, c.b[0], c.err)
 		}
 	}
 	return out, nil
@@ -419,12 +427,12 @@
 	recs := make([]byte, len(b.Events)*eventSize)
 	var tail []byte
 	for i := range b.Events {
-		f := fields{b: recs[i*eventSize : (i+1)*eventSize], write: true, tail: tail}
-		f.event(&b.Events[i])
-		if f.err != nil {
-			return nil, fmt.Errorf("event %d: %w", i, f.err)
+		c := recordCodec{b: recs[i*eventSize : (i+1)*eventSize], write: true, tail: tail}
+		c.event(&b.Events[i])
+		if c.err != nil {
+			return nil, fmt.Errorf("event %d: %w", i, c.err)
 		}
-		tail = f.tail
+		tail = c.tail
 	}
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(b.Events)))
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(recs)+len(tail)))
@@ -437,12 +445,12 @@
 	recs := make([]byte, len(actions)*actionSize)
 	var tail []byte
 	for i := range actions {
-		f := fields{b: recs[i*actionSize : (i+1)*actionSize], write: true, tail: tail}
-		f.action(&actions[i])
-		if f.err != nil {
-			return nil, fmt.Errorf("action %d: %w", i, f.err)
+		c := recordCodec{b: recs[i*actionSize : (i+1)*actionSize], write: true, tail: tail}
+		c.action(&actions[i])
+		if c.err != nil {
+			return nil, fmt.Errorf("action %d: %w", i, c.err)
 		}
-		tail = f.tail
+		tail = c.tail
 	}
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(recs)+len(tail)))
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(actions)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,8 +12,8 @@
 	"pipitring/decide"
 )
 
-// unhex decodes hex with spaces.
-func unhex(t testing.TB, s string) []byte {
+// decodeHex decodes hex digits, ignoring white space.
+func decodeHex(t testing.TB, s string) []byte {
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
 		t.Fatal(err)
@@ -21,25 +21,26 @@
 	return b
 }
 
-// pad decodes a record's hex and fills it with zeros up to size bytes.
-func pad(t testing.TB, s string, size int) []byte {
-	b := unhex(t, s)
+// paddedRecord decodes the hex of a record and appends zeros up to size bytes.
+func paddedRecord(t testing.TB, s string, size int) []byte {
+	b := decodeHex(t, s)
 	return append(b, make([]byte, size-len(b))...)
 }
 
+// frame returns a frame of records and a tail with the clock at 1 s.
 func frame(t testing.TB, tail []byte, records ...[]byte) []byte {
 	body := append(bytes.Join(records, nil), tail...)
-	head := unhex(t, "00000000 00000000 000000000000f03f")
+	head := decodeHex(t, "00000000 00000000 000000000000f03f")
 	head[0], head[4], head[5] = byte(len(records)), byte(len(body)), byte(len(body)>>8)
 	return append(head, body...)
 }
 
-func TestReadBatchOfKnownBytes(t *testing.T) {
-	b, err := ReadBatch(bytes.NewReader(frame(t, unhex(t, "0a124a07 2b23 0100 0000 0200 01 0000803f 0000000000000040"),
-		pad(t, "02 0300 00000000 01000000", eventSize),
-		pad(t, "08 03000000 02 2900000000000000 0300", eventSize),
-		pad(t, "09 07000000 c4913a5d 0100 0200 0500000000000000 000000000000f03f 0000000000000000 00004040 0000803f 000080bf 0a00", eventSize),
-		pad(t, "00 07000000 c4913a5d 0200 0a124a07 2b23 0300 000000000000e03f 01 12000000 02 0000803f 00000040", eventSize),
+func TestReadBatchBytes(t *testing.T) {
+	b, err := ReadBatch(bytes.NewReader(frame(t, decodeHex(t, "0a124a07 2b23 0100 0000 0200 01 0000803f 0000000000000040"),
+		paddedRecord(t, "02 0300 00000000 01000000", eventSize),
+		paddedRecord(t, "08 03000000 02 2900000000000000 0300", eventSize),
+		paddedRecord(t, "09 07000000 c4913a5d 0100 0200 0500000000000000 000000000000f03f 0000000000000000 00004040 0000803f 000080bf 0a00", eventSize),
+		paddedRecord(t, "00 07000000 c4913a5d 0200 0a124a07 2b23 0300 000000000000e03f 01 12000000 02 0000803f 00000040", eventSize),
 	)))
 	if err != nil {
 		t.Fatal(err)
@@ -68,11 +69,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := bytes.Join([][]byte{unhex(t, "62000000 04000000"),
-		pad(t, "40 03000000 c4913a5d 0a124a07 2b23 000000000000e03f", actionSize),
-		pad(t, "41 03000000 01000000 000000000000d03f", actionSize),
-		pad(t, "48 03000000 00000000 02000000", actionSize),
-		pad(t, "44 03000000 000000000000e03f 4d00000000000000", actionSize), []byte("hi")}, nil)
+	want := bytes.Join([][]byte{decodeHex(t, "62000000 04000000"),
+		paddedRecord(t, "40 03000000 c4913a5d 0a124a07 2b23 000000000000e03f", actionSize),
+		paddedRecord(t, "41 03000000 01000000 000000000000d03f", actionSize),
+		paddedRecord(t, "48 03000000 00000000 02000000", actionSize),
+		paddedRecord(t, "44 03000000 000000000000e03f 4d00000000000000", actionSize), []byte("hi")}, nil)
 	if !bytes.Equal(got, want) {
 		t.Fatalf("got  %x\nwant %x", got, want)
 	}
@@ -105,20 +106,20 @@
 	}
 }
 
-func TestBadFrameErrors(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for _, tc := range []struct {
 		name, want string
 		raw        []byte
 	}{
-		{"cut header", "frame header", unhex(t, "01000000")},
-		{"cut body", "frame body: 2 of 56 bytes read", append(unhex(t, "01000000 38000000 0000000000000000"), 4, 0)},
-		{"huge length", "frame body: 0 of 4294967295 bytes read", unhex(t, "00000000 ffffffff 0000000000000000")},
-		{"too many records", "do not fit", unhex(t, "ffffffff 38000000 0000000000000000")},
-		{"clock", "clock is NaN", unhex(t, "00000000 00000000 010000000000f87f")},
-		{"unknown code", "record 0 of 1 (code 99): unknown event code", frame(t, nil, pad(t, "63", eventSize))},
-		{"tail", "record 0 of 1 (code 3): tail reference", frame(t, nil, pad(t, "03 00000000 00000000 ffffffff ffffffff", eventSize))},
-		{"entries", "tail reference", frame(t, []byte{1}, pad(t, "02 0000 00000000 01000000", eventSize))},
-		{"report", "load report of 9 values", frame(t, nil, pad(t, "07 00000000 000000000000 0100 0000000000000000 09", eventSize))},
+		{"cut header", "frame header", decodeHex(t, "01000000")},
+		{"cut body", "frame body: 2 of 56 bytes read", append(decodeHex(t, "01000000 38000000 0000000000000000"), 4, 0)},
+		{"huge length", "frame body: 0 of 4294967295 bytes read", decodeHex(t, "00000000 ffffffff 0000000000000000")},
+		{"too many records", "do not fit", decodeHex(t, "ffffffff 38000000 0000000000000000")},
+		{"clock", "clock is NaN", decodeHex(t, "00000000 00000000 010000000000f87f")},
+		{"unknown code", "record 0 of 1 (code 99): unknown event code", frame(t, nil, paddedRecord(t, "63", eventSize))},
+		{"tail", "record 0 of 1 (code 3): tail reference", frame(t, nil, paddedRecord(t, "03 00000000 00000000 ffffffff ffffffff", eventSize))},
+		{"entries", "tail reference", frame(t, []byte{1}, paddedRecord(t, "02 0000 00000000 01000000", eventSize))},
+		{"report", "load report of 9 values", frame(t, nil, paddedRecord(t, "07 00000000 000000000000 0100 0000000000000000 09", eventSize))},
 	} {
 		if _, err := ReadBatch(bytes.NewReader(tc.raw)); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v, want one with %q", tc.name, err, tc.want)
@@ -127,8 +128,8 @@
 }
 
 func FuzzReadBatch(f *testing.F) {
-	f.Add(frame(f, []byte("tail"), pad(f, "03 00000000 00000000 00000000 04000000", eventSize)))
-	f.Add(frame(f, nil, pad(f, "02 0000 00000000 00000000", eventSize)))
+	f.Add(frame(f, []byte("tail"), paddedRecord(f, "03 00000000 00000000 00000000 04000000", eventSize)))
+	f.Add(frame(f, nil, paddedRecord(f, "02 0000 00000000 00000000", eventSize)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := ReadBatch(bytes.NewReader(raw))
 		if err != nil {
