--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -10,13 +10,13 @@
 	"pipitring/internal/wire"
 )
 
-// instance is the decision module of one proxy, with the names of the values in its load reports.
+// instance is the decision module of one proxy, with the names of the values in the load reports that it gets.
 type instance struct {
-	ctl    *decide.Controller
-	fields []string
+	controller   *decide.Controller
+	reportFields []string
 }
 
-// host holds the instances of this process. They share only the numbered tables of the wire.
+// host holds the instances of this process by proxy. They share only the numbered tables of list entries.
 type host struct {
 	instances map[uint32]*instance
 	tables    map[uint16][]wire.Entry
@@ -26,8 +26,8 @@
 	return &host{instances: map[uint32]*instance{}, tables: map[uint16][]wire.Entry{}}
 }
 
-// step reads one batch and writes its reply. done is true at the end of input.
-func (h *host) step(r io.Reader, w *bufio.Writer) (done bool, err error) {
+// handleFrame reads the frame of one batch and writes its reply. done is true at the end of input.
+func (h *host) handleFrame(r io.Reader, w *bufio.Writer) (done bool, err error) {
 	b, err := wire.ReadBatch(r)
 	if err == io.EOF {
 		return true, nil
@@ -35,7 +35,7 @@
 	if err != nil {
 		return false, err
 	}
-	actions, err := h.batch(b)
+	actions, err := h.handleBatch(b)
 	if err != nil {
 		return false, err
 	}
@@ -52,8 +52,8 @@
 	return false, nil
 }
 
-// batch feeds the events to their instances in order and returns all resulting actions.
-func (h *host) batch(b wire.Batch) ([]wire.Action, error) {
+// handleBatch passes the events to their instances in order and returns all resulting actions.
+func (h *host) handleBatch(b wire.Batch) ([]wire.Action, error) {
 	var out []wire.Action
 	now := wire.Seconds(b.Clock)
 	for i := range b.Events {
@@ -65,33 +65,34 @@
 			delete(h.instances, e.Proxy)
 			out = withoutProxy(out, e.Proxy)
 		case wire.OpHello:
-			setup, err := wire.ParseSettings(e.Blob)
+			settings, err := wire.ParseSettings(e.Blob)
 			if err != nil {
 				return nil, fmt.Errorf("record %d: proxy %d: %w", i, e.Proxy, err)
 			}
-			h.instances[e.Proxy] = &instance{decide.New(setup.Settings, e.Entropy), setup.ReportFields}
+			h.instances[e.Proxy] = &instance{decide.New(settings.Settings, e.Entropy), settings.ReportFields}
 		default:
-			if in := h.instances[e.Proxy]; in != nil {
-				out = h.feed(in, now, e, out)
+			if inst := h.instances[e.Proxy]; inst != nil {
+				out = h.handleEvent(inst, now, e, out)
 			}
 		}
 	}
 	return out, nil
 }
 
-// feed passes one event to its instance. If that panics, a Panic action is added and the instance is removed.
-func (h *host) feed(in *instance, now time.Duration, e *wire.Event, out []wire.Action) (res []wire.Action) {
+// handleEvent passes one event to its instance and appends the resulting actions to out. If the instance panics, an
+// OpPanic action is appended and the instance is removed.
+func (h *host) handleEvent(inst *instance, now time.Duration, e *wire.Event, out []wire.Action) (res []wire.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(h.instances, e.Proxy)
 			res = append(out, wire.Action{Op: wire.OpPanic, Proxy: e.Proxy, Blob: fmt.Appendf(nil, "%v", p)})
 		}
 	}()
-	ev := toEvent(e, in.fields, h.tables)
+	ev := toEvent(e, inst.reportFields, h.tables)
 	if ev == nil {
 		return out
 	}
-	for _, a := range in.ctl.Feed(now, ev) {
+	for _, a := range inst.controller.Feed(now, ev) {
 		out = append(out, toAction(e.Proxy, a))
 	}
 	return out
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -34,8 +34,8 @@
 	return wire.Event{Op: wire.OpSubmit, Proxy: proxy, ID: id, Grace: 3, Dest: dest, Units: 1, Through: -1}
 }
 
-// places returns the proxy and the call of each Place action.
-func places(acts []wire.Action) (got [][2]uint32) {
+// placedCalls returns the proxy and the call of each OpPlace action.
+func placedCalls(acts []wire.Action) (got [][2]uint32) {
 	for _, a := range acts {
 		if a.Op == wire.OpPlace {
 			got = append(got, [2]uint32{a.Proxy, a.ID})
@@ -45,33 +45,33 @@
 }
 
 func TestTablesApplyInOrder(t *testing.T) {
-	acts, err := newHost().batch(wire.Batch{Events: []wire.Event{
+	acts, err := newHost().handleBatch(wire.Batch{Events: []wire.Event{
 		hello(1), table(0, 0, 1), sync(1, 0), hello(2), table(0, 0, 2), sync(2, 0),
 		submit(1, 10, 1), submit(2, 20, 2),
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := places(acts); len(got) != 2 || acts[0].Switch != sw(1) || acts[1].Switch != sw(2) {
+	if got := placedCalls(acts); len(got) != 2 || acts[0].Switch != sw(1) || acts[1].Switch != sw(2) {
 		t.Fatalf("each instance must use its own list: %+v", acts)
 	}
 }
 
 func TestShutdownDropsInstanceAndActions(t *testing.T) {
 	h := newHost()
-	acts, err := h.batch(wire.Batch{Events: []wire.Event{
+	acts, err := h.handleBatch(wire.Batch{Events: []wire.Event{
 		hello(1), hello(2), table(0, 0, 1), sync(1, 0), sync(2, 0), submit(1, 10, 1), submit(2, 20, 1),
 		{Op: wire.OpShutdown, Proxy: 1}, submit(1, 11, 1),
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := places(acts); len(got) != 1 || got[0] != [2]uint32{2, 20} {
-		t.Fatalf("places %v, want only that of proxy 2", got)
+	if got := placedCalls(acts); len(got) != 1 || got[0] != [2]uint32{2, 20} {
+		t.Fatalf("placed calls %v, want only that of proxy 2", got)
 	}
-	acts, _ = h.batch(wire.Batch{Events: []wire.Event{hello(1), sync(1, 0), submit(1, 12, 1)}})
-	if got := places(acts); len(got) != 1 || got[0] != [2]uint32{1, 12} {
-		t.Fatalf("places %v after a new start", got)
+	acts, _ = h.handleBatch(wire.Batch{Events: []wire.Event{hello(1), sync(1, 0), submit(1, 12, 1)}})
+	if got := placedCalls(acts); len(got) != 1 || got[0] != [2]uint32{1, 12} {
+		t.Fatalf("placed calls %v after a new start", got)
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 func TestBadSettings(t *testing.T) {
-	_, err := newHost().batch(wire.Batch{Events: []wire.Event{{Op: wire.OpHello, Proxy: 4, Blob: []byte("[")}}})
+	_, err := newHost().handleBatch(wire.Batch{Events: []wire.Event{{Op: wire.OpHello, Proxy: 4, Blob: []byte("[")}}})
 	if err == nil || !strings.Contains(err.Error(), "proxy 4: settings") {
 		t.Fatalf("error %v", err)
 	}
@@ -101,9 +101,9 @@
 
 func TestPanicEndsOnlyItsInstance(t *testing.T) {
 	h := newHost()
-	h.batch(wire.Batch{Events: []wire.Event{hello(1), hello(2), table(0, 0, 1), sync(1, 0), sync(2, 0)}})
-	h.instances[1].ctl = nil // any use of it panics
-	acts, err := h.batch(wire.Batch{Events: []wire.Event{submit(1, 10, 1), submit(1, 11, 1), submit(2, 20, 1)}})
+	h.handleBatch(wire.Batch{Events: []wire.Event{hello(1), hello(2), table(0, 0, 1), sync(1, 0), sync(2, 0)}})
+	h.instances[1].controller = nil // any use of it panics
+	acts, err := h.handleBatch(wire.Batch{Events: []wire.Event{submit(1, 10, 1), submit(1, 11, 1), submit(2, 20, 1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 		h := newHost()
 		var raw []byte
 		for _, b := range batches(proxies...) {
-			acts, err := h.batch(b)
+			acts, err := h.handleBatch(b)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -149,8 +149,8 @@
 				continue
 			}
 			alone := newHost()
-			alone.batch(batches(p)[0])
-			got, _ := alone.batch(batches(p)[1])
+			alone.handleBatch(batches(p)[0])
+			got, _ := alone.handleBatch(batches(p)[1])
 			acts = append(acts, got...)
 		}
 		merged, _ = wire.AppendReply(merged, acts)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -21,7 +21,7 @@
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
 	h := newHost()
 	for n := 0; ; n++ {
-		done, err := h.step(r, w)
+		done, err := h.handleFrame(r, w)
 		if done {
 			return nil
 		}
--- a/cmd/wirehost/translate.go
+++ b/cmd/wirehost/translate.go
@@ -7,7 +7,7 @@
 	"pipitring/internal/wire"
 )
 
-// exchangeID packs a switch's address into an ID.
+// exchangeID packs the address of a switch into an ID, most significant byte first.
 func exchangeID(a wire.Addr) decide.ExchangeID {
 	var id uint64
 	for _, b := range a {
@@ -16,8 +16,8 @@
 	return decide.ExchangeID(id)
 }
 
-// addr is the inverse of exchangeID.
-func addr(id decide.ExchangeID) wire.Addr {
+// switchAddr is the inverse of exchangeID.
+func switchAddr(id decide.ExchangeID) wire.Addr {
 	var a wire.Addr
 	for i := range a {
 		a[len(a)-1-i] = byte(id >> (8 * i))
@@ -25,15 +25,16 @@
 	return a
 }
 
-// toEvent converts a wire event to the module's form. It returns nil for events that the module does not use.
-func toEvent(e *wire.Event, fields []string, tables map[uint16][]wire.Entry) decide.Event {
+// toEvent converts an event on the wire to one of the decision module. It returns nil for events that the module does
+// not use.
+func toEvent(e *wire.Event, reportFields []string, tables map[uint16][]wire.Entry) decide.Event {
 	call := decide.CallID(e.ID)
 	switch e.Op {
 	case wire.OpResult:
 		cause, wait := toCause(e.Cause)
 		return decide.AttemptEnded{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
 			Outcome: toOutcome(e.How), Cause: cause, Wait: wait, Took: wire.Seconds(e.Duration),
-			Concluded: e.Ended != 0, Report: wire.ParseReport(e.Stats, fields)}
+			Concluded: e.Ended != 0, Report: wire.ParseReport(e.Stats, reportFields)}
 	case wire.OpStreaming:
 		return decide.AttemptAnswered{Call: call, Attempt: int(e.Attempt), Exchange: exchangeID(e.Switch),
 			Took: wire.Seconds(e.Duration)}
@@ -43,7 +44,7 @@
 		return decide.CallerAbandoned{Call: call}
 	case wire.OpProbeResult:
 		return decide.ReportReceived{Exchange: exchangeID(e.Switch), Outcome: toOutcome(e.How),
-			Took: wire.Seconds(e.Duration), Report: wire.ParseReport(e.Stats, fields)}
+			Took: wire.Seconds(e.Duration), Report: wire.ParseReport(e.Stats, reportFields)}
 	case wire.OpSync:
 		return toList(e, tables)
 	case wire.OpSubmit:
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// toList converts a Sync event, with the entries of its Table, to a list update.
+// toList converts an OpSync event and the table that it refers to into a list update.
 func toList(e *wire.Event, tables map[uint16][]wire.Entry) decide.Event {
 	kind := decide.ListKind(e.Scope)
 	if kind >= decide.ListFailed {
@@ -73,7 +74,7 @@
 	return l
 }
 
-// toOutcome converts an outcome. The module's numbering is that of the wire.
+// toOutcome converts an outcome. The module numbers outcomes as the wire does; 0 is none of them.
 func toOutcome(how uint16) decide.Outcome {
 	if how > 255 {
 		return 0
@@ -81,7 +82,8 @@
 	return decide.Outcome(how)
 }
 
-// toCause splits a cause on the wire into its kind and the wait that a full processor asked for.
+// toCause splits a cause on the wire into the module's cause and the wait that a full processor asked for. The lowest
+// four bits are the cause and the others the wait in milliseconds; 18 is a value of its own.
 func toCause(c uint32) (decide.Cause, time.Duration) {
 	if c == 18 {
 		return decide.TandemRejectedFull, 0
@@ -100,12 +102,12 @@
 	return decide.CauseUnknown, 0
 }
 
-// toAction converts one of the module's actions to an action on the wire.
+// toAction converts an action of the decision module to one on the wire.
 func toAction(proxy uint32, a decide.Action) wire.Action {
 	out := wire.Action{Proxy: proxy}
 	switch a := a.(type) {
 	case decide.SetUp:
-		out.Op, out.ID, out.Switch = wire.OpPlace, uint32(a.Call), addr(a.Exchange)
+		out.Op, out.ID, out.Switch = wire.OpPlace, uint32(a.Call), switchAddr(a.Exchange)
 		out.TryFor = a.Timeout.Seconds()
 	case decide.Refuse:
 		out.Op, out.ID, out.CoolDown = wire.OpShed, uint32(a.Call), a.RetryAfter.Seconds()
