--- a/cmd/pipitring/cdr.go
+++ b/cmd/pipitring/cdr.go
@@ -26,7 +26,8 @@
 	"pipitring/internal/store"
 )
 
-// cdrFlags holds the flags that locate the records and select some of them.
+// cdrFlags holds the flags shared by the cdr subcommands: those that locate the store, those that select records, and
+// what parse makes of them.
 type cdrFlags struct {
 	config, dir, from, to, id string
 	json                      bool
@@ -44,7 +45,7 @@
 
 func (f *cdrFlags) addStoreFlags(c *cobra.Command) {
 	c.Flags().StringVarP(&f.config, "config", "c", "", "settings file of the router that owns the records")
-	c.Flags().StringVar(&f.dir, "store", "", "directory of the records, instead of the one in the settings")
+	c.Flags().StringVar(&f.dir, "store", "", "directory of the record store, instead of the one in the settings")
 	c.Flags().BoolVar(&f.json, "json", false, "print JSON")
 }
 
@@ -73,7 +74,7 @@
 	return t, nil
 }
 
-// parse validates the flags and loads the settings.
+// parse validates the flags and loads the settings. It sets filter, settings and, without --store, dir.
 func (f *cdrFlags) parse() (err error) {
 	if f.filter.From, err = parseTime("from", f.from); err != nil {
 		return err
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// open opens the store. A running router holds its store exclusively.
+// open opens the store. It fails if the router that owns the store is running, as the router locks it.
 func (f *cdrFlags) open(write bool) (*store.Store, error) {
 	s, err := store.Open(store.Options{Dir: f.dir, Schema: records.Schema(), ReadOnly: !write})
 	if errors.Is(err, store.ErrInUse) {
@@ -128,33 +129,35 @@
 	return errors.Join(do(s), s.Close())
 }
 
+// reportDamaged reports a record that cannot be read.
 func reportDamaged(n uint64, err error) { fmt.Fprintf(os.Stderr, "record number %d: %v\n", n, err) }
 
 func cdrList() *cobra.Command {
 	f := &cdrFlags{}
-	var from string
+	var address string
 	c := &cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Print records as a table or as JSON lines",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := newPrinter(os.Stdout, f.json)
-			print := func(r *cdr.Record) error { return p.print(r) }
+			printRecord := func(r *cdr.Record) error { return p.print(r) }
 			var err error
-			if from != "" {
-				err = listFromRouter(cmd.Context(), from, f, print)
+			if address != "" {
+				err = listFromRouter(cmd.Context(), address, f, printRecord)
 			} else {
 				err = f.withStore(false, func(s *store.Store) error {
 					return f.filter.Each(s, func(n uint64, err error) { p.damaged++; reportDamaged(n, err) },
-						func(_ uint64, r *cdr.Record) error { return print(r) })
+						func(_ uint64, r *cdr.Record) error { return printRecord(r) })
 				})
 			}
 			return errors.Join(err, p.finish())
 		}}
 	f.addStoreFlags(c)
 	f.addFilterFlags(c)
-	c.Flags().StringVar(&from, "http", "", "request the records from a running router at this address (its http.listen)")
+	c.Flags().StringVar(&address, "http", "", "request the records from a running router at this address (its http.listen)")
 	return c
 }
 
-// listFromRouter requests the records from a running router.
+// listFromRouter requests the records from a running router and calls do for those that the filter selects. No store
+// is opened; dir is set only because parse requires it.
 func listFromRouter(ctx context.Context, address string, f *cdrFlags, do func(*cdr.Record) error) error {
 	f.dir = address
 	if err := f.parse(); err != nil {
@@ -201,7 +204,7 @@
 	p := &printer{w: w}
 	if !asJSON {
 		p.table = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(p.table, "id\toffered\tend\tcause\tknown by\tclass\ttenant\tcalling\tcalled\tset-up\tlength\troute\tcharge\ttariff")
+		fmt.Fprintln(p.table, "id\toffered\tend\tcause\tend source\tclass\ttenant\tcalling\tcalled\tset-up\tlength\troute\tcharge\ttariff")
 	}
 	return p
 }
@@ -258,13 +261,14 @@
 			})
 		}}
 	f.addStoreFlags(c)
-	c.Flags().StringVar(&to, "to", "", "a directory, or the address of a receiver (tus 1.0), instead of the exports of the settings")
+	c.Flags().StringVar(&to, "to", "", "a directory, or the URL of a receiver (tus 1.0), instead of the exports of the settings")
 	c.Flags().StringVar(&format, "format", string(cdr.CSV), "with --to: csv or parquet")
 	c.Flags().StringVar(&name, "name", "", "only this export of the settings; with --to: the name under which its progress is stored")
 	return c
 }
 
-// exportTargets returns the exports that the flags select.
+// exportTargets returns the exports that the flags select: one to the destination to, or those of the settings, or of
+// these the one called name.
 func (f *cdrFlags) exportTargets(s *store.Store, name, to, format string) ([]records.ExportOptions, error) {
 	if to != "" {
 		fileFormat, err := cdr.ParseFormat(format)
@@ -300,7 +304,8 @@
 	return nil, fmt.Errorf("--name: the settings have no export named %q", name)
 }
 
-// storeRouter returns the number of the router that owns the store.
+// storeRouter returns the number of the router that owns the store. It is parsed from the owner's name:
+// records.OwnerName(0) ends in the digit 0, which the verb replaces.
 func storeRouter(s *store.Store) (uint32, error) {
 	owner, err := s.Owner()
 	if err != nil {
@@ -313,8 +318,10 @@
 	return n, nil
 }
 
-const maxExportAttempts = 5
+// maxExportFailures is the number of errors that one run of an export tolerates; the next one ends it.
+const maxExportFailures = 5
 
+// exportAll sends all pending records to one target and returns the number of batches sent.
 func exportAll(ctx context.Context, s *store.Store, o *records.ExportOptions) (uint64, error) {
 	exporter, err := cdr.OpenExport(s, o.ExportSettings)
 	if err != nil {
@@ -329,17 +336,17 @@
 	if err != nil {
 		return 0, err
 	}
-	from := exporter.BatchCount()
+	countBefore := exporter.BatchCount()
 	for failures := 0; ; {
 		sent, _, err := export.SendNext(ctx, exporter, target, ledger.LastNumber(), true, time.Now, records.Commit(s))
 		switch {
-		case err != nil && (failures == maxExportAttempts || ctx.Err() != nil):
-			return exporter.BatchCount() - from, err
+		case err != nil && (failures == maxExportFailures || ctx.Err() != nil):
+			return exporter.BatchCount() - countBefore, err
 		case err != nil:
 			failures++
 			fmt.Fprintln(os.Stderr, err)
 		case !sent:
-			return exporter.BatchCount() - from, nil
+			return exporter.BatchCount() - countBefore, nil
 		}
 	}
 }
@@ -350,9 +357,9 @@
 	c := &cobra.Command{Use: "verify", Args: cobra.NoArgs,
 		Short: "Check the store and exported files for missing, duplicate, damaged and unrated records",
 		RunE: func(*cobra.Command, []string) error {
-			var a *cdr.Audit
+			var audit *cdr.Audit
 			err := f.withStore(false, func(s *store.Store) (err error) {
-				if a, err = cdr.Verify(s); err != nil {
+				if audit, err = cdr.Verify(s); err != nil {
 					return err
 				}
 				router, err := storeRouter(s)
@@ -367,7 +374,7 @@
 					}
 				}
 				for _, dir := range dirs {
-					if err := a.VerifyFiles(s, export.Files{FS: vfs.Default, Dir: dir}, router); err != nil {
+					if err := audit.VerifyFiles(s, export.Files{FS: vfs.Default, Dir: dir}, router); err != nil {
 						return err
 					}
 				}
@@ -377,20 +384,20 @@
 				return err
 			}
 			if f.json {
-				err = printJSON(a)
+				err = printJSON(audit)
 			} else {
-				fmt.Printf("%d records, numbers %d to %d; %d open calls, %d unrated; %d records in %d exported batches\n", a.Records, a.First, a.Last,
-					a.Open, a.Unrated, a.Exported, a.Batches)
-				for _, n := range a.Gaps {
+				fmt.Printf("%d records, numbers %d to %d; %d open calls, %d unrated; %d records in %d exported batches\n", audit.Records, audit.First, audit.Last,
+					audit.Open, audit.Unrated, audit.Exported, audit.Batches)
+				for _, n := range audit.Gaps {
 					fmt.Printf("  gap: no record under number %d\n", n)
 				}
-				for _, list := range [][]string{a.Damaged, a.Doubled, a.Mismatch} {
+				for _, list := range [][]string{audit.Damaged, audit.Doubled, audit.Mismatch} {
 					for _, text := range list {
 						fmt.Println(" ", text)
 					}
 				}
 			}
-			if err == nil && !a.Good() {
+			if err == nil && !audit.Good() {
 				err = errCheckFailed
 			}
 			return err
@@ -424,9 +431,11 @@
 	return c
 }
 
-// rateBatch is the number of records rated again in one commit.
-const rateBatch = 1000
+// ratingBatchSize is the largest number of new versions that cdr rate writes in one commit.
+const ratingBatchSize = 1000
 
+// rate applies tariffs to the selected records and prints the reports before and after. With write, it stores a new
+// version of each record whose charge changes.
 func (f *cdrFlags) rate(s *store.Store, t *cdr.Tariffs, write bool) error {
 	before, after := &cdr.Report{Zone: t.Zone}, &cdr.Report{Zone: t.Zone}
 	var changed []cdr.ID
@@ -455,9 +464,9 @@
 		if err != nil {
 			return err
 		}
-		for i := 0; i < len(changed); i += rateBatch {
+		for i := 0; i < len(changed); i += ratingBatchSize {
 			b := s.Batch()
-			for _, id := range changed[i:min(len(changed), i+rateBatch)] {
+			for _, id := range changed[i:min(len(changed), i+ratingBatchSize)] {
 				if _, err := ledger.Rerate(b, id, t); err != nil {
 					return err
 				}
@@ -501,23 +510,23 @@
 					return err
 				}
 			}
-			p := &cdr.Report{Zone: z}
+			report := &cdr.Report{Zone: z}
 			f.filter.NewestVersions = true
 			err = f.withStore(false, func(s *store.Store) error {
-				return f.filter.Each(s, reportDamaged, func(_ uint64, r *cdr.Record) error { return p.Add(r) })
+				return f.filter.Each(s, reportDamaged, func(_ uint64, r *cdr.Record) error { return report.Add(r) })
 			})
 			if err != nil {
 				return err
 			}
 			if file != "" {
-				if err := plotReport(file, p.Lines()); err != nil {
+				if err := plotReport(file, report.Lines()); err != nil {
 					return err
 				}
 			}
 			if f.json {
-				return printJSON(map[string]any{"lines": p.Lines()})
+				return printJSON(map[string]any{"lines": report.Lines()})
 			}
-			printReport(os.Stdout, p.Lines())
+			printReport(os.Stdout, report.Lines())
 			return nil
 		}}
 	f.addStoreFlags(c)
--- a/cmd/pipitring/cdr_test.go
+++ b/cmd/pipitring/cdr_test.go
@@ -14,8 +14,8 @@
 	"pipitring/internal/store"
 )
 
-// output runs the program and returns what it printed.
-func output(t *testing.T, args ...string) (string, int) {
+// runCommand runs the program in this process and returns its standard output and its exit status.
+func runCommand(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -53,7 +53,7 @@
 			t.Fatal("record not accepted")
 		}
 	}
-	if _, status := output(t, "cdr", "verify", "--store", recordsDir); status != exitUsage {
+	if _, status := runCommand(t, "cdr", "verify", "--store", recordsDir); status != exitUsage {
 		t.Errorf("store of a running router: status %d", status)
 	}
 	if err := rec.Close(); err != nil {
@@ -90,16 +90,16 @@
 		{"cdr verify --store DIR --files OUT2", exitOK, "9 records, numbers 1 to 9; 0 open calls, 1 unrated; 9 records in 1 exported batches"},
 	} {
 		args := strings.NewReplacer("DIR", recordsDir, "TARIFFS", tariffs, "OUT", filepath.Join(dir, "out")).Replace(c.args)
-		got, status := output(t, strings.Fields(args)...)
+		got, status := runCommand(t, strings.Fields(args)...)
 		if status != c.status || !strings.Contains(got, c.want) {
 			t.Errorf("%s: status %d, printed\n%s", c.args, status, got)
 		}
 	}
 	if info, err := os.Stat(recordsDir + ".svg"); err != nil || info.Size() < 1000 {
-		t.Errorf("the plot: %v", err)
+		t.Errorf("plot is missing or too small: %v", err)
 	}
 	deleteRecord(t, recordsDir)
-	if got, status := output(t, "cdr", "verify", "--store", recordsDir); status != exitCheckFailed || !strings.Contains(got, "no record under number 2") {
+	if got, status := runCommand(t, "cdr", "verify", "--store", recordsDir); status != exitCheckFailed || !strings.Contains(got, "no record under number 2") {
 		t.Errorf("with a gap: status %d, printed\n%s", status, got)
 	}
 }
--- a/cmd/pipitring/day.go
+++ b/cmd/pipitring/day.go
@@ -70,7 +70,7 @@
 	return c
 }
 
-// virtualDay runs a script on the virtual clock.
+// virtualDay runs a script on the virtual clock and prints its result.
 func virtualDay(ctx context.Context, script *lab.Script, asJSON bool) error {
 	res, err := lab.Virtual(ctx, script, lab.VirtualOptions{Drift: 0.01})
 	if err != nil {
@@ -88,6 +88,7 @@
 	return err
 }
 
+// checkFront checks the value of --front, the protocol between routers.
 func checkFront(front string) error {
 	if !slices.Contains(lab.FrontNames, front) {
 		return fmt.Errorf("--front: %q is not one of %s", front, strings.Join(lab.FrontNames, ", "))
@@ -140,7 +141,7 @@
 func rulesCommand() *cobra.Command {
 	var asJSON bool
 	var call string
-	c := &cobra.Command{Use: "rules CAPTURE", Args: cobra.ExactArgs(1), Short: "Check the five rules from a capture alone",
+	c := &cobra.Command{Use: "rules CAPTURE", Args: cobra.ExactArgs(1), Short: "Check the five rules of call handling from a capture alone",
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := os.Open(args[0])
 			if err != nil {
--- a/cmd/pipitring/lab.go
+++ b/cmd/pipitring/lab.go
@@ -68,7 +68,7 @@
 			for _, name := range []string{"iax2 to iax2", "iax2 to isup", "isup to iax2", "isup to isup"} {
 				fmt.Printf("%s: %.0f calls/s without a missed deadline; set-up p99 at half of that %.0f us\n", name, r.CallsPerSecond[name], r.P99[name])
 			}
-			fmt.Printf("IAX2 over ISUP: %.2f; %.0f bytes per idle circuit\n", r.ISUPOverIAX2, r.BytesPerCircuit)
+			fmt.Printf("ratio of the IAX2 rate to the ISUP rate: %.2f; %.0f bytes per idle circuit\n", r.ISUPOverIAX2, r.BytesPerCircuit)
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
@@ -241,7 +241,7 @@
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.Flags().IntVar(&o.Count, "count", 1000, "seeds")
 	c.Flags().Uint64Var(&o.From, "from", 1, "the first seed")
-	c.Flags().IntVar(&o.Exchanges, "exchanges", 0, "exchanges of each day; 0 chooses them from the seed")
+	c.Flags().IntVar(&o.Exchanges, "exchanges", 0, "number of exchanges of each day; 0 chooses it from the seed")
 	c.Flags().Float64Var(&o.Drift, "drift", 0.01, "maximum relative drift of the routers' clocks")
 	c.Flags().IntVar(&o.Mutants, "mutants", 0, "maximum number of seeds for each planted bug; 0 plants none")
 	c.Flags().StringVar(&o.Mutate, "mutate", "", "plant this bug in every day")
@@ -268,6 +268,6 @@
 		}
 	}
 	for _, m := range r.Found {
-		fmt.Printf("planted: %s (breaks %s): seeds to find it: %d; %s\n", m.Name, m.Breaks, m.Seeds, m.By)
+		fmt.Printf("planted bug %s (violates %s): seeds to find it: %d; %s\n", m.Name, m.Breaks, m.Seeds, m.By)
 	}
 }
--- a/cmd/pipitring/main.go
+++ b/cmd/pipitring/main.go
@@ -15,15 +15,16 @@
 // Exit statuses.
 const (
 	exitOK          = 0
-	exitCheckFailed = 1 // a check failed
+	exitCheckFailed = 1 // a check found errors
 	exitUsage       = 2 // invalid usage or settings
 )
 
-// errCheckFailed reports that a check failed. Its details are already printed.
+// errCheckFailed reports that a check found errors, which are already printed.
 var errCheckFailed = errors.New("a check failed")
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run executes the command line and returns the exit status.
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/pipitring/platform.go
+++ b/cmd/pipitring/platform.go
@@ -17,7 +17,8 @@
 	"pipitring/internal/runtime"
 )
 
-const platformLinesPerSecond = 20 // of one kind; logging takes time from the proxy's only core
+// platformLogLinesPerSecond limits the lines with the same message: logging takes time from the proxy's only core.
+const platformLogLinesPerSecond = 20
 
 func platformCommand() *cobra.Command {
 	var trace bool
@@ -27,14 +28,16 @@
 	return c
 }
 
-const maxTracedBytes = 1000 // bytes shown of one read or write
+// maxTracedBytes is the largest number of bytes shown of one read or write.
+const maxTracedBytes = 1000
 
 // writeTrace writes a socket event to standard error: seconds since the start, connection, event, bytes.
 func writeTrace(at time.Duration, id platform.ConnID, event string, b []byte) {
 	fmt.Fprintf(os.Stderr, "%.6f %d %s %q\n", at.Seconds(), id, event, b[:min(len(b), maxTracedBytes)])
 }
 
-// servePlatform runs one proxy. SIGTERM shuts it down once no calls are open, SIGHUP reloads the configuration.
+// servePlatform runs one proxy. SIGTERM and SIGINT shut it down once no calls are open. SIGHUP reloads the
+// configuration, of which only the coordinator's address applies to a running proxy.
 func servePlatform(ctx context.Context, trace bool) error {
 	var traceFunc runtime.TraceFunc
 	if trace {
@@ -51,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := runtime.NewLogger(config.Log{Level: "info", PerSecond: platformLinesPerSecond})
+	log, err := runtime.NewLogger(config.Log{Level: "info", PerSecond: platformLogLinesPerSecond})
 	if err != nil {
 		return err
 	}
@@ -69,7 +72,7 @@
 		case <-ctx.Done():
 			log.Info("shutting down: heartbeats fail from now on, calls are still served")
 			p.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
-			ctx = context.Background()
+			ctx = context.Background() // so that this case is not selected again
 		case <-hup:
 			next, err := runtime.LoadPlatformConfig(file)
 			if err != nil {
--- a/cmd/pipitring/platform_test.go
+++ b/cmd/pipitring/platform_test.go
@@ -19,8 +19,8 @@
 	"pipitring/internal/standin"
 )
 
-// The test binary runs as the program if the environment variable runAsProgram is set, with this limit of file
-// descriptors.
+// The test binary runs as the program if the environment variable runAsProgram is set. descriptors is then its limit
+// of file descriptors.
 const (
 	runAsProgram = "PIPITRING_TEST_AS_PROGRAM"
 	descriptors  = 128
@@ -37,8 +37,9 @@
 	os.Exit(m.Run())
 }
 
-// process is a proxy in a process of its own, with one switch that answers set-ups only on request.
-type process struct {
+// proxyProcess is a test harness: a proxy in a process of its own, a coordinator, and one switch that answers set-ups
+// only when answer is called.
+type proxyProcess struct {
 	t              *testing.T
 	cmd            *exec.Cmd
 	addr           netip.AddrPort
@@ -47,19 +48,21 @@
 	sw             *standin.PlatformSwitch
 	mu             sync.Mutex
 	log            bytes.Buffer
-	pendingAnswers map[string]func() // by reference
+	pendingAnswers map[string]func() // by the call's reference
 	exited         chan error
 }
 
 const testTimeout = 20 * time.Second // reached only by a failing test
 
-func (p *process) Write(b []byte) (int, error) {
+// Write appends to the log. It receives the standard error of the proxy.
+func (p *proxyProcess) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-func (p *process) await(what string, f func() bool) {
+// await polls f until it is true, and fails the test after testTimeout.
+func (p *proxyProcess) await(what string, f func() bool) {
 	p.t.Helper()
 	for limit := time.Now().Add(testTimeout); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
@@ -80,8 +83,8 @@
 	return c
 }
 
-func startProcess(t *testing.T) *process {
-	p := &process{t: t, file: filepath.Join(t.TempDir(), "config.json"), pendingAnswers: map[string]func(){}, exited: make(chan error, 1)}
+func startProcess(t *testing.T) *proxyProcess {
+	p := &proxyProcess{t: t, file: filepath.Join(t.TempDir(), "config.json"), pendingAnswers: map[string]func(){}, exited: make(chan error, 1)}
 	p.coord = startCoordinator(t)
 	var err error
 	if p.sw, err = standin.StartPlatformSwitch("127.0.0.1:0", p.setUp); err != nil {
@@ -107,7 +110,8 @@
 	return p
 }
 
-func (p *process) setUp(peer *standin.JSONPeer, m jsonl.Message) {
+// setUp is called by the switch for each message. It stores how to answer a set-up.
+func (p *proxyProcess) setUp(peer *standin.JSONPeer, m jsonl.Message) {
 	if m.Type != jsonl.TypeNew {
 		return
 	}
@@ -117,7 +121,7 @@
 }
 
 // answer waits for a call's set-up at the switch and answers it.
-func (p *process) answer(ref string) {
+func (p *proxyProcess) answer(ref string) {
 	var f func()
 	p.await("set-up "+ref, func() bool {
 		p.mu.Lock()
@@ -128,21 +132,21 @@
 	f()
 }
 
-func (p *process) configure(c *standin.PlatformCoordinator) {
+func (p *proxyProcess) configure(c *standin.PlatformCoordinator) {
 	p.t.Helper()
 	if err := os.WriteFile(p.file, standin.PlatformConfig(p.addr, c.Addr(), descriptors, p.sw.Addr()), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *process) signal(s syscall.Signal) {
+func (p *proxyProcess) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *process) dial() *standin.JSONPeer {
+func (p *proxyProcess) dial() *standin.JSONPeer {
 	p.t.Helper()
 	peer, err := standin.DialJSON(p.addr)
 	if err != nil {
@@ -153,7 +157,9 @@
 	return peer
 }
 
-func (p *process) ready() bool {
+// ready reports whether a heartbeat to the proxy succeeds (cause 1). It fails before the start and once the proxy shuts
+// down.
+func (p *proxyProcess) ready() bool {
 	peer, err := standin.DialJSON(p.addr)
 	if err != nil {
 		return false
@@ -165,23 +171,23 @@
 	return err == nil && m.Cause == 1
 }
 
-func (p *process) sendSetUp(peer *standin.JSONPeer, ref string) {
+func (p *proxyProcess) sendSetUp(peer *standin.JSONPeer, ref string) {
 	p.t.Helper()
 	if err := peer.Send(fmt.Sprintf(`{"t":"new","ref":"%s","f":{"class":"voice","left":"15000","key":"1","extras":"dest:1;width:1;via:-1"},"d":"x"}`+"\n", ref)); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *process) expectAnswer(peer *standin.JSONPeer, ref string) {
+func (p *proxyProcess) expectAnswer(peer *standin.JSONPeer, ref string) {
 	p.t.Helper()
 	if m, err := peer.Receive(); err != nil || m.Type != jsonl.TypeUp || m.Ref != ref {
 		p.t.Fatalf("got %+v, %v; want the answer of %s", m, err, ref)
 	}
 }
 
-// TestSignalsDuringCalls sends signals while a call is open. Invalid configurations, complete or truncated, change nothing;
-// after two SIGHUPs at once the current file applies; a SIGHUP after SIGTERM still changes the coordinator; accepted calls
-// are answered.
+// TestSignalsDuringCalls sends signals while a call is open. An invalid configuration, empty, truncated or with a wrong
+// value, changes nothing; after two SIGHUPs at once the current file applies; a SIGHUP after SIGTERM still changes the
+// coordinator; calls are answered until the proxy exits.
 func TestSignalsDuringCalls(t *testing.T) {
 	p := startProcess(t)
 	caller := p.dial()
@@ -229,7 +235,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("proxy does not exit")
+		t.Fatal("proxy did not exit after the last release")
 	}
 }
 
--- a/cmd/pipitring/serve.go
+++ b/cmd/pipitring/serve.go
@@ -28,7 +28,8 @@
 	return c
 }
 
-// serve runs one router. SIGTERM and SIGINT drain it, a second one stops it at once, SIGHUP reloads the settings.
+// serve runs one router. SIGTERM and SIGINT drain it, a second one of them stops it at once. SIGHUP reloads the
+// settings.
 func serve(ctx context.Context, file string) error {
 	settings, err := config.Load(file)
 	if err != nil {
@@ -38,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // fails on terminals, and the error could not be logged
+	defer func() { _ = log.Sync() }() // fails on terminals; such an error could not be logged anyway
 	r, err := runtime.Start(settings, log)
 	if err != nil {
 		return err
