--- a/internal/iax2/register.go
+++ b/internal/iax2/register.go
@@ -18,7 +18,7 @@
 	secret    string
 	refresh   time.Duration
 	release   bool   // REGREL: remove the registration
-	md5Result string // response to the challenge of the peer; "" until it is received
+	md5Result string // our response to the challenge of the peer; "" until it has challenged us
 }
 
 // Registration returns the address at which a user is registered; ok is false if the user is not registered or
@@ -64,6 +64,7 @@
 	d.challengeRegistration(now)
 }
 
+// challengeRegistration asks the peer to authenticate by sending REGAUTH.
 func (d *Dialog) challengeRegistration(now time.Duration) {
 	d.state, d.challenge = challenged, challengeText(d.ep.cfg.Random())
 	d.expiresAt = now + d.ep.cfg.AuthTimeout
--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -74,12 +74,12 @@
 	releaseCause uint8 // cause of the REL, for its repetitions
 	timer        timers.Entry[*circuit]
 	escalateAt   time.Duration // when T5 (releasing) or T17 (resetting) expires
-	alarmRaised  bool
-	localBlocked bool // blocked by this end: the far end sends no new calls on it
-	farBlocked   bool // blocked by the far end
-	pendingBlock Type // BLO or UBL that awaits its answer; 0 if none
+	alarmRaised  bool          // T17 has expired and the alarm of this reset was raised
+	localBlocked bool          // blocked by this end: the far end sends no new calls on it
+	farBlocked   bool          // blocked by the far end
+	pendingBlock Type          // BLO or UBL that awaits its answer; 0 if none
 	blockTimer   timers.Entry[*circuit]
-	blockAlarmAt time.Duration
+	blockAlarmAt time.Duration // when T13 (BLO) or T15 (UBL) expires
 }
 
 // EventKind is the type of an Event.
@@ -110,10 +110,10 @@
 	Kind    EventKind
 	Call    *Call
 	CIC     CIC
-	Cause   uint8
-	Reset   bool // on Lost: the circuit was reset or withdrawn; false if ACM or ANM came too late
+	Cause   uint8 // Q.850 cause, set on Released
+	Reset   bool  // on Lost: the circuit was reset or withdrawn; false if ACM or ANM came too late
 	Request Request
-	Text    string
+	Text    string // set on Alarm
 }
 
 // Request holds what an IAM states about a call.
@@ -136,7 +136,8 @@
 
 // Stats counts what a group has done since it was created. In and Out count messages received and sent; Malformed,
 // Unknown and Unequipped count received messages that could not be parsed, that have an unknown type, and that are
-// for a circuit that this end does not have. Glares counts dual seizures, Retransmits repeated messages.
+// for a circuit that this end does not have. Glares counts dual seizures, Retransmits repeated messages and
+// Alarms Alarm events.
 type Stats struct {
 	In, Out, Malformed, Unknown, Unequipped, Glares, Retransmits, Alarms uint64
 }
@@ -152,10 +153,10 @@
 	seizeOrder         []*circuit // in seizing order: circuits controlled by this end first
 	timerQueue         timers.Queue[*circuit]
 	blockTimers        timers.Queue[*circuit]
-	pendingGroupReset  Type // GRS if any group reset awaits its GRA, otherwise 0
-	groupResetRepeatAt time.Duration
-	groupResetAlarmAt  time.Duration
-	msg                Message
+	pendingGroupReset  Type          // GRS if any group reset awaits its GRA, otherwise 0
+	groupResetRepeatAt time.Duration // when pending group resets are repeated (T22 or T23)
+	groupResetAlarmAt  time.Duration // when T23 expires
+	msg                Message       // the message being received
 }
 
 // NewGroup returns a group whose circuits are all idle.
