--- a/internal/runtime/assoc_test.go
+++ b/internal/runtime/assoc_test.go
@@ -68,8 +68,8 @@
 	return set
 }
 
-// ask returns the result of f on a router's event loop.
-func ask[T any](t *testing.T, s *Server, f func(n *node.Node) T) (v T) {
+// onLoop returns the result of f on a router's event loop.
+func onLoop[T any](t *testing.T, s *Server, f func(n *node.Node) T) (v T) {
 	t.Helper()
 	if err := s.Do(func(n *node.Node, _ time.Duration) { v = f(n) }); err != nil {
 		t.Fatal(err)
@@ -89,41 +89,41 @@
 // Two routers signal ISUP over TCP. The connection is closed during a standing call and re-established automatically; the
 // call must survive, and its release must pass over the new connection.
 func TestISUPOverTCP(t *testing.T) {
-	far, caller := newPeer(t), newPeer(t)
-	at := freePort(t)
-	one := start(t, isupSettings(t, 1, at))
-	zero := start(t, isupSettings(t, 0, at))
-	for _, s := range []*Server{zero, one} {
+	ownSwitch, caller := newPeer(t), newPeer(t)
+	listen := freePort(t)
+	router1 := start(t, isupSettings(t, 1, listen))
+	router0 := start(t, isupSettings(t, 0, listen))
+	for _, s := range []*Server{router0, router1} {
 		list := fmt.Sprintf("[[exchange]]\nid = \"x0\"\nnumber = 0\naddress = %q\n[[exchange]]\nid = \"x1\"\nnumber = 1\naddress = %q\nswitch = %q\n",
-			zero.Addr(), one.Addr(), far.addr())
+			router0.Addr(), router1.Addr(), ownSwitch.addr())
 		if err := os.WriteFile(s.Settings().List.File, []byte(list), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		await(t, "the list", func() bool { return ask(t, s, func(n *node.Node) int { return len(n.List().Entries) }) == 2 })
+		await(t, "the list", func() bool { return onLoop(t, s, func(n *node.Node) int { return len(n.List().Entries) }) == 2 })
 	}
 	up := func() bool {
-		return ask(t, zero, func(n *node.Node) bool { return n.ISUP().Active(1) }) &&
-			ask(t, one, func(n *node.Node) bool { return n.ISUP().Active(0) })
+		return onLoop(t, router0, func(n *node.Node) bool { return n.ISUP().Active(1) }) &&
+			onLoop(t, router1, func(n *node.Node) bool { return n.ISUP().Active(0) })
 	}
 	await(t, "signalling up", up)
-	if got := ask(t, zero, func(n *node.Node) int { return n.ISUP().GroupStates()[0].Idle }); got != 6 {
+	if got := onLoop(t, router0, func(n *node.Node) int { return n.ISUP().GroupStates()[0].Idle }); got != 6 {
 		t.Errorf("%d circuits idle", got)
 	}
-	to, _ := iax2.AddrFrom(zero.Addr())
-	d, err := caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15", Calling: "9", Context: "status"})
+	to, _ := iax2.AddrFrom(router0.Addr())
+	d, err := caller.ep.Call(time.Since(caller.startedAt), to, iax2.Request{Called: "15", Calling: "9", Context: "status"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	caller.flush()
-	in := far.until(iax2.Offered)
+	in := ownSwitch.until(iax2.Offered)
 	if in.Request.Called != "15" || in.Request.Calling != "9" || in.Request.Context != "status" {
 		t.Errorf("request %+v", in.Request)
 	}
-	in.Dialog.Answer(time.Since(far.at))
-	far.flush()
+	in.Dialog.Answer(time.Since(ownSwitch.startedAt))
+	ownSwitch.flush()
 	caller.until(iax2.Answered)
-	if err := zero.Do(func(*node.Node, time.Duration) {
-		for _, c := range zero.conns {
+	if err := router0.Do(func(*node.Node, time.Duration) {
+		for _, c := range router0.conns {
 			_ = c.Close()
 		}
 	}); err != nil {
@@ -131,24 +131,24 @@
 	}
 	await(t, "loss detected", func() bool { return !up() })
 	await(t, "signalling up again", up)
-	if n := ask(t, zero, func(n *node.Node) int { return n.Core.OpenCalls() }); n != 1 {
+	if n := onLoop(t, router0, func(n *node.Node) int { return n.Core.OpenCalls() }); n != 1 {
 		t.Errorf("%d calls after the loss, want 1", n)
 	}
-	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
+	d.Release(time.Since(caller.startedAt), iax2.CauseNormal, "")
 	caller.flush()
-	far.until(iax2.Closed)
+	ownSwitch.until(iax2.Closed)
 	await(t, "all idle", func() bool {
 		left := func(n *node.Node) int { return n.Core.OpenCalls() + n.Core.Legs() + n.ISUP().Busy() }
-		return ask(t, zero, left)+ask(t, one, left) == 0
+		return onLoop(t, router0, left)+onLoop(t, router1, left) == 0
 	})
 }
 
 // An unknown peer that sends data other than valid M3UA loses its connection; nothing else happens.
 func TestUnknownPeersOnTCP(t *testing.T) {
-	at := freePort(t)
-	one := start(t, isupSettings(t, 1, at))
+	listen := freePort(t)
+	router1 := start(t, isupSettings(t, 1, listen))
 	for _, b := range []string{"GET / HTTP/1.1\r\n\r\n", "\x01\x00\x03\x01\x00\x00\x00\x03", strings.Repeat("\x00", 5000)} {
-		c, err := net.Dial("tcp4", at.String())
+		c, err := net.Dial("tcp4", listen.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -165,5 +165,5 @@
 		}
 		c.Close()
 	}
-	await(t, "no connection left", func() bool { return ask(t, one, func(*node.Node) int { return len(one.conns) }) == 0 })
+	await(t, "no connection left", func() bool { return onLoop(t, router1, func(*node.Node) int { return len(router1.conns) }) == 0 })
 }
--- a/internal/runtime/batch_linux.go
+++ b/internal/runtime/batch_linux.go
@@ -46,7 +46,7 @@
 	return b
 }
 
-// receive passes at most one batch of waiting datagrams to handle and returns their number.
+// receive passes at most one batch of waiting datagrams to handle and returns their number; 0 on an error too.
 func (b *batcher) receive(handle func(from iax2.Addr, datagram []byte)) int {
 	for i := range batchSize {
 		b.in[i].hdr.Namelen = unix.SizeofSockaddrInet4
--- a/internal/runtime/log.go
+++ b/internal/runtime/log.go
@@ -9,8 +9,8 @@
 	"pipitring/internal/config"
 )
 
-// NewLogger returns a structured logger on standard error. At most per_second lines of the same message are written per
-// second, so that an attack does not fill the disk; further ones are dropped.
+// NewLogger returns a structured logger on standard error. At most log.per_second lines of the same level and message
+// are written per second, so that an attack does not fill the disk; further ones are dropped.
 func NewLogger(c config.Log) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(c.Level)
 	if err != nil {
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -40,22 +40,22 @@
 	descOverdue           = desc("calls_overdue_total", "Calls answered by the watchdog: a defect.")
 	descWithdrawn         = desc("attempts_withdrawn_total", "Set-ups called off at the end of a drain's grace.")
 	descFaults            = desc("action_faults_total", "Actions of the module that could not be carried out: a defect.")
-	descFree              = desc("group_circuits_free", "Free circuits of a trunk group.", "to")
-	descSize              = desc("group_circuits", "Circuits of a trunk group.", "to")
-	descIn                = desc("iax_datagrams_in_total", "Datagrams received.")
-	descOut               = desc("iax_datagrams_out_total", "Datagrams sent.")
-	descRepeats           = desc("iax_repeats_total", "Frames sent again.")
-	descBad               = desc("iax_malformed_total", "Datagrams that could not be read.")
+	descGroupFree         = desc("group_circuits_free", "Free circuits of a trunk group.", "to")
+	descGroupSize         = desc("group_circuits", "Circuits of a trunk group.", "to")
+	descDatagramsIn       = desc("iax_datagrams_in_total", "Datagrams received.")
+	descDatagramsOut      = desc("iax_datagrams_out_total", "Datagrams sent.")
+	descRetransmits       = desc("iax_repeats_total", "Frames sent again.")
+	descMalformed         = desc("iax_malformed_total", "Datagrams that could not be read.")
 	descDialogsRejected   = desc("iax_rejected_total", "Openings rejected without a dialog.")
 	descStray             = desc("iax_stray_total", "Frames of unknown dialogs.")
-	descDropped           = desc("socket_dropped_total", "Datagrams that the socket did not take.")
+	descDatagramsDropped  = desc("socket_dropped_total", "Datagrams that the socket did not take.")
 	descAssoc             = desc("m3ua_associations", "Active associations to an exchange.", "to")
-	descBusy              = desc("isup_circuits_busy", "Circuits that are not idle.", "to")
-	descIdle              = desc("isup_circuits_idle", "Circuits that a call may seize.", "to")
+	descCircuitsBusy      = desc("isup_circuits_busy", "Circuits that are not idle.", "to")
+	descCircuitsIdle      = desc("isup_circuits_idle", "Circuits that a call may seize.", "to")
 	descGlares            = desc("isup_glares_total", "Circuits seized by both ends.", "to")
 	descAlarms            = desc("isup_alarms_total", "Alarms to maintenance; each is a line in the log.")
-	descUnsent            = desc("isup_unsent_total", "Messages that no association could take.")
-	descCut               = desc("isup_setups_cut_total", "Set-ups ended because the last association was lost.")
+	descMessagesUnsent    = desc("isup_unsent_total", "Messages that no association could take.")
+	descSetupsCut         = desc("isup_setups_cut_total", "Set-ups ended because the last association was lost.")
 	descUnknownPeers      = desc("m3ua_strangers_total", "Messages or connections of ends that no group leads to.")
 	descListAge           = desc("list_age_seconds", "Since the exchange list last came; -1 is never.")
 	descDistrustedStarts  = desc("list_starts_mistrusted_total", "Starts on the exchange list that contradict this router's clock.")
@@ -125,28 +125,28 @@
 	count(descWithdrawn, core.Withdrawn)
 	count(descFaults, core.ActionFaults)
 	for _, g := range n.Core.Groups() {
-		gauge(descFree, float64(g.Free()), strconv.Itoa(g.Neighbour()))
-		gauge(descSize, float64(g.Size()), strconv.Itoa(g.Neighbour()))
+		gauge(descGroupFree, float64(g.Free()), strconv.Itoa(g.Neighbour()))
+		gauge(descGroupSize, float64(g.Size()), strconv.Itoa(g.Neighbour()))
 	}
 	for _, g := range n.ISUP().GroupStates() {
 		to := strconv.Itoa(g.Exchange)
 		gauge(descAssoc, float64(g.Associations), to)
-		gauge(descBusy, float64(g.Busy), to)
-		gauge(descIdle, float64(g.Idle), to)
+		gauge(descCircuitsBusy, float64(g.Busy), to)
+		gauge(descCircuitsIdle, float64(g.Idle), to)
 		count(descGlares, g.Circuits.Glares, to)
 	}
 	front := &n.ISUP().Stats
 	count(descAlarms, front.Alarms)
-	count(descUnsent, front.Unsent)
-	count(descCut, front.Cut)
+	count(descMessagesUnsent, front.Unsent)
+	count(descSetupsCut, front.Cut)
 	count(descUnknownPeers, front.UnknownPeer)
-	count(descIn, iax.In)
-	count(descOut, iax.Out)
-	count(descRepeats, iax.Retransmits)
-	count(descBad, iax.Malformed)
+	count(descDatagramsIn, iax.In)
+	count(descDatagramsOut, iax.Out)
+	count(descRetransmits, iax.Retransmits)
+	count(descMalformed, iax.Malformed)
 	count(descDialogsRejected, iax.Rejected)
 	count(descStray, iax.Stray)
-	count(descDropped, m.dropped)
+	count(descDatagramsDropped, m.dropped)
 	if m.s.recorder != nil {
 		m.collectRecords(gauge, count, core.AnsweredNotDurable)
 	}
@@ -157,9 +157,9 @@
 
 // collectRecords reads the metrics of the record store and its exports.
 func (m *metrics) collectRecords(gauge func(*prometheus.Desc, float64, ...string),
-	count func(*prometheus.Desc, uint64, ...string), overdue uint64) {
+	count func(*prometheus.Desc, uint64, ...string), answeredNotDurable uint64) {
 	st := m.s.recorder.rec.Status()
-	count(descAnswersNotDurable, overdue)
+	count(descAnswersNotDurable, answeredNotDurable)
 	gauge(descRecordsState, float64(st.State))
 	gauge(descRecordsAtRisk, float64(st.Waiting))
 	count(descRecordsLost, st.Lost)
@@ -172,7 +172,7 @@
 	}
 }
 
-// listAge returns the seconds since the exchange list was last received; -1 before the first one.
+// listAge returns the time in seconds since the exchange list was last received; -1 before the first one.
 func (s *Server) listAge(now time.Duration) float64 {
 	at := s.listReceivedAt.Load()
 	if at == 0 {
@@ -222,8 +222,8 @@
 	Problem  string  `json:"problem,omitempty"`
 }
 
-// health determines the router's health. A router is not OK while it drains, has no exchange list, or has a
-// record store whose disk is not healthy.
+// health determines the router's health. A router is not OK while its event loop does not respond, it drains, it has no
+// exchange list, or the disk of its record store is not healthy.
 func (s *Server) health() health {
 	h := health{Draining: s.draining.Load()}
 	err := s.Do(func(n *node.Node, now time.Duration) { h.Calls, h.ListAge = n.Core.OpenCalls(), s.listAge(now) })
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -21,20 +21,20 @@
 
 // recorder connects the event loop to the record store, which runs on its own goroutines.
 type recorder struct {
-	s               *Server
-	rec             *records.Recorder
-	clock           cdr.Clock  // used on the event loop only
-	items           []cdr.Item // reused buffer; used on the event loop only
-	reportedOverdue uint64     // value of Core.Stats.AnsweredNotDurable that was last reported to the store
+	s                  *Server
+	rec                *records.Recorder
+	clock              cdr.Clock  // used on the event loop only
+	items              []cdr.Item // reused buffer; used on the event loop only
+	reportedNotDurable uint64     // value of Core.Stats.AnsweredNotDurable that was last reported to the store
 
 	mu          sync.Mutex
 	tickets     []pendingTicket // not durable yet, oldest first
-	durable     uint64          // last sequence number of the core whose record is durable
-	wakePending bool            // the event loop has been asked to process durable
+	durableSeq  uint64          // last sequence number of the core whose record is durable
+	wakePending bool            // the event loop has been asked to process durableSeq
 }
 
-// pendingTicket maps a ticket of the record store to the sequence number of the core's record.
-type pendingTicket struct{ recorder, core uint64 }
+// pendingTicket maps a ticket of the record store to the sequence number of the last of its records in the call core.
+type pendingTicket struct{ ticket, recordSeq uint64 }
 
 // diskPollInterval is the interval of checks of the disk's state.
 const diskPollInterval = 50 * time.Millisecond
@@ -116,9 +116,9 @@
 // submit passes the core's records to the record store; it runs on the event loop.
 func (rc *recorder) submit(now time.Duration, recs []call.Record) {
 	rc.clock.Observe(now, time.Now())
-	if overdue := rc.s.node.Core.Stats.AnsweredNotDurable; overdue != rc.reportedOverdue {
-		rc.rec.AddOverdue(int(overdue - rc.reportedOverdue))
-		rc.reportedOverdue = overdue
+	if notDurable := rc.s.node.Core.Stats.AnsweredNotDurable; notDurable != rc.reportedNotDurable {
+		rc.rec.AddOverdue(int(notDurable - rc.reportedNotDurable))
+		rc.reportedNotDurable = notDurable
 	}
 	if len(recs) == 0 {
 		return
@@ -128,22 +128,22 @@
 		rc.items = append(rc.items, cdr.Item{Open: recs[i].Kind == call.AnswerRecord,
 			Record: rc.s.set.CallRecord(&rc.clock, rc.rec.ID(recs[i].CallSeq), &recs[i])})
 	}
-	last := recs[len(recs)-1].RecordSeq
+	lastSeq := recs[len(recs)-1].RecordSeq
 	rc.mu.Lock()
 	ticket, ok := rc.rec.Submit(rc.items...)
 	if ok {
-		rc.tickets = append(rc.tickets, pendingTicket{ticket, last})
+		rc.tickets = append(rc.tickets, pendingTicket{ticket, lastSeq})
 	}
 	rc.mu.Unlock()
-	clear(rc.items) // do not retain the strings, which the record store now owns
+	clear(rc.items) // the record store has copied the items; the buffer must not keep their strings alive
 }
 
 // onDurable is called on the record store's goroutine when records up to a ticket are durable. It passes this on to the
 // event loop; at most one task for that is pending, which covers all tickets that become durable until it runs.
 func (rc *recorder) onDurable(upTo uint64) {
 	rc.mu.Lock()
-	for len(rc.tickets) > 0 && rc.tickets[0].recorder <= upTo {
-		rc.durable = rc.tickets[0].core
+	for len(rc.tickets) > 0 && rc.tickets[0].ticket <= upTo {
+		rc.durableSeq = rc.tickets[0].recordSeq
 		rc.tickets = rc.tickets[1:]
 	}
 	wake := !rc.wakePending
@@ -156,10 +156,10 @@
 	_ = rc.s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		rc.mu.Lock()
 		rc.wakePending = false
-		ticket := rc.durable
+		seq := rc.durableSeq
 		rc.mu.Unlock()
 		now := rc.s.now()
-		rc.s.node.MarkDurable(now, ticket)
+		rc.s.node.MarkDurable(now, seq)
 		rc.s.finishTurn(now)
 		return nil
 	}))
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -28,9 +28,9 @@
 )
 
 const (
-	maxBatchRounds    = 16               // batches read per turn before timers are processed
+	maxBatchRounds    = 16               // batches read per turn at most, so that timers are processed under load
 	minTimerDelay     = time.Millisecond // shortest delay of the event loop's timer
-	loopTimeout       = 5 * time.Second  // time-out of a function executed on the event loop, and of its stop
+	loopTimeout       = 5 * time.Second  // longest wait for a function to run on the event loop, and for the loop to stop
 	socketBufferBytes = 4 << 20          // size of each of the socket's buffers
 )
 
@@ -49,9 +49,9 @@
 	engine           gnet.Engine
 	addr             netip.AddrPort // of the UDP socket
 	fd               int            // duplicate descriptor of the UDP socket
-	batch            *batcher       // on fd
+	batch            *batcher       // sends and receives on fd
 	loop             gnet.EventLoop // set by the first datagram, which OnBoot sends
-	wake             loopTimer      // timer of the event loop
+	timer            loopTimer      // timer of the event loop
 	ready            chan struct{}  // closed when loop is set
 	done             chan struct{}  // closed when the event loop has ended
 	runErr           error          // error that ended the event loop; to be read after done is closed
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	s.metrics = newMetrics(s)
-	s.wake = newLoopTimer(s.onTimer)
+	s.timer = newLoopTimer(s.onTimer)
 	go func() {
 		defer close(s.done)
 		err := gnet.Rotate(s, s.sockets(), gnet.WithNumEventLoop(1), gnet.WithLogger(errorLogger{log.Sugar()}),
@@ -144,8 +144,8 @@
 // errorLogger is a logger for gnet that drops debug and info lines.
 type errorLogger struct{ *zap.SugaredLogger }
 
-func (q errorLogger) Debugf(string, ...any) {}
-func (q errorLogger) Infof(string, ...any)  {}
+func (l errorLogger) Debugf(string, ...any) {}
+func (l errorLogger) Infof(string, ...any)  {}
 
 // listSource returns the configured source of the exchange list.
 func (s *Server) listSource() registry.Source {
@@ -198,7 +198,7 @@
 
 // OnShutdown stops the timer and closes the descriptor that OnBoot opened.
 func (s *Server) OnShutdown(gnet.Engine) {
-	s.wake.stop()
+	s.timer.stop()
 	if s.batch != nil {
 		_ = unix.Close(s.fd)
 	}
@@ -237,7 +237,7 @@
 func (s *Server) onTimer() {
 	// Execute fails only after the event loop has ended.
 	_ = s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		s.wake.fired()
+		s.timer.fired()
 		s.finishTurn(s.now())
 		return nil
 	}))
@@ -252,7 +252,7 @@
 	s.flush(now)
 	s.processRecords(now)
 	at, ok := s.node.Next()
-	s.wake.schedule(now, at, ok)
+	s.timer.schedule(now, at, ok)
 }
 
 // flush sends the node's pending output.
@@ -266,7 +266,8 @@
 	s.flushAssociations()
 }
 
-// Do runs f on the event loop and waits for it. It fails if the router has stopped or f does not run within doWait.
+// Do runs f on the event loop and waits for it. It returns ErrStopped if the router has stopped, and another error if f has
+// not run within loopTimeout; in that case f may still run later.
 func (s *Server) Do(f func(n *node.Node, now time.Duration)) error {
 	if s.stopped.Load() {
 		return ErrStopped
@@ -294,7 +295,7 @@
 	}
 }
 
-// SetList passes a new exchange list to the node. After the router's end it does nothing.
+// SetList passes a new exchange list to the node. It does nothing if the router has stopped.
 func (s *Server) SetList(l registry.List) {
 	wall := time.Now()
 	err := s.Do(func(n *node.Node, now time.Duration) {
@@ -312,7 +313,8 @@
 	s.log.Warn("exchange list source failed; keeping the last list", zap.Error(err))
 }
 
-// Reload applies the dial plan, group sizes and call limit of new settings to calls from now on.
+// Reload applies the dial plan, group sizes, circuits of the own switch and call limit of new settings to calls from now on.
+// Other changes take effect at a restart; those that CheckReload rejects are an error.
 func (s *Server) Reload(next *config.Settings) error {
 	if err := s.set.CheckReload(next); err != nil {
 		return err
@@ -353,11 +355,11 @@
 	}
 }
 
-// Stop ends the router at once without releasing its calls. Waiting records are written; standing calls are closed in the
-// records at the next start.
+// Stop ends the router at once without releasing its calls. Records that are not yet durable are written; standing calls
+// get theirs at the next start.
 func (s *Server) Stop() error { return s.shutdown(false) }
 
-// Kill ends the router as a kill of its process would: waiting records are lost.
+// Kill ends the router as a kill of its process would: records that are not yet durable are lost.
 func (s *Server) Kill() error { return s.shutdown(true) }
 
 // closeRecords closes the record store; drop discards waiting records.
@@ -386,7 +388,7 @@
 	return err
 }
 
-// Wait waits for the router's end and returns the error that ended its event loop, if any.
+// Wait waits until the router has stopped and returns the error that ended its event loop, if any.
 func (s *Server) Wait() error {
 	<-s.done
 	return s.runErr
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -70,10 +70,10 @@
 
 // peer is an IAX2 endpoint on a UDP socket: a caller, or the neighbour exchange.
 type peer struct {
-	t    *testing.T
-	conn *net.UDPConn
-	ep   *iax2.Endpoint
-	at   time.Time
+	t         *testing.T
+	conn      *net.UDPConn
+	ep        *iax2.Endpoint
+	startedAt time.Time // zero of the endpoint's clock
 }
 
 func newPeer(t *testing.T) *peer {
@@ -83,13 +83,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return &peer{t: t, conn: conn, ep: iax2.NewEndpoint(iax2.Config{}), at: time.Now()}
+	return &peer{t: t, conn: conn, ep: iax2.NewEndpoint(iax2.Config{}), startedAt: time.Now()}
 }
 
 func (p *peer) addr() netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 func (p *peer) flush() {
-	p.ep.Flush(time.Since(p.at))
+	p.ep.Flush(time.Since(p.startedAt))
 	for i := range p.ep.Out.Len() {
 		to, b := p.ep.Out.At(i)
 		if _, err := p.conn.WriteToUDPAddrPort(b, to.AddrPort()); err != nil {
@@ -116,16 +116,16 @@
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err == nil {
 			a, _ := iax2.AddrFrom(from)
-			p.ep.Receive(time.Since(p.at), a, buf[:n])
+			p.ep.Receive(time.Since(p.startedAt), a, buf[:n])
 		}
-		p.ep.Advance(time.Since(p.at))
+		p.ep.Advance(time.Since(p.startedAt))
 	}
 	p.t.Fatalf("no event %d within 20 s", k)
 	return iax2.Event{}
 }
 
-func listOf(far netip.AddrPort) string {
-	return fmt.Sprintf("[[exchange]]\nid = \"far\"\nnumber = 1\naddress = %q\n", far)
+func listOf(neighbour netip.AddrPort) string {
+	return fmt.Sprintf("[[exchange]]\nid = \"far\"\nnumber = 1\naddress = %q\n", neighbour)
 }
 
 func start(t *testing.T, set *config.Settings) *Server {
@@ -149,25 +149,25 @@
 }
 
 func TestCallOverSockets(t *testing.T) {
-	far, caller := newPeer(t), newPeer(t)
-	s := start(t, settings(t, listOf(far.addr()), ""))
+	neighbour, caller := newPeer(t), newPeer(t)
+	s := start(t, settings(t, listOf(neighbour.addr()), ""))
 	awaitList(t, s)
 	to, _ := iax2.AddrFrom(s.Addr())
-	d, err := caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15", Calling: "9"})
+	d, err := caller.ep.Call(time.Since(caller.startedAt), to, iax2.Request{Called: "15", Calling: "9"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	caller.flush()
-	in := far.until(iax2.Offered)
+	in := neighbour.until(iax2.Offered)
 	if in.Request.Called != "15" || in.Request.Calling != "9" {
 		t.Errorf("request %+v", in.Request)
 	}
-	in.Dialog.Answer(time.Since(far.at))
-	far.flush()
+	in.Dialog.Answer(time.Since(neighbour.startedAt))
+	neighbour.flush()
 	caller.until(iax2.Answered)
-	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
+	d.Release(time.Since(caller.startedAt), iax2.CauseNormal, "")
 	caller.flush()
-	far.until(iax2.Closed)
+	neighbour.until(iax2.Closed)
 	caller.until(iax2.Closed)
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := 0
@@ -185,15 +185,15 @@
 
 // Drain, as on SIGTERM, must reject new calls, wait for the end of a standing one and then stop the router.
 func TestDrain(t *testing.T) {
-	far, caller := newPeer(t), newPeer(t)
-	s := start(t, settings(t, listOf(far.addr()), ""))
+	neighbour, caller := newPeer(t), newPeer(t)
+	s := start(t, settings(t, listOf(neighbour.addr()), ""))
 	awaitList(t, s)
 	to, _ := iax2.AddrFrom(s.Addr())
-	d, _ := caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15"})
+	d, _ := caller.ep.Call(time.Since(caller.startedAt), to, iax2.Request{Called: "15"})
 	caller.flush()
-	in := far.until(iax2.Offered)
-	in.Dialog.Answer(time.Since(far.at))
-	far.flush()
+	in := neighbour.until(iax2.Offered)
+	in.Dialog.Answer(time.Since(neighbour.startedAt))
+	neighbour.flush()
 	caller.until(iax2.Answered)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Drain(context.Background()) }()
@@ -201,7 +201,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	for closing := false; !closing; {
-		_, _ = caller.ep.Call(time.Since(caller.at), to, iax2.Request{Called: "15"})
+		_, _ = caller.ep.Call(time.Since(caller.startedAt), to, iax2.Request{Called: "15"})
 		caller.flush()
 		e := caller.until(iax2.Released)
 		closing = e.Cause == iax2.CauseCongestion
@@ -211,9 +211,9 @@
 		t.Fatal("stopped during a standing call")
 	default:
 	}
-	d.Release(time.Since(caller.at), iax2.CauseNormal, "")
+	d.Release(time.Since(caller.startedAt), iax2.CauseNormal, "")
 	caller.flush()
-	far.until(iax2.Closed)
+	neighbour.until(iax2.Closed)
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
