--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// requirePositive reports a duration that is zero or negative.
+// requirePositive reports a duration that is not above zero.
 func requirePositive(d *tomlbind.Doc, key string, t time.Duration) {
 	if t <= 0 {
 		d.Report(key, "%v must be above zero", t)
@@ -304,7 +304,7 @@
 	}
 	for key, v := range map[string][2]time.Duration{"t5": {t.T5, t.T1}, "t13": {t.T13, t.T12}, "t17": {t.T17, t.T16}} {
 		if v[0] < v[1] {
-			d.Report("isup."+key, "%v is under the timer of its retransmissions (%v)", v[0], v[1])
+			d.Report("isup."+key, "%v is shorter than the timer of retransmissions (%v)", v[0], v[1])
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,8 +42,8 @@
 type Router struct {
 	Exchange     int            `toml:"exchange"`      // number of the router's own exchange
 	Listen       netip.AddrPort `toml:"listen"`        // IPv4 address of the UDP socket
-	Routers      int            `toml:"routers"`       // routers in the network; 0 is one per [[exchange]]
-	Seed         uint64         `toml:"seed"`          // of random decisions; 0 is another one at each start
+	Routers      int            `toml:"routers"`       // routers in the network; 0 means one per [[exchange]]
+	Seed         uint64         `toml:"seed"`          // of random decisions; 0 means a new one at each start
 	MaxCalls     int            `toml:"max_calls"`     // concurrent calls; 0 is unlimited
 	AnswerMargin time.Duration  `toml:"answer_margin"` // time before the end of the caller's patience at which the final answer is sent
 	DrainLimit   time.Duration  `toml:"drain_limit"`   // how long standing calls are kept after SIGTERM
@@ -51,12 +51,12 @@
 	PointCode    uint32         `toml:"point_code"`    // of the own exchange; 0 is its number plus one
 }
 
-// Rules is the [rules] table: the limits that the router's call-handling rules work with.
+// Rules is the [rules] table: the delays, thresholds and limits of call handling.
 type Rules struct {
-	ReleaseWait      time.Duration `toml:"release_wait"`  // before the next attempt after a time-out, cut or cancelled attempt
-	DrainGrace       time.Duration `toml:"drain_grace"`   // after it no new call reaches a draining or removed exchange
-	ColdCapacity     float64       `toml:"cold_from"`     // share of its capacity that a just started processor has, above 0 to 1
-	ColdDuration     time.Duration `toml:"cold_for"`      // after a start, until the full capacity is reached
+	ReleaseWait      time.Duration `toml:"release_wait"`  // delay before the next attempt after one that timed out, was cut or was cancelled
+	DrainGrace       time.Duration `toml:"drain_grace"`   // after it no new call is set up to a draining or removed exchange
+	ColdCapacity     float64       `toml:"cold_from"`     // share of its capacity that a processor has when it has just started, above 0 to 1
+	ColdDuration     time.Duration `toml:"cold_for"`      // length of the slow start, after which a processor has its full capacity
 	OverloadMultiple float64       `toml:"fall_multiple"` // load, as a multiple of its capacity, above which a processor collapses
 	MaxAttempts      int           `toml:"max_attempts"`  // set-up attempts per call
 	MaxRetryAfter    time.Duration `toml:"max_stay_away"` // longest retry-after sent to a caller
@@ -71,7 +71,7 @@
 	SetupTarget time.Duration `toml:"aim"`        // set-up time within which a call has its full value
 	Deadline    time.Duration `toml:"deadline"`   // how long the caller redials
 	Patience    time.Duration `toml:"patience"`   // time after which the caller abandons an attempt; 0 is the deadline
-	Value       float64       `toml:"worth"`      // of a call that is set up in time, relative to other classes
+	Value       float64       `toml:"worth"`      // of a call that is set up within the target, relative to other classes
 	LateValue   float64       `toml:"late_worth"` // share of the value for a call set up after the target, 0 to 1
 	Users       []string      `toml:"users"`
 	Contexts    []string      `toml:"contexts"`
@@ -209,11 +209,11 @@
 // Settings is a router's validated configuration.
 type Settings struct {
 	File
-	Path       string
+	Path       string       // file name given in errors; relative paths in the settings are relative to its directory
 	Tariffs    *cdr.Tariffs // nil: call records are stored unrated
-	Plan       *call.Plan
-	GroupSizes map[int]int // circuits of each trunk group by exchange number
-	Zones      []string
+	Plan       *call.Plan   // dial plan built from the settings
+	GroupSizes map[int]int  // circuits of each trunk group, by the number of the neighbour exchange
+	Zones      []string     // zones of the exchanges, in the order in which they first occur; a zone's number is its index
 }
 
 // Load reads and validates the settings file at path.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -86,7 +86,7 @@
 		{"point_code = 3", "point_code = 1", "group[2].point_code: 1 has more than 24 bits or is another exchange's"},
 		{"first_cic = 1", "first_cic = 4090", "group[2].circuits: the last circuit's CIC would be 4119"},
 		{`mode = "override"`, `mode = "both"`, "m3ua.mode: \"both\" is none of"},
-		{`t5 = "5m"`, `t5 = "5s"`, "isup.t5: 5s is under the timer of its retransmissions (15s)"},
+		{`t5 = "5m"`, `t5 = "5s"`, "isup.t5: 5s is shorter than the timer of retransmissions (15s)"},
 		{`contexts = ["alarm"]`, `contexts = ["alarm", "alarm"]`, "class[2].contexts[2]: \"alarm\" is given twice"},
 	} {
 		text := string(data)
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -11,13 +11,13 @@
 )
 
 // NodeSettings converts the settings to those of a router node. seed is used if the settings have a seed of 0, random is
-// the source of call numbers and challenges, and serves reports whether a called number has a route.
-func (s *Settings) NodeSettings(seed uint64, random func() uint64, serves func(number string) bool) node.Settings {
+// the source of call numbers and challenges, and hasRoute reports whether a called number has a route.
+func (s *Settings) NodeSettings(seed uint64, random func() uint64, hasRoute func(number string) bool) node.Settings {
 	x := &s.IAX
 	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
 		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay,
 		AcceptDelay: x.AcceptDelay, Linger: x.Linger, PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh,
-		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, NumberExists: serves}
+		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, NumberExists: hasRoute}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
@@ -41,7 +41,7 @@
 	return strconv.Itoa(int(o))
 }
 
-// How call-core enumerations map to those of stored records.
+// Mapping of the call core's enumerations to those of stored records.
 var (
 	cdrEnds = [...]cdr.End{call.Answered: cdr.Answered, call.CutOff: cdr.Cut, call.Refused: cdr.Refused,
 		call.Failed: cdr.Failed, call.Abandoned: cdr.Abandoned}
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -20,17 +20,17 @@
 	Dir               string        `toml:"dir"`
 	Answer            string        `toml:"answer"`      // AnswerDurable or AnswerAtOnce
 	DurableTimeout    time.Duration `toml:"answer_wait"` // longest wait of an answer for its record, under AnswerDurable
-	OnSlow            string        `toml:"on_slow"`     // "go_on" or "refuse": what happens to new calls
-	OnFull            string        `toml:"on_full"`
-	OnFailed          string        `toml:"on_failed"`
-	SlowAfter         time.Duration `toml:"slow_after"` // age of the oldest waiting record from which the disk counts as slow
-	MaxQueue          int           `toml:"queue"`      // records that may wait
-	MaxBatch          int           `toml:"batch"`      // records per commit
-	BatchDelay        time.Duration `toml:"gather"`     // delay before a commit, so that more records join it
-	HeartbeatInterval time.Duration `toml:"alive"`      // interval of heartbeats in the store
-	Retention         time.Duration `toml:"keep"`       // how long exported records are retained
-	DiskLimit         int           `toml:"disk_limit"` // bytes; 0 is unlimited
-	Tariffs           string        `toml:"tariffs"`    // file of tariffs, relative to the settings file
+	OnSlow            string        `toml:"on_slow"`     // "go_on" or "refuse": whether new calls are accepted while the disk is slow
+	OnFull            string        `toml:"on_full"`     // the same while the disk has no free space
+	OnFailed          string        `toml:"on_failed"`   // the same after the disk has failed
+	SlowAfter         time.Duration `toml:"slow_after"`  // age of the oldest waiting record from which the disk counts as slow
+	MaxQueue          int           `toml:"queue"`       // limit of records that wait to be written
+	MaxBatch          int           `toml:"batch"`       // records per commit
+	BatchDelay        time.Duration `toml:"gather"`      // delay before a commit, so that more records join it
+	HeartbeatInterval time.Duration `toml:"alive"`       // interval of heartbeats in the store
+	Retention         time.Duration `toml:"keep"`        // how long exported records are retained
+	DiskLimit         int           `toml:"disk_limit"`  // bytes; 0 is unlimited
+	Tariffs           string        `toml:"tariffs"`     // file of tariffs, relative to the settings file
 	Export            []Export      `toml:"export"`
 }
 
@@ -40,8 +40,8 @@
 	To         string        `toml:"to"`         // directory or URL of a tus receiver
 	Format     string        `toml:"format"`     // "csv" (the default) or "parquet"
 	MaxRecords int           `toml:"most"`       // per batch; 0 is 10000
-	MinRecords int           `toml:"least"`      // records for which a batch is sent at once; 0 is 1000
-	MaxWait    time.Duration `toml:"wait"`       // after which a smaller batch is sent; 0 is 1 min
+	MinRecords int           `toml:"least"`      // waiting records at which a batch is sent at once; 0 is 1000
+	MaxWait    time.Duration `toml:"wait"`       // longest wait of records, after which a smaller batch is sent; 0 is 1 min
 	TokenFile  string        `toml:"token_file"` // file with the bearer token for a receiver; empty for none
 	ChunkSize  int           `toml:"part"`       // bytes per request; 0 is unlimited
 	Timeout    time.Duration `toml:"timeout"`    // per request; 0 is 30 s
@@ -61,7 +61,7 @@
 
 func (r *Records) equal(o *Records) bool { return reflect.DeepEqual(r, o) }
 
-// policies maps the values of on_slow, on_full and on_failed.
+// policies maps the values of on_slow, on_full and on_failed to those of the store.
 var policies = map[string]store.Policy{"go_on": store.AcceptCalls, "refuse": store.RejectCalls}
 
 // GateSettings converts the admission policies for a faulty disk to those of the store.
@@ -129,7 +129,7 @@
 		e := &s.Records.Export[i]
 		key := fmt.Sprintf("records.export[%d]", i+1)
 		if e.Name == "" || names[e.Name] || strings.ContainsRune(e.Name, 0) {
-			d.Report(key+".name", "name %q is empty or given twice", e.Name)
+			d.Report(key+".name", "name %q is empty, given twice or contains a zero byte", e.Name)
 		}
 		if e.To == "" || targets[e.To] {
 			d.Report(key+".to",
