--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -14,15 +14,15 @@
 	"pipitring/decide"
 )
 
-// Entry is one exchange on the list.
+// Entry is one exchange on the list, with the processor that serves it.
 type Entry struct {
 	ID      string // of the processor; a replacement machine has another one
-	Number  int
+	Number  int    // of the exchange
 	Zone    string
 	Phase   decide.Phase
-	Started time.Time      // start of its process; zero means long ago
-	Address netip.AddrPort // of its router, which receives set-ups from other exchanges
-	Switch  netip.AddrPort // of the processor itself, to which its router forwards set-ups that terminate there
+	Started time.Time      // start of the processor; zero means unknown
+	Address netip.AddrPort // of the exchange's router, which receives set-ups from other exchanges
+	Switch  netip.AddrPort // of the processor itself, to which the router forwards set-ups that terminate there
 }
 
 // Exchange returns the entry's ID in the decision module's form: a 64-bit hash.
@@ -48,7 +48,7 @@
 	seen := map[string]bool{}
 	for i, e := range l.Entries {
 		report := func(format string, args ...any) {
-			errs = append(errs, fmt.Errorf("exchange %d (%q): %s", i+1, e.ID, fmt.Sprintf(format, args...)))
+			errs = append(errs, fmt.Errorf("entry %d (%q): %s", i+1, e.ID, fmt.Sprintf(format, args...)))
 		}
 		if e.ID == "" {
 			report("id is missing")
@@ -64,7 +64,7 @@
 			report("address %v is not an IPv4 address with a port", e.Address)
 		}
 		if e.Switch.IsValid() && !e.Switch.Addr().Is4() {
-			report("switch %v is not an IPv4 address with a port", e.Switch)
+			report("switch %v is not an IPv4 address", e.Switch)
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/registry/starts.go
+++ b/internal/registry/starts.go
@@ -35,16 +35,16 @@
 
 // processorStart is the estimated start of one processor, on the router's monotonic clock.
 type processorStart struct {
-	startedAt time.Duration
-	longAgo   bool      // startedAt is not used: it started longer ago than any slow start lasts
-	listed    time.Time // start time according to the list
-	phase     decide.Phase
-	removedAt time.Duration // when it was removed from the list; 0 means it is listed
+	startedAt   time.Duration
+	longAgo     bool          // it started longer ago than any slow start lasts; startedAt is not used
+	listedStart time.Time     // start time according to the list
+	phase       decide.Phase  // on the last list
+	removedAt   time.Duration // when it was removed from the list; 0 means it is listed
 }
 
-// Update processes a list that was received at now on the monotonic clock and at wall on the wall clock. coldDuration is the
+// Update processes a list that was received at now on the monotonic clock and at wall on the wall clock. slowStart is the
 // duration of a slow start.
-func (s *StartTimes) Update(now time.Duration, wall time.Time, coldDuration time.Duration, l *List) {
+func (s *StartTimes) Update(now time.Duration, wall time.Time, slowStart time.Duration, l *List) {
 	if s.processors == nil {
 		s.processors = map[string]*processorStart{}
 	}
@@ -57,12 +57,12 @@
 		case p == nil:
 			p = &processorStart{}
 			s.processors[e.ID] = p
-			s.setStart(p, now, wall, coldDuration, e.Started, s.listReceived)
-		case e.Started.After(p.listed), e.Started.Before(p.listed) && p.phase == decide.Removed && !e.Started.IsZero():
-			s.setStart(p, now, wall, coldDuration, e.Started, !p.listed.IsZero())
+			s.setStart(p, now, wall, slowStart, e.Started, s.listReceived)
+		case e.Started.After(p.listedStart), e.Started.Before(p.listedStart) && p.phase == decide.Removed && !e.Started.IsZero():
+			s.setStart(p, now, wall, slowStart, e.Started, !p.listedStart.IsZero())
 		}
-		if p.listed.IsZero() || e.Started.After(p.listed) || p.phase == decide.Removed {
-			p.listed = e.Started
+		if p.listedStart.IsZero() || e.Started.After(p.listedStart) || p.phase == decide.Removed {
+			p.listedStart = e.Started
 		}
 		p.phase, p.removedAt = e.Phase, 0
 	}
@@ -79,18 +79,18 @@
 }
 
 // setStart estimates a start from the start time on the list; observed means that this router saw the processor start.
-func (s *StartTimes) setStart(p *processorStart, now time.Duration, wall time.Time, coldDuration time.Duration,
+func (s *StartTimes) setStart(p *processorStart, now time.Duration, wall time.Time, slowStart time.Duration,
 	listed time.Time, observed bool) {
 	age := wall.Sub(listed)
 	p.startedAt, p.longAgo = now, false
 	switch {
 	case listed.IsZero():
 		p.longAgo = !observed
-	case age < -coldDuration:
+	case age < -slowStart:
 		s.Distrusted++
 		p.longAgo = !observed
-	case age < 0:
-	case age < coldDuration:
+	case age < 0: // a clock slightly ahead: it started now
+	case age < slowStart:
 		p.startedAt = now - age
 	case observed:
 		s.Distrusted++
--- a/internal/registry/starts_test.go
+++ b/internal/registry/starts_test.go
@@ -7,7 +7,7 @@
 	"pipitring/decide"
 )
 
-const coldDuration = 15 * time.Second
+const slowStart = 15 * time.Second
 
 var wall0 = time.Date(2026, 12, 1, 14, 0, 0, 0, time.UTC)
 
@@ -22,7 +22,7 @@
 		{"none", time.Time{}, LongAgo},
 		{"five hours ago", wall0.Add(-5 * time.Hour), LongAgo},
 		{"five seconds ago", wall0.Add(-5 * time.Second), 5 * time.Second},
-		{"at the edge", wall0.Add(-coldDuration), LongAgo},
+		{"at the edge", wall0.Add(-slowStart), LongAgo},
 		{"now", wall0, 0},
 		{"a little ahead", wall0.Add(3 * time.Second), 0},
 		{"hours ahead", wall0.Add(3 * time.Hour), LongAgo},
@@ -30,7 +30,7 @@
 		{"far ahead", wall0.AddDate(400, 0, 0), LongAgo},
 	} {
 		var s StartTimes
-		s.Update(time.Second, wall0, coldDuration, listOf(Entry{ID: "a", Started: c.stamp}))
+		s.Update(time.Second, wall0, slowStart, listOf(Entry{ID: "a", Started: c.stamp}))
 		if got := s.Age(time.Second, "a"); got != c.want {
 			t.Errorf("%s: age %v, want %v", c.name, got, c.want)
 		}
@@ -51,9 +51,9 @@
 		{"listed late", wall0.Add(9*time.Minute + 56*time.Second), 4 * time.Second},
 	} {
 		var s StartTimes
-		s.Update(time.Second, wall0, coldDuration, listOf(old))
+		s.Update(time.Second, wall0, slowStart, listOf(old))
 		now := time.Second + 10*time.Minute
-		s.Update(now, wall0.Add(10*time.Minute), coldDuration, listOf(old, Entry{ID: "new", Started: c.stamp}))
+		s.Update(now, wall0.Add(10*time.Minute), slowStart, listOf(old, Entry{ID: "new", Started: c.stamp}))
 		if got := s.Age(now, "new"); got != c.want {
 			t.Errorf("%s: age %v, want %v", c.name, got, c.want)
 		}
@@ -67,7 +67,7 @@
 func TestStartTimesOfRestartedProcessor(t *testing.T) {
 	var s StartTimes
 	at := func(after time.Duration, phase decide.Phase, stamp time.Time) time.Duration {
-		s.Update(time.Second+after, wall0.Add(after), coldDuration, listOf(Entry{ID: "a", Phase: phase, Started: stamp}))
+		s.Update(time.Second+after, wall0.Add(after), slowStart, listOf(Entry{ID: "a", Phase: phase, Started: stamp}))
 		return s.Age(time.Second+after, "a")
 	}
 	first := wall0.Add(-time.Hour)
@@ -80,14 +80,14 @@
 	if got := at(time.Minute+time.Second, decide.Ready, first); got != 3*time.Second {
 		t.Errorf("an older list made it %v old", got)
 	}
-	if got := at(10*time.Minute, decide.Removed, first); got < coldDuration {
+	if got := at(10*time.Minute, decide.Removed, first); got < slowStart {
 		t.Errorf("removed: %v", got)
 	}
 	if got := at(11*time.Minute, decide.Ready, wall0.Add(-2*time.Hour)); got != 0 {
 		t.Errorf("listed again after its removal with a clock set back: %v", got)
 	}
-	s.Update(time.Hour, wall0.Add(time.Hour), coldDuration, listOf())
-	s.Update(3*time.Hour, wall0.Add(3*time.Hour), coldDuration, listOf())
+	s.Update(time.Hour, wall0.Add(time.Hour), slowStart, listOf())
+	s.Update(3*time.Hour, wall0.Add(3*time.Hour), slowStart, listOf())
 	if len(s.processors) != 0 {
 		t.Errorf("%d processors are remembered after the forget delay", len(s.processors))
 	}
@@ -96,8 +96,8 @@
 // An empty first list does not count: processors on the next list were not seen to start.
 func TestStartTimesAfterEmptyList(t *testing.T) {
 	var s StartTimes
-	s.Update(time.Second, wall0, coldDuration, listOf())
-	s.Update(2*time.Second, wall0.Add(time.Second), coldDuration, listOf(Entry{ID: "a", Started: wall0.Add(-time.Hour)}))
+	s.Update(time.Second, wall0, slowStart, listOf())
+	s.Update(2*time.Second, wall0.Add(time.Second), slowStart, listOf(Entry{ID: "a", Started: wall0.Add(-time.Hour)}))
 	if got := s.Age(2*time.Second, "a"); got != LongAgo {
 		t.Errorf("age %v", got)
 	}
