--- a/internal/tomlbind/tomlbind.go
+++ b/internal/tomlbind/tomlbind.go
@@ -49,7 +49,7 @@
 	d.Problems = append(d.Problems, Problem{d.File, d.line(key), key, fmt.Sprintf(format, args...)})
 }
 
-// line returns the line of a key, or of the innermost enclosing key that has one; 0 if there is none.
+// line returns the line of a key, or of the innermost enclosing key whose line is known; 0 if there is none.
 func (d *Doc) line(key string) int {
 	for key != "" {
 		if n, ok := d.keyLines[key]; ok {
@@ -77,8 +77,9 @@
 	return errors.Join(errs...)
 }
 
-// Read reads TOML into the struct that into points to; keys are matched with toml tags. Fields whose keys are not given
-// keep their values. Read always returns a document; its Err returns the problems.
+// Read reads TOML into the struct that into points to; keys are matched with toml tags. Supported are structs, slices,
+// strings, booleans, int, int32, int64, uint16, uint32, uint64, float64, time.Duration and encoding.TextUnmarshaler. Fields
+// whose keys are not given keep their values. Read always returns a document; its Err returns the problems.
 func Read(file string, data []byte, into any) *Doc {
 	d := &Doc{File: file, keyLines: map[string]int{}}
 	var tree map[string]any
@@ -154,22 +155,23 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(tree)) {
-		at := key
+		keyPath := key
 		if path != "" {
-			at = path + "." + key
+			keyPath = path + "." + key
 		}
 		f, ok := fields[key]
 		if !ok {
-			d.Report(at, "unknown key; valid keys here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
+			d.Report(keyPath, "unknown key; valid keys here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
 			continue
 		}
-		d.bind(at, tree[key], f)
+		d.bind(keyPath, tree[key], f)
 	}
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// bind stores a value in a field and reports a value of the wrong type or out of range.
+// bind stores a value in a field and reports a value of the wrong type or out of range. It panics if the Go type of the
+// field is not supported.
 func (d *Doc) bind(path string, v any, into reflect.Value) {
 	mismatch := func(want string) { d.Report(path, "expected %s, got %s", want, kindName(v)) }
 	if into.Type() == durationType {
