--- a/internal/cdr/cdr_test.go
+++ b/internal/cdr/cdr_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// Every record must decode to itself. With any bit flipped or truncated anywhere, it must not decode at all.
+// Every record must decode to itself. With a bit flipped, or truncated at any byte, it must not decode.
 func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := anyRecord().Draw(t, "record")
@@ -106,8 +106,7 @@
 	}
 }
 
-// The wall clock is set during a call: times of day must be what it showed then, and durations must not
-// change.
+// The wall clock is set during a call. Times of day must be what it showed then, and durations must not change.
 func TestClockSet(t *testing.T) {
 	base := time.Date(2026, 12, 1, 23, 59, 0, 0, time.UTC)
 	for _, step := range []time.Duration{time.Hour, -time.Hour, -49 * time.Millisecond, 0} {
@@ -135,7 +134,7 @@
 	}
 }
 
-// testTariffs cost 0.12 a minute by day and 0.06 at night and at weekends; alarms are free. From 2027 on
+// testTariffs returns tariffs of 0.12 a minute by day and 0.06 at night and at weekends; alarms are free. From 2027 on,
 // prices are doubled.
 func testTariffs(t testing.TB) *Tariffs {
 	days := []time.Weekday{time.Monday, time.Tuesday, time.Wednesday, time.Thursday, time.Friday}
@@ -154,9 +153,9 @@
 }
 
 func TestRate(t *testing.T) {
-	tar := testTariffs(t)
+	tariffs := testTariffs(t)
 	at := func(s string) time.Time {
-		x, err := time.ParseInLocation("2006-01-02 15:04:05", s, tar.Zone)
+		x, err := time.ParseInLocation("2006-01-02 15:04:05", s, tariffs.Zone)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,12 +195,12 @@
 		{"friday night without clock change", "night", "2026-10-02 22:00:00", 8 * time.Hour, 1, "480.0000", ""},
 	} {
 		r := &Record{Class: c.class, Width: c.width, Offered: at(c.from), Answered: at(c.from), Duration: c.length}
-		got := tar.Rate(r)
+		got := tariffs.Rate(r)
 		if got.Amount != c.want || got.Note != c.note || got.Rated() != (c.want != "") {
 			t.Errorf("%s: %+v, want %q %q", c.name, got, c.want, c.note)
 		}
 	}
-	if got := tar.Rate(&Record{Class: "status", Offered: at("2026-12-01 10:00:00")}); got.Amount != "0.0000" || got.Note != NoteNotAnswered ||
+	if got := tariffs.Rate(&Record{Class: "status", Offered: at("2026-12-01 10:00:00")}); got.Amount != "0.0000" || got.Note != NoteNotAnswered ||
 		got.Tariff != "2026/1" {
 		t.Errorf("not answered: %+v", got)
 	}
@@ -209,14 +208,14 @@
 
 // Splitting a call in two at any moment must change nothing but the rounding of the parts.
 func TestRateAddsUp(t *testing.T) {
-	tar := testTariffs(t)
-	tar.Places = 12
+	tariffs := testTariffs(t)
+	tariffs.Places = 12
 	rapid.Check(t, func(t *rapid.T) {
 		from := time.Unix(rapid.Int64Range(1767186000, 1830258000).Draw(t, "from"), 0)
 		length := time.Duration(rapid.Int64Range(2, 3*86400).Draw(t, "s")) * time.Second
 		cut := time.Duration(rapid.Int64Range(1, int64(length/time.Second)-1).Draw(t, "cut")) * time.Second
 		cost := func(at time.Time, d time.Duration) *big.Rat {
-			c := tar.Rate(&Record{Class: "status", Width: 1, Answered: at, Duration: d})
+			c := tariffs.Rate(&Record{Class: "status", Width: 1, Answered: at, Duration: d})
 			r, ok := new(big.Rat).SetString(c.Amount)
 			if !ok {
 				t.Fatalf("%+v", c)
@@ -259,10 +258,10 @@
 }
 
 func BenchmarkRate(b *testing.B) {
-	tar := testTariffs(b)
+	tariffs := testTariffs(b)
 	r := &Record{Class: "status", Width: 1, Answered: time.Date(2026, 12, 1, 2, 0, 0, 0, time.UTC), Duration: 12 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
-		tar.Rate(r)
+		tariffs.Rate(r)
 	}
 }
--- a/internal/cdr/codec.go
+++ b/internal/cdr/codec.go
@@ -18,8 +18,8 @@
 	ErrChecksum = errors.New("checksum mismatch")
 	// ErrUnknownLayout means that the record was written in a layout that this version does not know.
 	ErrUnknownLayout = errors.New("unknown record layout")
-	// ErrTruncated means that the record is too short for its fields, or longer than them.
-	ErrTruncated = errors.New("record truncated")
+	// ErrTruncated means that the record ends before its last field or continues after it.
+	ErrTruncated = errors.New("record length does not match its fields")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -27,7 +27,7 @@
 // Encode appends the encoded record to b: layout version, fields in order as varints and length-prefixed
 // strings, and a CRC-32C over all of it.
 func (r *Record) Encode(b []byte) []byte {
-	from := len(b)
+	start := len(b)
 	b = append(b, layoutVersion)
 	b = r.ID.encode(b)
 	b = binary.AppendUvarint(b, uint64(r.Version))
@@ -59,7 +59,7 @@
 		b = appendString(b, s)
 	}
 	b = binary.AppendVarint(b, int64(c.Billed))
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[from:], castagnoli))
+	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
 func (id ID) encode(b []byte) []byte {
@@ -68,7 +68,7 @@
 	return binary.BigEndian.AppendUint64(b, id.Call)
 }
 
-const idSize = 16
+const idSize = 16 // bytes of an encoded ID
 
 func decodeID(b []byte) ID {
 	return ID{binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), binary.BigEndian.Uint64(b[8:])}
@@ -118,7 +118,7 @@
 	return 0
 }
 
-func (r *fieldReader) unsigned() uint64 {
+func (r *fieldReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
 		r.malformed = true
@@ -128,7 +128,7 @@
 	return v
 }
 
-func (r *fieldReader) signed() int64 {
+func (r *fieldReader) varint() int64 {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
 		r.malformed = true
@@ -139,7 +139,7 @@
 }
 
 func (r *fieldReader) string() string {
-	n := r.unsigned()
+	n := r.uvarint()
 	if n > uint64(len(r.b)) {
 		r.malformed = true
 		return ""
@@ -148,7 +148,7 @@
 }
 
 func (r *fieldReader) time() time.Time {
-	n := r.signed()
+	n := r.varint()
 	if n == unknownTime || r.malformed {
 		return time.Time{}
 	}
@@ -172,31 +172,31 @@
 	if id := d.take(idSize); id != nil {
 		r.ID = decodeID(id)
 	}
-	r.Version = uint16(d.unsigned())
+	r.Version = uint16(d.uvarint())
 	r.End, r.Cause, r.EndSource, r.Transit = End(d.byte()), d.byte(), EndSource(d.byte()), d.byte() != 0
 	for _, s := range [...]*string{&r.Class, &r.Tenant, &r.Called, &r.Calling, &r.User, &r.Context, &r.Front} {
 		*s = d.string()
 	}
 	for _, n := range [...]*int{&r.Circuit, &r.Origin, &r.Dest, &r.Width} {
-		*n = int(d.signed())
+		*n = int(d.varint())
 	}
 	for _, t := range [...]*time.Time{&r.Offered, &r.Answered, &r.Ended, &r.LastSeen} {
 		*t = d.time()
 	}
 	for _, n := range [...]*time.Duration{&r.SetUp, &r.Duration, &r.ClockStep} {
-		*n = time.Duration(d.signed())
+		*n = time.Duration(d.varint())
 	}
-	for n := d.unsigned(); n > 0 && !d.malformed; n-- {
-		a := Attempt{Exchange: int(d.signed()), Tandem: d.byte() != 0, Cause: d.byte()}
+	for n := d.uvarint(); n > 0 && !d.malformed; n-- {
+		a := Attempt{Exchange: int(d.varint()), Tandem: d.byte() != 0, Cause: d.byte()}
 		a.Front, a.Outcome = d.string(), d.string()
-		a.Circuit, a.After, a.Duration = int(d.signed()), time.Duration(d.signed()), time.Duration(d.signed())
+		a.Circuit, a.After, a.Duration = int(d.varint()), time.Duration(d.varint()), time.Duration(d.varint())
 		r.Attempts = append(r.Attempts, a)
 	}
 	c := &r.Charge
 	for _, s := range [...]*string{&c.Tariff, &c.Amount, &c.Currency, &c.Note} {
 		*s = d.string()
 	}
-	c.Billed = time.Duration(d.signed())
+	c.Billed = time.Duration(d.varint())
 	if d.malformed || len(d.b) != 0 {
 		return nil, ErrTruncated
 	}
--- a/internal/cdr/export.go
+++ b/internal/cdr/export.go
@@ -20,7 +20,7 @@
 const (
 	// Planned batches have their records chosen; nothing or only a part has been sent.
 	Planned Stage = iota
-	// Confirmed batches are complete at their target, by the target's answer.
+	// Confirmed batches are complete at their target, which has confirmed that.
 	Confirmed
 )
 
@@ -45,15 +45,15 @@
 
 // ExportSettings configure an Export.
 type ExportSettings struct {
-	Target        string // its name in the store
+	Target        string // name of the target in the store
 	Router        uint32
 	Format        Format
 	MaxRecords    int           // most records in one batch
-	MinRecords    int           // fewer records wait for more,
-	MaxWait       time.Duration // but at most this long
+	MinRecords    int           // waiting records at which a batch is made at once
+	MaxWait       time.Duration // longest wait of records, after which a smaller batch is made
 	MinRetryDelay time.Duration // delay after the first failed attempt; it doubles with each further one
-	MaxRetryDelay time.Duration // longest delay
-	KeepBatches   int           // states of confirmed batches that are stored for Verify; 0 is all
+	MaxRetryDelay time.Duration // upper limit of the delay
+	KeepBatches   int           // confirmed batches whose state stays in the store; 0 is all
 }
 
 // Export decides which records go to a target in which batch, and when a batch is sent again. It does no I/O of its
@@ -63,9 +63,9 @@
 	store        Store
 	state        targetState
 	current      *Delivery // batch being sent, nil if none
-	nextTry      time.Time
+	nextAttempt  time.Time
 	retryDelay   time.Duration
-	pendingSince time.Time // since when records have been waiting for a batch
+	pendingSince time.Time // when the oldest waiting records were first seen; zero if none wait
 	Failures     uint64    // failed attempts since OpenExport
 }
 
@@ -135,13 +135,13 @@
 // OldestBatch returns the oldest batch whose state is still stored.
 func (e *Export) OldestBatch() uint64 { return max(1, e.state.OldestBatch) }
 
-// Next returns the batch to send now with its content, or nil and the time of the next call. A batch that was
-// begun is returned first, always with the same content. The state of a new batch is added to b, which must
-// be durable before anything of the batch is sent. last is the last number of the ledger; flush makes a batch
-// of any number of records, without waiting.
+// Next returns the batch to send now and its content. If there is none to send yet, it returns nil and the time at which
+// to call it again. A batch that was planned but not confirmed is returned before a new one, always with the same content.
+// The state of a new batch is added to b, which must be durable before anything of the batch is sent. last is the last
+// durable record number; flush skips the retry delay and the wait for more records.
 func (e *Export) Next(now time.Time, last uint64, flush bool, b WriteBatch) (*Delivery, []byte, time.Time, error) {
-	if now.Before(e.nextTry) && !flush {
-		return nil, nil, e.nextTry, nil
+	if now.Before(e.nextAttempt) && !flush {
+		return nil, nil, e.nextAttempt, nil
 	}
 	if e.current == nil {
 		waiting := last - min(last, e.state.LastPlanned)
@@ -196,7 +196,7 @@
 	return buf.Bytes(), nil
 }
 
-// rereadRecords reads the records of a batch that was begun before. Its content must not have changed.
+// rereadRecords reads the records of a batch that was planned earlier. Its content must not have changed.
 func (e *Export) rereadRecords() ([]byte, error) {
 	planned := *e.current
 	content, err := e.readRecords()
@@ -211,9 +211,10 @@
 	return content, nil
 }
 
-// MarkPlaced records where the target stores the batch, before its content is sent.
-func (e *Export) MarkPlaced(where string, b WriteBatch) {
-	e.current.Location = where
+// MarkPlaced records the batch's location at the target, before its content is sent; an empty one means that the batch has
+// to be prepared again.
+func (e *Export) MarkPlaced(location string, b WriteBatch) {
+	e.current.Location = location
 	e.save(b)
 }
 
@@ -221,17 +222,17 @@
 func (e *Export) MarkFailed(now time.Time, b WriteBatch) {
 	e.Failures++
 	e.retryDelay = min(max(2*e.retryDelay, e.settings.MinRetryDelay), e.settings.MaxRetryDelay)
-	e.nextTry = now.Add(e.retryDelay)
+	e.nextAttempt = now.Add(e.retryDelay)
 	if e.current != nil {
 		e.current.Attempts++
 		e.save(b)
 	}
 }
 
-// MarkConfirmed records that the target holds the whole batch.
+// MarkConfirmed records that the target holds the whole batch, and deletes the oldest state beyond KeepBatches.
 func (e *Export) MarkConfirmed(now time.Time, b WriteBatch) {
 	e.current.Stage, e.current.ConfirmedAt = Confirmed, now
-	e.state.LastConfirmed, e.retryDelay, e.nextTry = e.current.To, 0, time.Time{}
+	e.state.LastConfirmed, e.retryDelay, e.nextAttempt = e.current.To, 0, time.Time{}
 	if old := e.OldestBatch(); e.settings.KeepBatches > 0 && e.state.BatchCount >= old+uint64(e.settings.KeepBatches) {
 		b.Delete(e.settings.stateKey(old))
 		e.state.OldestBatch = old + 1
@@ -240,8 +241,8 @@
 	e.current = nil
 }
 
-// ReadRange reads the records with numbers from from to to. missing are the numbers whose record does not
-// exist or cannot be read.
+// ReadRange reads the records with the numbers from to to, inclusive. missing are the numbers whose record does not exist
+// or cannot be read; err is always nil.
 func ReadRange(store Store, from, to uint64) (records []*Record, missing []uint64, err error) {
 	for n := from; n <= to; n++ {
 		r, found, err := ReadRecord(store, n)
--- a/internal/cdr/files.go
+++ b/internal/cdr/files.go
@@ -31,38 +31,38 @@
 	return "", fmt.Errorf("unknown format %q, must be csv or parquet", s)
 }
 
-// row is the exported form of a record. The order and the names of its columns must not change.
+// row is the exported form of a record. The order and the names of its columns, which are in the tags, must not change.
 type row struct {
-	ID       string  `parquet:"id"`
-	Version  int32   `parquet:"version"`
-	End      string  `parquet:"end,dict"`
-	Cause    int32   `parquet:"cause"`
-	Known    string  `parquet:"known,dict"`
-	Class    string  `parquet:"class,dict"`
-	Tenant   string  `parquet:"tenant,dict"`
-	Called   string  `parquet:"called"`
-	Calling  string  `parquet:"calling"`
-	User     string  `parquet:"user,dict"`
-	Context  string  `parquet:"context,dict"`
-	Front    string  `parquet:"front,dict"`
-	Circuit  int32   `parquet:"circuit"`
-	Origin   int32   `parquet:"origin"`
-	Dest     int32   `parquet:"dest"`
-	Transit  bool    `parquet:"transit"`
-	Width    int32   `parquet:"width"`
-	Offered  string  `parquet:"offered"` // RFC 3339 in UTC
-	Answered string  `parquet:"answered"`
-	Ended    string  `parquet:"ended"`
-	Seen     string  `parquet:"seen"`
-	SetUp    float64 `parquet:"setup_s"`
-	Length   float64 `parquet:"length_s"`
-	Stepped  float64 `parquet:"stepped_s"`
-	Route    string  `parquet:"route"` // exchange:outcome of each attempt
-	Tariff   string  `parquet:"tariff,dict"`
-	Amount   string  `parquet:"amount"` // exact decimal
-	Currency string  `parquet:"currency,dict"`
-	Billed   float64 `parquet:"billed_s"`
-	Note     string  `parquet:"note,dict"`
+	ID        string  `parquet:"id"`
+	Version   int32   `parquet:"version"`
+	End       string  `parquet:"end,dict"`
+	Cause     int32   `parquet:"cause"`
+	EndSource string  `parquet:"known,dict"`
+	Class     string  `parquet:"class,dict"`
+	Tenant    string  `parquet:"tenant,dict"`
+	Called    string  `parquet:"called"`
+	Calling   string  `parquet:"calling"`
+	User      string  `parquet:"user,dict"`
+	Context   string  `parquet:"context,dict"`
+	Front     string  `parquet:"front,dict"`
+	Circuit   int32   `parquet:"circuit"`
+	Origin    int32   `parquet:"origin"`
+	Dest      int32   `parquet:"dest"`
+	Transit   bool    `parquet:"transit"`
+	Width     int32   `parquet:"width"`
+	Offered   string  `parquet:"offered"` // RFC 3339 in UTC
+	Answered  string  `parquet:"answered"`
+	Ended     string  `parquet:"ended"`
+	LastSeen  string  `parquet:"seen"`
+	SetUp     float64 `parquet:"setup_s"`
+	Duration  float64 `parquet:"length_s"`
+	ClockStep float64 `parquet:"stepped_s"`
+	Route     string  `parquet:"route"` // exchange:outcome of each attempt, separated by spaces
+	Tariff    string  `parquet:"tariff,dict"`
+	Amount    string  `parquet:"amount"` // exact decimal
+	Currency  string  `parquet:"currency,dict"`
+	Billed    float64 `parquet:"billed_s"`
+	Note      string  `parquet:"note,dict"`
 }
 
 var columns = []string{"id", "version", "end", "cause", "known", "class", "tenant", "called", "calling", "user", "context",
@@ -92,11 +92,11 @@
 
 // fields returns the fields in the order of columns.
 func (r row) fields() []string {
-	n := func(v int32) string { return strconv.Itoa(int(v)) }
-	x := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
-	return []string{r.ID, n(r.Version), r.End, n(r.Cause), r.Known, r.Class, r.Tenant, r.Called, r.Calling, r.User, r.Context,
-		r.Front, n(r.Circuit), n(r.Origin), n(r.Dest), strconv.FormatBool(r.Transit), n(r.Width), r.Offered, r.Answered,
-		r.Ended, r.Seen, x(r.SetUp), x(r.Length), x(r.Stepped), r.Route, r.Tariff, r.Amount, r.Currency, x(r.Billed), r.Note}
+	itoa := func(v int32) string { return strconv.Itoa(int(v)) }
+	ftoa := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+	return []string{r.ID, itoa(r.Version), r.End, itoa(r.Cause), r.EndSource, r.Class, r.Tenant, r.Called, r.Calling, r.User, r.Context,
+		r.Front, itoa(r.Circuit), itoa(r.Origin), itoa(r.Dest), strconv.FormatBool(r.Transit), itoa(r.Width), r.Offered, r.Answered,
+		r.Ended, r.LastSeen, ftoa(r.SetUp), ftoa(r.Duration), ftoa(r.ClockStep), r.Route, r.Tariff, r.Amount, r.Currency, ftoa(r.Billed), r.Note}
 }
 
 // WriteFile writes records in a format. The same records give the same bytes.
--- a/internal/cdr/ledger.go
+++ b/internal/cdr/ledger.go
@@ -24,20 +24,21 @@
 // Rater rates calls.
 type Rater interface{ Rate(r *Record) Charge }
 
-// Keys in the store. Records are stored under consecutive numbers in the order in which they were written, so that
-// a missing record shows as a gap. An open-call entry stands for a call that was answered and has no record yet.
+// Keys in the store, and prefixes of keys. Records are stored under consecutive numbers in the order in which they were
+// written, so that a missing record shows as a gap. An open-call entry stands for a call that was answered and has no
+// record yet.
 const (
-	// prefixOpenCall and an ID give an open-call entry: the record as far as it is known.
+	// prefixOpenCall is followed by an ID. The value is the open-call entry: the record as far as it is known.
 	prefixOpenCall = 'b'
-	// prefixNumber and a number give a record.
+	// prefixNumber is followed by a record number. The value is the record.
 	prefixNumber = 'n'
-	// prefixID, an ID and a version give the number of a record.
+	// prefixID is followed by an ID and a version. The value is the record number.
 	prefixID = 'i'
-	// prefixIncarnation and an incarnation give its start and the last number before it.
+	// prefixIncarnation is followed by an incarnation. The value is its start time and the last record number before it.
 	prefixIncarnation = 'l'
-	// keyHeartbeat gives the current incarnation and when it was last known to run.
+	// keyHeartbeat holds the current incarnation and the time at which it was last known to run.
 	keyHeartbeat = "a"
-	// keyTrimmed gives the last number that was deleted after its export.
+	// keyTrimmed holds the last record number that was deleted after its export.
 	keyTrimmed = "t"
 )
 
@@ -55,15 +56,14 @@
 	return binary.BigEndian.AppendUint32([]byte{prefixIncarnation}, incarnation)
 }
 
-// Item is one thing to be written: the open-call entry of an answered call, or the record of an ended one.
+// Item is what is to be written about one call: its open-call entry when it is answered, or its record when it has ended.
 type Item struct {
-	Open   bool
+	Open   bool // Record is an open-call entry
 	Record Record
 }
 
-// Ledger decides what is written for each item. Its writing methods add their changes to a batch, which
-// counts only once it is durable. After a batch that failed, a new Ledger has to be opened. It is not safe
-// for concurrent use.
+// Ledger decides what is written for each item. Its writing methods add their changes to a batch, which the caller has to
+// commit. After a commit that failed, a new Ledger has to be opened. It is not safe for concurrent use.
 type Ledger struct {
 	store       Store
 	router      uint32
@@ -123,7 +123,7 @@
 // Incarnation returns the current incarnation.
 func (l *Ledger) Incarnation() uint32 { return l.incarnation }
 
-// LastNumber returns the last number assigned.
+// LastNumber returns the last record number assigned, 0 if none was.
 func (l *Ledger) LastNumber() uint64 { return l.lastNumber }
 
 // ID returns the ID of a call of the current incarnation, by its sequence number.
@@ -179,8 +179,9 @@
 }
 
 // Recover closes up to limit calls that stood when an earlier incarnation was killed. Each gets its record
-// and loses its open-call entry in the same batch, so that a crash in between closes none twice. It has to be
-// called, and its batch committed, until it returns 0. New calls can be taken meanwhile.
+// and loses its open-call entry in the same batch, so that a crash in between closes none twice. An entry whose call has a
+// record already is only deleted, and counted as closed. Recover has to be called, and its batch committed, until it
+// returns 0. New calls can be taken meanwhile.
 //
 // Open-call entries that cannot be decoded are passed to damaged and deleted; their record holds only the ID.
 func (l *Ledger) Recover(b WriteBatch, limit int, damaged func(id ID, err error)) (closed int, err error) {
@@ -297,9 +298,9 @@
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// Trim deletes up to limit records, in order of their numbers, up to a number and up to the first that ended
-// at or after a time. It returns how many numbers it deleted. Records that cannot be read are deleted too;
-// Verify reports them while they are stored.
+// Trim deletes records in the order of their numbers and returns how many numbers it deleted. It stops after limit numbers,
+// after the number upTo, and before the first record that ended at the time before or later. Records that cannot be read
+// are deleted too; Verify reports them while they are stored.
 func Trim(store Store, b WriteBatch, upTo uint64, before time.Time, limit int) (n int, err error) {
 	from, err := LastTrimmed(store)
 	if err != nil {
--- a/internal/cdr/rate.go
+++ b/internal/cdr/rate.go
@@ -19,14 +19,13 @@
 	NoteNoRate = "no rate of the tariff is for this call"
 )
 
-// maxSegments bounds the changes of rate within one call, so that a call of years, from a wrong clock, does
-// not take long to rate.
+// maxSegments is the highest number of parts with different rates in one call. It bounds the time to rate a call that
+// seems to last for years because the clock was wrong.
 const maxSegments = 10_000
 
-// Rate returns the charge of a call. Set-up fee, minimum and step are those in force at the answer. Each part
-// of the duration is charged at the rate in force during it; what minimum and step add is charged at the last
-// rate. A call that was never answered costs nothing. A call is unrated as a whole if no rate applies to some
-// part of it.
+// Rate returns the charge of a call. Set-up fee, minimum and step are those in force at the answer. Each part of the
+// duration is charged at the rate in force during it; the time that the minimum and the step add is charged at the last of
+// them. A call that was never answered costs nothing. If no rate applies to a part of a call, the whole call is unrated.
 func (t *Tariffs) Rate(r *Record) Charge {
 	if r.Answered.IsZero() {
 		v, _ := t.lookup(r, r.Offered)
@@ -73,10 +72,10 @@
 	return d
 }
 
-// addCharges adds the price of each part of a call to sum. If it cannot, it returns the note for the unrated
-// call.
-func (t *Tariffs) addCharges(sum *big.Rat, r *Record, bill time.Duration) (note string, ok bool) {
-	at, left := r.Answered, bill
+// addCharges adds the price of each part of a call to sum. billed is the billed duration, which may exceed that of the
+// call. If a part has no rate, ok is false and note says why the call is unrated.
+func (t *Tariffs) addCharges(sum *big.Rat, r *Record, billed time.Duration) (note string, ok bool) {
+	at, left := r.Answered, billed
 	length := r.Duration
 	for range maxSegments {
 		v, rate := t.lookup(r, at)
@@ -90,7 +89,7 @@
 		if until := t.nextChange(v, at).Sub(at); until < length {
 			part, length = min(until, left), length-until
 		} else {
-			length = 0 // the rest of the duration, and what minimum and step add
+			length = 0 // the last part: the rest of the call, and the time that the minimum and the step add
 		}
 		if rate.PerMinute != nil && !rate.Free && !rate.Emergency {
 			x := new(big.Rat).SetFrac64(int64(part), int64(time.Minute))
--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -73,12 +73,12 @@
 // UnmarshalText parses the name of an end.
 func (e *End) UnmarshalText(b []byte) error { return parseEnum(endNames, "end", b, (*uint8)(e)) }
 
-// EndSource is the source from which the end of a call is known. Its zero value is none.
+// EndSource is what ended a call. Its zero value is none.
 type EndSource uint8
 
 // Sources of a call's end.
 const (
-	// EndedByRouter is a final answer of the router.
+	// EndedByRouter is a final answer that the router gave itself.
 	EndedByRouter EndSource = iota + 1
 	// EndedByCaller is a release by the caller's side.
 	EndedByCaller
@@ -88,7 +88,7 @@
 	EndedByLoss
 	// EndedByTimer is a release by the watchdog.
 	EndedByTimer
-	// EndedByRecovery is a router that was killed during the call, which ended at an unknown time after LastSeen.
+	// EndedByRecovery means that the router was killed during the call, which ended at an unknown time after LastSeen.
 	EndedByRecovery
 )
 
@@ -112,7 +112,7 @@
 	return strconv.Itoa(i)
 }
 
-// parseEnum sets v to the enum value with a name. Errors name the kind of value.
+// parseEnum sets v to the enum value with the name b. kind is the name of the field, for errors.
 func parseEnum(names []string, kind string, b []byte, v *uint8) error {
 	for i, n := range names {
 		if n == string(b) && n != "" {
@@ -129,14 +129,14 @@
 	Tandem   bool          `json:"tandem,omitempty"`
 	Front    string        `json:"front,omitempty"` // empty if it was not sent
 	Circuit  int           `json:"circuit,omitempty"`
-	After    time.Duration `json:"after_ns"` // since the offer
+	After    time.Duration `json:"after_ns"` // time from the offer of the call to the set-up
 	Duration time.Duration `json:"took_ns"`
 	Outcome  string        `json:"outcome"`
 	Cause    uint8         `json:"cause,omitempty"`
 }
 
-// Record is the record of one call. Times of day are by the router's wall clock at that moment, durations by
-// its monotonic clock. If the wall clock was set during the call they disagree by ClockStep.
+// Record is the record of one call. Times of day are what the router's wall clock showed then, durations are by its
+// monotonic clock. If the wall clock was set during the call, they differ by ClockStep.
 type Record struct {
 	ID        ID            `json:"id"`
 	Version   uint16        `json:"version"` // 1, plus one for each time it was rated again
--- a/internal/cdr/report.go
+++ b/internal/cdr/report.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Filter selects records. Fields that are zero select all.
+// Filter selects records. A field that is zero does not restrict the selection.
 type Filter struct {
 	From, To       time.Time // time of the offer, excluding To
 	Class, Tenant  string
@@ -29,8 +29,8 @@
 		(!f.Unrated || !r.Charge.Rated()) && (f.ID == nil || r.ID == *f.ID)
 }
 
-// Each calls do for all selected records, in order of their numbers. Records that cannot be read are passed
-// to damaged.
+// Each calls do for all selected records, in the order of their numbers. Numbers whose record is missing or cannot be read
+// are passed to damaged. With NewestVersions, records whose index entry cannot be read are skipped.
 func (f *Filter) Each(store Store, damaged func(n uint64, err error), do func(n uint64, r *Record) error) error {
 	first, last, err := numberRange(store)
 	if err != nil {
@@ -71,8 +71,8 @@
 	Charge   string         `json:"charge"`
 	Currency string         `json:"currency,omitempty"`
 	Unrated  int            `json:"unrated"`
-	sum      *big.Rat
-	places   int
+	sum      *big.Rat       // of the rated calls' amounts
+	places   int            // most decimals of these amounts
 }
 
 // Report adds up records by day, class, tenant and currency. Days are local days of Zone.
@@ -81,7 +81,7 @@
 	lines map[[4]string]*Line
 }
 
-// Add counts a record. Only the newest version of each call may be added.
+// Add adds a record to its line. Only the newest version of each call may be added.
 func (p *Report) Add(r *Record) error {
 	if p.lines == nil {
 		p.lines = map[[4]string]*Line{}
--- a/internal/cdr/tariff.go
+++ b/internal/cdr/tariff.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Tariffs are all tariffs of a router. At any time the one that started last is in force.
+// Tariffs are all tariffs of a router. At any time, the one that started last is in force.
 type Tariffs struct {
 	Currency string
 	Places   int // decimals that charges are rounded to, half up
 	Zone     *time.Location
-	Versions []Tariff // by rising start
+	Versions []Tariff // sorted by From, earliest first
 }
 
 // Tariff is one version of the prices, in force from its start on.
@@ -23,7 +23,7 @@
 	Name    string
 	Version int
 	From    time.Time
-	Rates   []Rate // the first that applies counts
+	Rates   []Rate // the first one that applies to a call is used
 }
 
 // ID returns the name of the tariff in records.
@@ -33,7 +33,7 @@
 type Rate struct {
 	Classes, Tenants       []string // empty is all
 	Days                   []time.Weekday
-	StartMinute, EndMinute int      // minutes of the local day; To at or before From ends the next day; both 0 is all day
+	StartMinute, EndMinute int      // minutes of the local day; both 0 is all day, an EndMinute that is lower is on the next day
 	PerMinute              *big.Rat // per circuit
 	SetUp                  *big.Rat // once, per circuit
 	Minimum, Step          time.Duration
@@ -101,8 +101,8 @@
 		(len(r.Tenants) == 0 || slices.Contains(r.Tenants, rec.Tenant))
 }
 
-// inForce reports whether a rate is in force at a local time. The hours of a night after midnight belong to
-// the day on which the night began.
+// inForce reports whether a rate is in force at a local time. If its hours span midnight, those after midnight belong to
+// the day before.
 func (r *Rate) inForce(t time.Time) bool {
 	day, m := t.Weekday(), t.Hour()*60+t.Minute()
 	switch {
@@ -141,29 +141,29 @@
 	return nil, nil
 }
 
-// nextChange returns the first moment after when at which another rate may be in force: a tariff's start, or
-// one of the hours of its rates on this local day, or the next midnight.
+// nextChange returns the first time after when at which another rate may be in force: the start of a tariff, the start or
+// end of the hours of a rate of v on this local day, a change of the local clock, or the next midnight.
 func (t *Tariffs) nextChange(v *Tariff, when time.Time) time.Time {
 	local := when.In(t.Zone)
 	y, mo, d := local.Date()
 	next := time.Date(y, mo, d+1, 0, 0, 0, 0, t.Zone)
-	sooner := func(x time.Time) {
+	limitTo := func(x time.Time) {
 		if x.After(when) && x.Before(next) {
 			next = x
 		}
 	}
 	for i := range t.Versions {
-		sooner(t.Versions[i].From)
+		limitTo(t.Versions[i].From)
 	}
 	for i := range v.Rates {
 		for _, m := range [...]int{v.Rates[i].StartMinute, v.Rates[i].EndMinute} {
 			// time.Date gives one instant for an hour that occurs twice or not at all on this day. The clock
 			// change itself is added below.
-			sooner(time.Date(y, mo, d, m/60, m%60, 0, 0, t.Zone))
+			limitTo(time.Date(y, mo, d, m/60, m%60, 0, 0, t.Zone))
 		}
 	}
 	if _, end := local.ZoneBounds(); !end.IsZero() {
-		sooner(end) // the clocks change, so local hours jump
+		limitTo(end) // the clocks change, so local hours jump
 	}
 	return next
 }
--- a/internal/cdr/verify.go
+++ b/internal/cdr/verify.go
@@ -14,10 +14,10 @@
 	Last     uint64   `json:"last_number"`
 	Open     int      `json:"open_calls"` // open-call entries: standing calls, or calls that the next start closes
 	Unrated  int      `json:"unrated"`
-	Gaps     []uint64 `json:"gaps,omitempty"`    // numbers without a record
-	Damaged  []string `json:"damaged,omitempty"` // records that cannot be read
-	Doubled  []string `json:"doubled,omitempty"` // versions under two numbers, or in two exported files
-	Mismatch []string `json:"mismatch,omitempty"`
+	Gaps     []uint64 `json:"gaps,omitempty"`     // numbers without a record
+	Damaged  []string `json:"damaged,omitempty"`  // records that cannot be read
+	Doubled  []string `json:"doubled,omitempty"`  // versions that are stored under two numbers or are in two exported files
+	Mismatch []string `json:"mismatch,omitempty"` // contradictions between records, index, open-call entries and files
 	Batches  uint64   `json:"batches"`
 	Exported uint64   `json:"exported"` // records in complete files
 }
@@ -27,7 +27,7 @@
 	return len(a.Gaps)+len(a.Damaged)+len(a.Doubled)+len(a.Mismatch) == 0
 }
 
-// maxFindings bounds each list of findings of one audit.
+// maxFindings bounds each of the lists Gaps, Damaged and Mismatch of one audit.
 const maxFindings = 1000
 
 // addMismatch adds a formatted finding to Mismatch.
@@ -37,8 +37,8 @@
 	}
 }
 
-// Verify checks the whole store: numbers without gaps, each version of a call once and in order, and
-// open-call entries only for calls without a record.
+// Verify checks the whole store: the numbers have no gaps, each version of a call is stored once and in order, and only
+// calls without a record have an open-call entry.
 func Verify(store Store) (*Audit, error) {
 	a := &Audit{}
 	var err error
@@ -82,7 +82,8 @@
 	return a, err
 }
 
-// checkIndex checks the index entry of one record.
+// checkIndex checks the index entry of one record, and that it is stored after the version before it. The latter is checked
+// only if no records were trimmed, because that version may have been.
 func (a *Audit) checkIndex(store Store, seen map[string]uint64, r *Record, n uint64) {
 	name := fmt.Sprintf("%v/%d", r.ID, r.Version)
 	if before, twice := seen[name]; twice {
@@ -109,9 +110,9 @@
 	Read(name string) ([]byte, error)
 }
 
-// VerifyFiles checks the exported files of a router: batches without gaps, complete files, no version of a
-// call twice, and every record that the store holds of the exported numbers. With a nil store only the files
-// are checked.
+// VerifyFiles checks the exported files of a router: the batches have no gaps, the files are complete, no version of a call
+// is exported twice, and every record that the store holds of the exported numbers is in its file. With a nil store only
+// the files are checked.
 func (a *Audit) VerifyFiles(store Store, f Files, router uint32) error {
 	names, err := f.List()
 	if err != nil {
