--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -19,10 +19,10 @@
 type Target interface {
 	// Prepare prepares the target for a batch and returns the batch's location there. A batch that was prepared
 	// before has its location in the delivery.
-	Prepare(ctx context.Context, s *cdr.Delivery) (location string, err error)
+	Prepare(ctx context.Context, d *cdr.Delivery) (location string, err error)
 	// Send sends the content of a prepared batch and returns once the target has confirmed that it holds all of
 	// it.
-	Send(ctx context.Context, s *cdr.Delivery, content []byte) error
+	Send(ctx context.Context, d *cdr.Delivery, content []byte) error
 	Close() error
 }
 
@@ -41,10 +41,10 @@
 	lock io.Closer
 }
 
+// lockName is the name of the lock file in an export directory.
 const lockName = ".pipitring-export"
 
-// OpenDirectory locks a directory for one exporter and creates it if it does not exist. A second exporter
-// gets ErrLocked.
+// OpenDirectory creates a directory if it does not exist and locks it. A second exporter gets ErrLocked.
 func OpenDirectory(fs vfs.FS, dir string) (*Directory, error) {
 	if err := store.MkdirAllSync(fs, dir, 0o750); err != nil {
 		return nil, err
@@ -57,19 +57,19 @@
 }
 
 // Close unlocks the directory.
-func (d *Directory) Close() error { return d.lock.Close() }
+func (t *Directory) Close() error { return t.lock.Close() }
 
 // Prepare returns the path of the batch's file.
-func (d *Directory) Prepare(_ context.Context, s *cdr.Delivery) (string, error) {
-	return d.fs.PathJoin(d.dir, s.File), nil
+func (t *Directory) Prepare(_ context.Context, d *cdr.Delivery) (string, error) {
+	return t.fs.PathJoin(t.dir, d.File), nil
 }
 
 // Send writes the file and its manifest.
-func (d *Directory) Send(_ context.Context, s *cdr.Delivery, content []byte) error {
-	if err := store.WriteFileAtomic(d.fs, d.fs.PathJoin(d.dir, s.File), content); err != nil {
+func (t *Directory) Send(_ context.Context, d *cdr.Delivery, content []byte) error {
+	if err := store.WriteFileAtomic(t.fs, t.fs.PathJoin(t.dir, d.File), content); err != nil {
 		return err
 	}
-	return store.WriteFileAtomic(d.fs, d.fs.PathJoin(d.dir, cdr.ManifestName(s.Router, s.Batch)), s.Manifest.Encode())
+	return store.WriteFileAtomic(t.fs, t.fs.PathJoin(t.dir, cdr.ManifestName(d.Router, d.Batch)), d.Manifest.Encode())
 }
 
 // Files reads the files of an export directory.
@@ -91,36 +91,36 @@
 	return b, errors.Join(err, file.Close())
 }
 
-// Commit calls build with a batch and makes the changes in it durable.
+// Commit calls build with an empty batch and makes the changes that build adds to it durable.
 type Commit func(build func(b cdr.WriteBatch) error) error
 
-// SendNext performs the next step of an export: it sends one batch, or none if there is none to send. again
-// is the time of the next call. Each state change is durable before the next step, so that a crash at any
-// point repeats the same batch.
+// SendNext sends the next batch of an export, or none if there is none to send yet. nextCall is the time at which to call
+// it again. Each state change is durable before the next step, so that after a crash at any point the same batch is sent
+// again.
 func SendNext(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit Commit) (sent bool,
-	again time.Time, err error) {
-	var s *cdr.Delivery
+	nextCall time.Time, err error) {
+	var d *cdr.Delivery
 	var content []byte
 	err = commit(func(b cdr.WriteBatch) (err error) {
-		s, content, again, err = e.Next(now(), last, flush, b)
+		d, content, nextCall, err = e.Next(now(), last, flush, b)
 		return err
 	})
-	if err != nil || s == nil {
-		return false, again, err
+	if err != nil || d == nil {
+		return false, nextCall, err
 	}
-	if err := deliver(ctx, e, t, s, content, commit); err != nil {
-		failed := commit(func(b cdr.WriteBatch) error { e.MarkFailed(now(), b); return nil })
-		return false, now(), errors.Join(fmt.Errorf("batch %d: %w", s.Batch, err), failed)
+	if err := deliver(ctx, e, t, d, content, commit); err != nil {
+		markErr := commit(func(b cdr.WriteBatch) error { e.MarkFailed(now(), b); return nil })
+		return false, now(), errors.Join(fmt.Errorf("batch %d: %w", d.Batch, err), markErr)
 	}
 	return true, now(), commit(func(b cdr.WriteBatch) error { e.MarkConfirmed(now(), b); return nil })
 }
 
 // deliver prepares a batch if needed and sends it. If the target no longer knows the upload, it is prepared
 // and sent once more.
-func deliver(ctx context.Context, e *cdr.Export, t Target, s *cdr.Delivery, content []byte, commit Commit) error {
-	for again := 0; ; again++ {
-		if s.Location == "" {
-			location, err := t.Prepare(ctx, s)
+func deliver(ctx context.Context, e *cdr.Export, t Target, d *cdr.Delivery, content []byte, commit Commit) error {
+	for attempt := 0; ; attempt++ {
+		if d.Location == "" {
+			location, err := t.Prepare(ctx, d)
 			if err != nil {
 				return err
 			}
@@ -128,8 +128,8 @@
 				return err
 			}
 		}
-		err := t.Send(ctx, s, content)
-		if !errors.Is(err, ErrUnknownUpload) || again > 0 {
+		err := t.Send(ctx, d, content)
+		if !errors.Is(err, ErrUnknownUpload) || attempt > 0 {
 			return err
 		}
 		if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced("", b); return nil }); err != nil {
