--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -75,16 +75,16 @@
 	store          *store.Store
 	ledger         *cdr.Ledger // used by the writer's goroutine only, once that runs
 	writer         *store.Writer[cdr.Item]
-	lastBuilt      uint64        // last record number put into a batch; used by the writer's goroutine only
+	lastBatched    uint64        // last record number that was put into a batch; used by the writer's goroutine only
 	lastDurable    atomic.Uint64 // last record number that is durable
 	recoveredCalls int
 	recoveryTime   time.Duration
 
 	mu           sync.Mutex
-	diskFull     bool // state of the disk, for a writer that is created later
-	diskErr      error
+	diskFull     bool  // the disk is full; kept for a writer that is created later
+	diskErr      error // failure of the disk, for the same purpose
 	exports      []ExportStatus
-	flushSignals []chan struct{}
+	flushSignals []chan struct{} // one for each export; nil if it is disabled
 	cancel       context.CancelFunc
 	background   sync.WaitGroup
 }
@@ -131,7 +131,7 @@
 	}
 	r.recoveryTime = o.Now()
 	r.lastDurable.Store(r.ledger.LastNumber())
-	r.lastBuilt = r.ledger.LastNumber()
+	r.lastBatched = r.ledger.LastNumber()
 	w := store.NewWriter(r.store, store.WriterOptions[cdr.Item]{Gate: o.Gate, MaxBatch: max(1, o.MaxBatch),
 		BatchDelay: o.BatchDelay,
 		Build:      r.buildBatch, OnDurable: r.onDurable, OnIdle: r.onIdle, IdleInterval: o.HeartbeatInterval, Now: o.Now})
@@ -185,7 +185,7 @@
 	return r.store.Commit(b)
 }
 
-// onDiskFull passes on that the disk is full or has free space again.
+// onDiskFull tells the writer that the disk is full or has free space again, and logs it.
 func (r *Recorder) onDiskFull(full bool) {
 	r.mu.Lock()
 	r.diskFull = full
@@ -200,7 +200,7 @@
 	}
 }
 
-// onDiskFailure passes on that the disk has failed for good.
+// onDiskFailure tells the writer that the disk has failed for good, and logs it.
 func (r *Recorder) onDiskFailure(err error) {
 	r.mu.Lock()
 	r.diskErr = err
@@ -214,7 +214,7 @@
 // buildBatch writes items into a batch; it runs on the writer's goroutine.
 func (r *Recorder) buildBatch(b *store.Batch, items []cdr.Item) error {
 	r.ledger.Put(b, items)
-	r.lastBuilt = r.ledger.LastNumber()
+	r.lastBatched = r.ledger.LastNumber()
 	return nil
 }
 
@@ -223,7 +223,7 @@
 
 // onDurable handles a commit; it runs on the writer's goroutine.
 func (r *Recorder) onDurable(upTo uint64) {
-	r.lastDurable.Store(r.lastBuilt)
+	r.lastDurable.Store(r.lastBatched)
 	if r.opt.OnDurable != nil {
 		r.opt.OnDurable(upTo)
 	}
@@ -341,8 +341,7 @@
 	}
 }
 
-// export sends batches of export i until ctx ends. A signal on flushSignal makes it send all records that there are,
-// however few.
+// export sends batches of export i until ctx ends. A signal on flushSignal makes it send all durable records, however few.
 func (r *Recorder) export(ctx context.Context, i int, e *cdr.Export, t export.Target, flushSignal chan struct{}) {
 	defer func() { _ = t.Close() }()
 	timer := time.NewTimer(0)
@@ -378,7 +377,7 @@
 	}
 }
 
-// Flush makes the exports send all records that there are now, however few.
+// Flush makes the exports send all records that are durable now, however few, without waiting for a full batch.
 func (r *Recorder) Flush() {
 	for _, flush := range r.flushSignals {
 		select {
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -24,25 +24,25 @@
 
 // harness is a recorder whose wall clock the test sets.
 type harness struct {
-	t    *testing.T
-	opt  Options
-	rec  *Recorder
-	mu   sync.Mutex
-	wall time.Time
-	done uint64
-	more chan struct{}
+	t       *testing.T
+	opt     Options
+	rec     *Recorder
+	mu      sync.Mutex
+	wall    time.Time
+	durable uint64        // ticket up to which items are durable
+	commits chan struct{} // signalled when durable has changed
 }
 
 func newHarness(t *testing.T, fs vfs.FS) *harness {
-	h := &harness{t: t, wall: day, more: make(chan struct{}, 1)}
+	h := &harness{t: t, wall: day, commits: make(chan struct{}, 1)}
 	h.opt = Options{Dir: "records", FS: fs, Router: 3,
 		Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20}, MaxBatch: 64,
 		HeartbeatInterval: time.Hour, FullRetryInterval: time.Millisecond, OnDurable: func(upTo uint64) {
 			h.mu.Lock()
-			h.done = upTo
+			h.durable = upTo
 			h.mu.Unlock()
 			select {
-			case h.more <- struct{}{}:
+			case h.commits <- struct{}{}:
 			default:
 			}
 		}, Wall: func() time.Time {
@@ -53,7 +53,7 @@
 	return h
 }
 
-func (h *harness) set(wall time.Time) {
+func (h *harness) setWall(wall time.Time) {
 	h.mu.Lock()
 	h.wall = wall
 	h.mu.Unlock()
@@ -61,7 +61,7 @@
 
 func (h *harness) open() {
 	h.t.Helper()
-	h.done = 0
+	h.durable = 0
 	var err error
 	if h.rec, err = Open(h.opt); err != nil {
 		h.t.Fatal(err)
@@ -76,13 +76,13 @@
 	}
 	for limit := time.Now().Add(20 * time.Second); ; {
 		h.mu.Lock()
-		done := h.done
+		done := h.durable
 		h.mu.Unlock()
 		if done >= ticket {
 			return
 		}
 		select {
-		case <-h.more:
+		case <-h.commits:
 		case <-time.After(time.Until(limit)):
 			h.t.Fatal("not durable within 20 s")
 		}
@@ -119,16 +119,16 @@
 	for _, back := range []time.Duration{0, -2 * time.Hour} {
 		h := newHarness(t, crashfs.New())
 		h.open()
-		stood, ended := h.rec.ID(1), h.rec.ID(2)
+		standing, ended := h.rec.ID(1), h.rec.ID(2)
 		h.put(cdr.Item{Open: true, Record: h.record(1, 0, day)}, cdr.Item{Open: true, Record: h.record(2, 0, day)},
 			cdr.Item{Record: h.record(2, cdr.Answered, day)})
 		h.rec.Abort()
-		h.set(day.Add(time.Hour + back))
+		h.setWall(day.Add(time.Hour + back))
 		h.open()
 		if h.rec.Status().RecoveredCalls != 1 || h.rec.Status().Incarnation != 2 {
 			t.Errorf("%+v", h.rec.Status())
 		}
-		got := h.versions(stood)
+		got := h.versions(standing)
 		if len(got) != 1 || got[0].EndSource != cdr.EndedByRecovery || got[0].End != cdr.Answered ||
 			got[0].Duration != 0 || got[0].LastSeen != day {
 			t.Errorf("closed as %+v", got)
@@ -201,10 +201,10 @@
 // number, even if the exporter is killed between attempts.
 func TestTusExportWithFaults(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		faults standin.ReceiverFaults
-		forget bool // the receiver loses its uploads before the next attempt
-		again  int  // repeated complete batches that are allowed, as the receiver itself lost them
+		name        string
+		faults      standin.ReceiverFaults
+		loseUploads bool // the receiver loses its uploads before the next attempt
+		maxRepeats  int  // complete batches that may arrive twice, as the receiver itself lost them
 	}{
 		{"none", standin.ReceiverFaults{}, false, 0},
 		{"aborted at the start", standin.ReceiverFaults{Cuts: 3, CutAfter: 0}, false, 0},
@@ -236,7 +236,7 @@
 					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name,
 						e.BatchCount(), e.LastConfirmed())
 				}
-				if _, err := h.step(e, tus); err != nil && c.forget {
+				if _, err := h.step(e, tus); err != nil && c.loseUploads {
 					r.DropUploads()
 				}
 				if tries%2 == 1 { // the exporter is killed after every second attempt
@@ -245,9 +245,9 @@
 					}
 				}
 			}
-			got, again, bad := r.Batches()
-			if len(got) != 3 || again > c.again || len(bad) > 0 {
-				t.Errorf("%s, %s: %d batches, %d repeated, %v", c.name, format, len(got), again, bad)
+			got, repeated, bad := r.Batches()
+			if len(got) != 3 || repeated > c.maxRepeats || len(bad) > 0 {
+				t.Errorf("%s, %s: %d batches, %d repeated, %v", c.name, format, len(got), repeated, bad)
 			}
 			ids := map[string]bool{}
 			for key, batch := range got {
@@ -381,7 +381,7 @@
 			a, err := cdr.Verify(s)
 			if damage != "" {
 				salvaged++
-				// One chunk is lost, or two if the flip is in a length, but nothing behind them.
+				// One chunk is lost, or two if the flip is in a length, but nothing after them.
 				if a == nil || a.Records < calls-2 {
 					t.Errorf("%s, part %d: %s; left: %+v", name, k, damage, a)
 				}
