--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -7,7 +7,7 @@
 
 // Disk states, in the order of severity.
 const (
-	Healthy State = iota // items are written in time
+	Healthy State = iota // items are written in time and the queue is short
 	Slow                 // the oldest item has waited too long, or too many items wait
 	Full                 // the disk has no free space; waiting items are written once it has
 	Failed               // the disk has failed; nothing is written until the program restarts
@@ -43,7 +43,7 @@
 	stateSince time.Duration // when the current state began
 	state      State
 	Lost       uint64 // items lost because the queue was at its limit or the disk had failed
-	Overdue    uint64 // items on which the caller relied before they were durable
+	Overdue    uint64 // items that were relied on before they were durable
 }
 
 // NewGate returns a gate for a healthy disk.
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Admit reports whether n more items may be queued. If not, they are counted as lost.
+// Admit reports whether n more items may be queued, and counts them as waiting or, if not, as lost.
 func (g *Gate) Admit(n int) bool {
 	if g.failed || g.waiting+n > g.settings.MaxQueue {
 		g.Lost += uint64(n)
--- a/internal/store/retryfs.go
+++ b/internal/store/retryfs.go
@@ -16,11 +16,11 @@
 var ErrClosing = errors.New("store: closed while the disk was full")
 
 // retryFS retries operations that fail because the disk is full until there is free space, so that the database above never
-// gets this error, which would end it. A write that was partly done continues where it stopped.
+// sees this error, after which it could not continue. A partial write continues where it stopped.
 type retryFS struct {
 	vfs.FS
 	interval time.Duration   // between retries
-	onFull   func(full bool) // called when the first operation begins to wait and when the last one ends to
+	onFull   func(full bool) // called with true when an operation begins to wait and none did, and with false when none waits any more
 
 	mu         sync.Mutex
 	waitingOps int // operations that wait for free space
--- a/internal/store/salvage.go
+++ b/internal/store/salvage.go
@@ -15,10 +15,10 @@
 )
 
 // A crash may leave an incomplete chunk at the end of the write-ahead log, so the database takes the first chunk that cannot
-// be read for the end of the log. A bit flip in the middle of the last log would therefore silently lose everything behind
-// it. Each chunk holds how many bytes of the log were durable when it was written (pebble's "WAL sync format"): a chunk
-// behind the unreadable part that says that this part was durable proves damage. In that case the batches behind the damage
-// are applied to the store again, and the damaged log is kept beside the store.
+// be read for the end of the log. A bit flip in the middle of the last log would therefore silently lose everything after
+// it. Each chunk holds how many bytes of the log were durable when it was written (pebble's "WAL sync format"). If a chunk
+// after the unreadable part says that this part was durable, the log is damaged and not just incomplete. In that case the
+// batches after the damage are applied to the store again, and a copy of the damaged log is kept in the store's directory.
 const (
 	chunkHeaderSize = 19       // bytes: checksum 4, length 2, type 1, log number 4, durable offset 8
 	minChunkType    = 9        // type of a chunk that holds a full batch in the WAL sync format
@@ -36,10 +36,11 @@
 	kind    byte   // 0 full, 1 first, 2 middle, 3 last
 	durable uint64 // bytes of the log that were durable when the chunk was written
 	payload []byte
-	end     int // offset behind the chunk
+	end     int // offset of the byte after the chunk
 }
 
-// readChunk reads the chunk of a log at an offset; ok is false if there is no valid chunk.
+// readChunk reads the chunk of a log at an offset; ok is false if there is no valid chunk. Checksums are masked CRC-32C, as
+// in LevelDB's log format: rotated by 15 bits, plus a constant.
 func readChunk(log []byte, number uint32, at int) (c chunk, ok bool) {
 	if at+chunkHeaderSize > len(log) || at%logBlockSize+chunkHeaderSize > logBlockSize {
 		return c, false
@@ -59,13 +60,13 @@
 	return c, true
 }
 
-// findDamage looks for damage in a log. It returns the offset where it begins, -1 if there is none, and the batches behind
-// it that can be read.
-func findDamage(log []byte, number uint32) (bad int, batches [][]byte) {
-	bad = -1
-	proven := false
+// findDamage looks for damage in a log. It returns the offset at which it begins, or -1 if there is none, and the batches
+// after it that can be read.
+func findDamage(log []byte, number uint32) (damagedAt int, batches [][]byte) {
+	damagedAt = -1
+	isDamage := false
 	var joined []byte // payload of a batch in several chunks
-	open := false
+	inBatch := false
 	for at := 0; at < len(log); {
 		if rest := logBlockSize - at%logBlockSize; rest < chunkHeaderSize {
 			at += rest // padding: the rest of the block is too short for a chunk
@@ -73,37 +74,37 @@
 		}
 		c, ok := readChunk(log, number, at)
 		if !ok {
-			if bad < 0 {
-				bad = at
+			if damagedAt < 0 {
+				damagedAt = at
 			}
-			open = false
+			inBatch = false
 			at++ // search byte by byte, because a damaged length cannot be used
 			continue
 		}
 		at = c.end
-		if bad < 0 {
+		if damagedAt < 0 {
 			continue
 		}
-		proven = proven || c.durable > uint64(bad)
+		isDamage = isDamage || c.durable > uint64(damagedAt)
 		switch c.kind {
 		case 0:
 			batches = append(batches, c.payload)
 		case 1:
-			joined, open = append([]byte(nil), c.payload...), true
+			joined, inBatch = append([]byte(nil), c.payload...), true
 		default:
-			if !open {
+			if !inBatch {
 				continue // the first chunk of this batch is unreadable
 			}
 			joined = append(joined, c.payload...)
 			if c.kind == 3 {
-				batches, open = append(batches, joined), false
+				batches, inBatch = append(batches, joined), false
 			}
 		}
 	}
-	if !proven {
+	if !isDamage {
 		return -1, nil
 	}
-	return bad, batches
+	return damagedAt, batches
 }
 
 // readAll returns the content of a file.
@@ -163,11 +164,11 @@
 		if err != nil {
 			return err
 		}
-		bad, batches := findDamage(log, number)
-		if bad < 0 {
+		damagedAt, batches := findDamage(log, number)
+		if damagedAt < 0 {
 			continue
 		}
-		text := fmt.Sprintf("%s: damaged at byte %d of %d; %d batches behind it can be read", path, bad, len(log), len(batches))
+		text := fmt.Sprintf("%s: damaged at byte %d of %d; %d batches after it can be read", path, damagedAt, len(log), len(batches))
 		if readOnly {
 			return fmt.Errorf("%w: %s; opening the store for writing restores them", ErrDamaged, text)
 		}
@@ -175,7 +176,7 @@
 		if err := WriteFileAtomic(fs, fs.PathJoin(dir, salvagePrefix+name), log); err != nil {
 			return err
 		}
-		if err := WriteFileAtomic(fs, path, log[:bad]); err != nil {
+		if err := WriteFileAtomic(fs, path, log[:damagedAt]); err != nil {
 			return err
 		}
 	}
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// reapplyBatch applies an encoded batch, except for values of keys that exist.
+// reapplyBatch applies an encoded batch, but does not overwrite keys that exist.
 func (s *Store) reapplyBatch(repr []byte) error {
 	b := s.Batch()
 	r := batchrepr.Read(repr)
--- a/internal/store/salvage_test.go
+++ b/internal/store/salvage_test.go
@@ -23,7 +23,7 @@
 }
 
 // Padding of any length at the end of a block is not damage, nor is an incomplete chunk at the end of the log. A flipped bit
-// is damage if a chunk behind it says that it was durable.
+// is damage if a chunk after it says that it was durable.
 func TestFindDamage(t *testing.T) {
 	for rest := range 2 * chunkHeaderSize {
 		if rest >= chunkHeaderSize && rest < chunkHeaderSize+len("third") {
@@ -36,18 +36,18 @@
 		second := len(log)
 		log = appendChunk(log, 7, 0, uint64(second), []byte("third"))
 		log = appendChunk(log, 7, 0, uint64(len(log)), []byte("fourth"))
-		if bad, _ := findDamage(log, 7); bad >= 0 {
-			t.Errorf("%d bytes left in the block: damage at %d of %d", rest, bad, len(log))
+		if damagedAt, _ := findDamage(log, 7); damagedAt >= 0 {
+			t.Errorf("%d bytes left in the block: damage at %d of %d", rest, damagedAt, len(log))
 		}
 		log[first+chunkHeaderSize+5] ^= 4
-		bad, behind := findDamage(log, 7)
-		if bad != first || len(behind) != 2 || string(behind[0]) != "third" || string(behind[1]) != "fourth" {
-			t.Errorf("%d bytes left: damage at %d, want %d; %q behind it", rest, bad, first, behind)
+		damagedAt, after := findDamage(log, 7)
+		if damagedAt != first || len(after) != 2 || string(after[0]) != "third" || string(after[1]) != "fourth" {
+			t.Errorf("%d bytes left: damage at %d, want %d; %q after it", rest, damagedAt, first, after)
 		}
-		if bad, _ := findDamage(log[:second], 7); bad >= 0 {
-			t.Errorf("%d bytes left: an incomplete end is taken for damage at %d", rest, bad)
+		if damagedAt, _ := findDamage(log[:second], 7); damagedAt >= 0 {
+			t.Errorf("%d bytes left: an incomplete end is taken for damage at %d", rest, damagedAt)
 		}
-		if bad, _ := findDamage(log, 8); bad >= 0 {
+		if damagedAt, _ := findDamage(log, 8); damagedAt >= 0 {
 			t.Error("chunks of another log are accepted")
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -115,13 +115,13 @@
 		return nil, fmt.Errorf("%s: %w", o.Dir, err)
 	}
 	fs := vfs.FS(s.retryFS)
-	// Keys are small and many: replaying a long log at a restart costs more than flushing small memtables in service.
+	// Memtables are small, because with many small keys replaying a long log at a restart costs more than frequent flushes.
 	opt := &pebble.Options{FS: fs, Logger: pebbleLogger{s}, ReadOnly: o.ReadOnly, FormatMajorVersion: pebble.FormatNewest,
-		// Readers get damage as an error and continue with the rest; pebble's default handler ends the process.
+		// Reads of damaged data return an error and other reads work; pebble's default handler would end the process.
 		EventListener: &pebble.EventListener{DataCorruption: func(pebble.DataCorruptionInfo) {}},
 		MemTableSize:  cmp.Or(o.MemTableSize, 8<<20), CacheSize: cmp.Or(o.CacheSize, 32<<20)}
 	for i := range opt.Levels {
-		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that are read singly do not exist
+		opt.Levels[i].FilterPolicy = bloom.FilterPolicy(10) // most keys that Get reads do not exist
 	}
 	if s.db, err = openPebble(o.Dir, opt); err != nil {
 		return nil, fmt.Errorf("%s: %w", o.Dir, translateError(err))
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -86,7 +86,7 @@
 		return nil
 	}}}}
 	var crashed []*crashfs.FS
-	fs.SetHook(func(p crashfs.Change) error { crashed = append(crashed, fs.CrashClone(int(p.N%3)*50, p.N)); return nil })
+	fs.SetHook(func(c crashfs.Change) error { crashed = append(crashed, fs.CrashClone(int(c.N%3)*50, c.N)); return nil })
 	up := o
 	up.FS = fs
 	_ = open(t, up).Close()
@@ -108,16 +108,16 @@
 
 // harness is a writer on a file system whose faults the test sets.
 type harness struct {
-	fs   *crashfs.FS
-	s    *Store
-	w    *Writer[uint64]
-	mu   sync.Mutex
-	upTo uint64
-	more chan struct{}
+	fs      *crashfs.FS
+	s       *Store
+	w       *Writer[uint64]
+	mu      sync.Mutex
+	durable uint64
+	commits chan struct{}
 }
 
 func newHarness(t *testing.T, g GateSettings) *harness {
-	h := &harness{fs: crashfs.New(), more: make(chan struct{}, 1)}
+	h := &harness{fs: crashfs.New(), commits: make(chan struct{}, 1)}
 	startedAt := time.Now()
 	var w *Writer[uint64]
 	var mu sync.Mutex
@@ -142,10 +142,10 @@
 		},
 		OnDurable: func(upTo uint64) {
 			h.mu.Lock()
-			h.upTo = upTo
+			h.durable = upTo
 			h.mu.Unlock()
 			select {
-			case h.more <- struct{}{}:
+			case h.commits <- struct{}{}:
 			default:
 			}
 		}})
@@ -154,26 +154,26 @@
 	return h
 }
 
-// await waits until n items are durable.
-func (h *harness) await(t *testing.T, n uint64) {
+// awaitDurable waits until n items are durable.
+func (h *harness) awaitDurable(t *testing.T, n uint64) {
 	t.Helper()
 	for {
 		h.mu.Lock()
-		got := h.upTo
+		got := h.durable
 		h.mu.Unlock()
 		if got >= n {
 			return
 		}
 		select {
-		case <-h.more:
+		case <-h.commits:
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%d of %d durable after 20 s", got, n)
 		}
 	}
 }
 
-// state waits until the disk's state is want, and returns the status.
-func (h *harness) state(t *testing.T, want State) Status {
+// awaitState waits until the disk's state is want, and returns the status.
+func (h *harness) awaitState(t *testing.T, want State) Status {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if st := h.w.Status(); st.State == want {
@@ -189,9 +189,9 @@
 func TestDiskTemporarilyFull(t *testing.T) {
 	h := newHarness(t, GateSettings{OnFull: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	h.w.Submit(1, 2, 3)
-	h.await(t, 3)
-	h.fs.SetHook(func(p crashfs.Change) error {
-		if p.Op == "write" || p.Op == "create" {
+	h.awaitDurable(t, 3)
+	h.fs.SetHook(func(c crashfs.Change) error {
+		if c.Op == "write" || c.Op == "create" {
 			return syscall.ENOSPC
 		}
 		return nil
@@ -201,12 +201,12 @@
 			t.Fatalf("item %d is not accepted", i)
 		}
 	}
-	if st := h.state(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
+	if st := h.awaitState(t, Full); st.Accepting || st.Waiting != 497 || st.Lost != 0 {
 		t.Errorf("full: %+v", st)
 	}
 	h.fs.SetHook(nil)
-	h.await(t, 500)
-	if st := h.state(t, Healthy); !st.Accepting || st.Waiting != 0 {
+	h.awaitDurable(t, 500)
+	if st := h.awaitState(t, Healthy); !st.Accepting || st.Waiting != 0 {
 		t.Errorf("free space again: %+v", st)
 	}
 	if err := h.w.Close(); err != nil {
@@ -224,8 +224,8 @@
 // Items beyond the limit of the queue must be lost and counted.
 func TestQueueBound(t *testing.T) {
 	h := newHarness(t, GateSettings{OnSlow: RejectCalls, OnFull: AcceptCalls, SlowAfter: time.Hour, MaxQueue: 10})
-	h.fs.SetHook(func(p crashfs.Change) error {
-		if p.Op == "write" {
+	h.fs.SetHook(func(c crashfs.Change) error {
+		if c.Op == "write" {
 			return syscall.ENOSPC
 		}
 		return nil
@@ -240,7 +240,7 @@
 		t.Errorf("%d items accepted, want 10; %+v", accepted, st)
 	}
 	h.fs.SetHook(nil)
-	h.await(t, 10)
+	h.awaitDurable(t, 10)
 	_ = h.w.Close()
 	_ = h.s.Close()
 }
@@ -249,15 +249,15 @@
 func TestDiskFails(t *testing.T) {
 	h := newHarness(t, GateSettings{OnFailed: RejectCalls, SlowAfter: time.Hour, MaxQueue: 1000})
 	h.w.Submit(1)
-	h.await(t, 1)
-	h.fs.SetHook(func(p crashfs.Change) error {
-		if p.Op == "sync" {
+	h.awaitDurable(t, 1)
+	h.fs.SetHook(func(c crashfs.Change) error {
+		if c.Op == "sync" {
 			return syscall.EIO
 		}
 		return nil
 	})
 	h.w.Submit(2)
-	if st := h.state(t, Failed); st.Accepting {
+	if st := h.awaitState(t, Failed); st.Accepting {
 		t.Errorf("%+v", st)
 	}
 	if _, ok := h.w.Submit(3); ok {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -33,8 +33,8 @@
 	gate          *Gate
 	queue         []T
 	queuedAt      []time.Duration // when each item of queue was submitted
-	accepted      uint64          // items queued since the start
-	inFlight      int             // items in the current commit, which are no longer in queue
+	queuedTotal   uint64          // items queued since the start
+	inFlight      int             // items in the current commit; they are no longer in queue
 	inFlightSince time.Duration   // when the oldest of them was submitted
 	commits       uint64          // commits done
 	wake          chan struct{}
@@ -58,15 +58,15 @@
 	defer w.mu.Unlock()
 	w.updateGate(now)
 	if w.closed || !w.gate.Admit(len(items)) {
-		return w.accepted, false
+		return w.queuedTotal, false
 	}
 	w.queue = append(w.queue, items...)
 	for range items {
 		w.queuedAt = append(w.queuedAt, now)
 	}
-	w.accepted += uint64(len(items))
+	w.queuedTotal += uint64(len(items))
 	w.signal()
-	return w.accepted, true
+	return w.queuedTotal, true
 }
 
 // signal wakes the writer's goroutine.
@@ -96,14 +96,14 @@
 	w.mu.Unlock()
 }
 
-// SetFailed records that the disk has failed.
+// SetFailed records that the disk has failed for good.
 func (w *Writer[T]) SetFailed(error) {
 	w.mu.Lock()
 	w.gate.SetFailed(w.opt.Now())
 	w.mu.Unlock()
 }
 
-// AddOverdue counts n items on which the caller relied before they were durable.
+// AddOverdue counts n items that were relied on before they were durable.
 func (w *Writer[T]) AddOverdue(n int) {
 	w.mu.Lock()
 	w.gate.Overdue += uint64(n)
@@ -116,7 +116,7 @@
 	Accepting bool   // new calls are accepted
 	Waiting   int    // items that a crash now would lose
 	Lost      uint64 // items lost because the queue was at its limit or the disk had failed
-	Overdue   uint64 // items on which the caller relied before they were durable
+	Overdue   uint64 // items that were relied on before they were durable
 	Accepted  uint64 // items queued since the start
 	Commits   uint64 // commits done
 	Err       error  // error that ended the writer, if any
@@ -128,7 +128,7 @@
 	defer w.mu.Unlock()
 	w.updateGate(w.opt.Now())
 	state, _ := w.gate.State()
-	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.accepted, w.commits, w.err}
+	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.queuedTotal, w.commits, w.err}
 }
 
 // Close commits the waiting items, ends the writer and returns the error that ended it before, if any.
