--- a/internal/crashfs/crashfs.go
+++ b/internal/crashfs/crashfs.go
@@ -39,7 +39,7 @@
 	f.mu.Unlock()
 }
 
-// ChangeCount returns the number of changes so far, including those that the hook failed.
+// ChangeCount returns the number of changes so far, including those for which the hook returned an error.
 func (f *FS) ChangeCount() uint64 { return f.changes.Load() }
 
 // CrashClone returns a copy of the disk as a power cut now could leave it: all synced data, and each part of the unsynced data
@@ -63,14 +63,14 @@
 
 // beforeChange counts a change and calls the hook.
 func (f *FS) beforeChange(op, name string) error {
-	p := Change{f.changes.Add(1), op, name}
+	c := Change{f.changes.Add(1), op, name}
 	f.mu.RLock()
 	h := f.hook
 	f.mu.RUnlock()
 	if h == nil {
 		return nil
 	}
-	return h(p)
+	return h(c)
 }
 
 // Unwrap returns the underlying file system.
