--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -39,10 +39,11 @@
 	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// Bars draws a bar chart with one group of bars per label and one bar per series in each group.
-func Bars(file, title, y string, labels []string, series []Series) error {
+// Bars draws a bar chart with one group of bars per label and one bar per series in each group. All bars together are about
+// 220 points wide, but each is at least 2.
+func Bars(file, title, yLabel string, labels []string, series []Series) error {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = title, y
+	p.Title.Text, p.Y.Label.Text = title, yLabel
 	p.Legend.Top = true
 	width := vg.Points(max(2, 220/float64(max(1, len(labels)*len(series)))))
 	for i, s := range series {
