--- a/internal/cdr/codec.go
+++ b/internal/cdr/codec.go
@@ -62,6 +62,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
 }
 
+// encode appends the ID in idSize bytes, which sort as the IDs do.
 func (id ID) encode(b []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, id.Router)
 	b = binary.BigEndian.AppendUint32(b, id.Incarnation)
@@ -70,6 +71,7 @@
 
 const idSize = 16 // bytes of an encoded ID
 
+// decodeID decodes an ID from the first idSize bytes of b.
 func decodeID(b []byte) ID {
 	return ID{binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:]), binary.BigEndian.Uint64(b[8:])}
 }
@@ -81,6 +83,7 @@
 	return 0
 }
 
+// appendString appends the length of a string as a varint, then the string.
 func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
@@ -88,6 +91,7 @@
 // unknownTime is the encoding of the zero time, which stands for an unknown time.
 const unknownTime = math.MinInt64
 
+// appendTime appends a time as nanoseconds since 1970, as a varint.
 func appendTime(b []byte, t time.Time) []byte {
 	if t.IsZero() {
 		return binary.AppendVarint(b, unknownTime)
@@ -101,6 +105,7 @@
 	malformed bool
 }
 
+// take returns the next n bytes, or nil if there are fewer.
 func (r *fieldReader) take(n int) []byte {
 	if r.malformed || n < 0 || n > len(r.b) {
 		r.malformed = true
--- a/internal/cdr/export.go
+++ b/internal/cdr/export.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// prefixExport begins the keys of export state: 'x', the target's name, a zero byte and the batch's number.
-// Number 0 is the state of the target itself.
+// prefixExport begins the keys of export state: 'x', the target's name, a zero byte and the batch's number. Number 0 is the
+// state of the target itself.
 const prefixExport = 'x'
 
 // Stage is the progress of a batch at its target.
@@ -69,6 +69,7 @@
 	Failures     uint64    // failed attempts since OpenExport
 }
 
+// stateKey returns the key of the state of a batch; batch 0 stands for the target itself.
 func (s *ExportSettings) stateKey(batch uint64) []byte {
 	key := append([]byte{prefixExport}, s.Target...)
 	return binary.BigEndian.AppendUint64(append(key, 0), batch)
--- a/internal/cdr/ledger.go
+++ b/internal/cdr/ledger.go
@@ -50,8 +50,10 @@
 	return binary.BigEndian.AppendUint16(id.encode([]byte{prefixID}), version)
 }
 
+// openCallKey returns the key of a call's open-call entry.
 func openCallKey(id ID) []byte { return id.encode([]byte{prefixOpenCall}) }
 
+// incarnationKey returns the key of the start of an incarnation.
 func incarnationKey(incarnation uint32) []byte {
 	return binary.BigEndian.AppendUint32([]byte{prefixIncarnation}, incarnation)
 }
@@ -225,6 +227,7 @@
 	return closed, err
 }
 
+// errLimitReached ends the scan of Recover.
 var errLimitReached = errors.New("enough")
 
 // closeRecovered turns an open-call entry into the record of a call whose router was killed: the call stood
--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -19,6 +19,7 @@
 	Call        uint64 `json:"call"`
 }
 
+// String returns router, incarnation and call, joined by hyphens.
 func (id ID) String() string { return fmt.Sprintf("%d-%d-%d", id.Router, id.Incarnation, id.Call) }
 
 // ParseID parses the form that String returns.
@@ -65,6 +66,7 @@
 
 var endNames = []string{"", "stood", "cut", "refused", "failed", "left"}
 
+// String returns the name of the end, as in records and metrics.
 func (e End) String() string { return enumName(endNames, int(e)) }
 
 // MarshalText returns the name of the end.
@@ -94,6 +96,7 @@
 
 var endSourceNames = []string{"", "router", "caller", "far end", "loss", "timer", "recovery"}
 
+// String returns the name of the source, as in records.
 func (s EndSource) String() string { return enumName(endSourceNames, int(s)) }
 
 // MarshalText returns the name of the source.
