--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// checkRouter validates the [router] table. The number of routers defaults to that of the exchanges.
 func (s *Settings) checkRouter(d *tomlbind.Doc) {
 	r := &s.Router
 	if !r.Listen.IsValid() {
@@ -61,6 +62,7 @@
 	requirePositive(d, "router.drain_limit", r.DrainLimit)
 }
 
+// checkRules validates the [rules] table.
 func (s *Settings) checkRules(d *tomlbind.Doc) {
 	r := &s.Rules
 	if r.ReleaseWait < 0 {
@@ -89,6 +91,7 @@
 	}
 }
 
+// checkExchanges validates the [[exchange]] tables, collects the zones and adds the prefixes to the dial plan.
 func (s *Settings) checkExchanges(d *tomlbind.Doc) {
 	seen, zones, foundOwn := map[int]bool{}, map[string]bool{}, false
 	for i, x := range s.Exchange {
@@ -118,6 +121,7 @@
 	}
 }
 
+// checkClasses validates the [[class]] tables, fills in their defaults and adds them to the dial plan.
 func (s *Settings) checkClasses(d *tomlbind.Doc) {
 	if len(s.Class) == 0 {
 		d.Report("class", "at least one [[class]] is required")
@@ -164,6 +168,7 @@
 	}
 }
 
+// checkTenants validates the [[tenant]] tables and adds them to the dial plan.
 func (s *Settings) checkTenants(d *tomlbind.Doc) {
 	seen := map[string]bool{}
 	for i, t := range s.Tenant {
@@ -199,6 +204,7 @@
 	}
 }
 
+// checkGroups validates the [[group]] tables and collects the group sizes.
 func (s *Settings) checkGroups(d *tomlbind.Doc) {
 	known := map[int]bool{}
 	for _, x := range s.Exchange {
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -59,6 +59,7 @@
 		SlowAfter: 2 * time.Second, MaxQueue: 65536, MaxBatch: 4096, HeartbeatInterval: time.Second, Retention: 30 * 24 * time.Hour}
 }
 
+// equal reports whether two [records] tables are equal.
 func (r *Records) equal(o *Records) bool { return reflect.DeepEqual(r, o) }
 
 // policies maps the values of on_slow, on_full and on_failed to those of the store.
@@ -70,6 +71,8 @@
 		SlowAfter: r.SlowAfter, MaxQueue: r.MaxQueue}
 }
 
+// checkRecords validates the [records] table and loads the tariffs. Without a directory, only exports and tariffs are
+// problems.
 func (s *Settings) checkRecords(d *tomlbind.Doc) {
 	r := &s.Records
 	if r.Dir == "" {
@@ -123,6 +126,7 @@
 	s.Tariffs = t
 }
 
+// checkExports validates the [[records.export]] tables and fills in their defaults.
 func (s *Settings) checkExports(d *tomlbind.Doc) {
 	names, targets := map[string]bool{}, map[string]bool{}
 	for i := range s.Records.Export {
