--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -38,6 +38,7 @@
 	Entries []Entry
 }
 
+// sort sorts the entries by ID.
 func (l *List) sort() {
 	slices.SortFunc(l.Entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
