--- a/internal/store/retryfs.go
+++ b/internal/store/retryfs.go
@@ -27,6 +27,7 @@
 	closed     bool
 }
 
+// newRetryFS returns a file system that retries operations on fs at an interval while the disk is full.
 func newRetryFS(fs vfs.FS, interval time.Duration, onFull func(bool)) *retryFS {
 	return &retryFS{FS: fs, interval: interval, onFull: onFull}
 }
@@ -77,6 +78,7 @@
 	}
 }
 
+// Create retries while the disk is full. It makes the directory entry of a manifest durable.
 func (r *retryFS) Create(name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
 	err = r.retryWhileFull(func() error { f, err = r.FS.Create(name, c); return err })
 	if err == nil && strings.HasPrefix(r.PathBase(name), "MANIFEST-") {
@@ -116,24 +118,29 @@
 	return nil
 }
 
+// OpenReadWrite retries while the disk is full.
 func (r *retryFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (f vfs.File, err error) {
 	err = r.retryWhileFull(func() error { f, err = r.FS.OpenReadWrite(name, c, o...); return err })
 	return r.wrapFile(f), err
 }
 
+// ReuseForWrite retries while the disk is full.
 func (r *retryFS) ReuseForWrite(old, name string, c vfs.DiskWriteCategory) (f vfs.File, err error) {
 	err = r.retryWhileFull(func() error { f, err = r.FS.ReuseForWrite(old, name, c); return err })
 	return r.wrapFile(f), err
 }
 
+// Link retries while the disk is full.
 func (r *retryFS) Link(old, name string) error {
 	return r.retryWhileFull(func() error { return r.FS.Link(old, name) })
 }
 
+// Rename retries while the disk is full.
 func (r *retryFS) Rename(old, name string) error {
 	return r.retryWhileFull(func() error { return r.FS.Rename(old, name) })
 }
 
+// MkdirAll retries while the disk is full.
 func (r *retryFS) MkdirAll(dir string, perm os.FileMode) error {
 	return r.retryWhileFull(func() error { return r.FS.MkdirAll(dir, perm) })
 }
@@ -155,6 +162,7 @@
 	fs *retryFS
 }
 
+// Write writes all of b, continuing a partial write while the disk is full.
 func (f *retryFile) Write(b []byte) (n int, err error) {
 	err = f.fs.retryWhileFull(func() error {
 		k, err := f.File.Write(b[n:])
@@ -167,6 +175,7 @@
 	return n, err
 }
 
+// WriteAt writes all of b at an offset, continuing a partial write while the disk is full.
 func (f *retryFile) WriteAt(b []byte, at int64) (n int, err error) {
 	err = f.fs.retryWhileFull(func() error {
 		k, err := f.File.WriteAt(b[n:], at+int64(n))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -79,6 +79,8 @@
 
 func (l pebbleLogger) Infof(string, ...any)  {}
 func (l pebbleLogger) Errorf(string, ...any) {}
+
+// Fatalf marks the store as failed and panics with a fatalError, which Open, Commit and Close recover.
 func (l pebbleLogger) Fatalf(format string, args ...any) {
 	l.s.markFailed(fmt.Errorf(format, args...))
 	panic(fatalError{fmt.Sprintf(format, args...)})
@@ -319,7 +321,7 @@
 		}
 	}()
 	if s.failed.Load() {
-		return nil // the database ended during a commit, and its Close would wait for that commit for ever
+		return nil // the database failed during a commit, and its Close would wait for that commit for ever
 	}
 	return s.db.Close()
 }
