--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -231,15 +231,15 @@
 				t.Fatal(err)
 			}
 			r.Set(c.faults)
-			for tries := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; tries++ {
-				if tries > 60 {
+			for attempts := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; attempts++ {
+				if attempts > 60 {
 					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name,
 						e.BatchCount(), e.LastConfirmed())
 				}
 				if _, err := h.step(e, tus); err != nil && c.loseUploads {
 					r.DropUploads()
 				}
-				if tries%2 == 1 { // the exporter is killed after every second attempt
+				if attempts%2 == 1 { // the exporter is killed after every second attempt
 					if e, err = cdr.OpenExport(h.rec.Store(), h.exportSettings(format)); err != nil {
 						t.Fatal(err)
 					}
