--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -101,7 +101,7 @@
 		case <-t.C:
 		}
 		st := rc.rec.DiskStatus()
-		// Do fails if the event loop has ended or is slow; in the latter case the next poll tries again.
+		// Do fails if the event loop has ended or is slow; if it is slow, the next poll tries again.
 		if st.Accepting != open && rc.s.Do(func(n *node.Node, _ time.Duration) { n.Core.SetSuspended(!st.Accepting) }) == nil {
 			open = st.Accepting
 		}
