--- a/internal/cdr/record.go
+++ b/internal/cdr/record.go
@@ -19,6 +19,7 @@
 	Call        uint64 `json:"call"`
 }
 
+// String returns router, incarnation and call, joined by hyphens.
 func (id ID) String() string { return fmt.Sprintf("%d-%d-%d", id.Router, id.Incarnation, id.Call) }
 
 // ParseID parses the form that String returns.
@@ -65,6 +66,7 @@
 
 var endNames = []string{"", "stood", "cut", "refused", "failed", "left"}
 
+// String returns the name of the end, as in records and metrics.
 func (e End) String() string { return enumName(endNames, int(e)) }
 
 // MarshalText returns the name of the end.
@@ -73,12 +75,12 @@
 // UnmarshalText parses the name of an end.
 func (e *End) UnmarshalText(b []byte) error { return parseEnum(endNames, "end", b, (*uint8)(e)) }
 
-// EndSource is the source from which the end of a call is known. Its zero value is none.
+// EndSource is what ended a call. Its zero value is none.
 type EndSource uint8
 
 // Sources of a call's end.
 const (
-	// EndedByRouter is a final answer of the router.
+	// EndedByRouter is a final answer that the router gave itself.
 	EndedByRouter EndSource = iota + 1
 	// EndedByCaller is a release by the caller's side.
 	EndedByCaller
@@ -88,12 +90,13 @@
 	EndedByLoss
 	// EndedByTimer is a release by the watchdog.
 	EndedByTimer
-	// EndedByRecovery is a router that was killed during the call, which ended at an unknown time after LastSeen.
+	// EndedByRecovery means that the router was killed during the call, which ended at an unknown time after LastSeen.
 	EndedByRecovery
 )
 
 var endSourceNames = []string{"", "router", "caller", "far end", "loss", "timer", "recovery"}
 
+// String returns the name of the source, as in records.
 func (s EndSource) String() string { return enumName(endSourceNames, int(s)) }
 
 // MarshalText returns the name of the source.
@@ -112,7 +115,7 @@
 	return strconv.Itoa(i)
 }
 
-// parseEnum sets v to the enum value with a name. Errors name the kind of value.
+// parseEnum sets v to the enum value with the name b. kind is the name of the field, for errors.
 func parseEnum(names []string, kind string, b []byte, v *uint8) error {
 	for i, n := range names {
 		if n == string(b) && n != "" {
@@ -129,14 +132,14 @@
 	Tandem   bool          `json:"tandem,omitempty"`
 	Front    string        `json:"front,omitempty"` // empty if it was not sent
 	Circuit  int           `json:"circuit,omitempty"`
-	After    time.Duration `json:"after_ns"` // since the offer
+	After    time.Duration `json:"after_ns"` // time from the offer of the call to the set-up
 	Duration time.Duration `json:"took_ns"`
 	Outcome  string        `json:"outcome"`
 	Cause    uint8         `json:"cause,omitempty"`
 }
 
-// Record is the record of one call. Times of day are by the router's wall clock at that moment, durations by
-// its monotonic clock. If the wall clock was set during the call they disagree by ClockStep.
+// Record is the record of one call. Times of day are what the router's wall clock showed then, durations are by its
+// monotonic clock. If the wall clock was set during the call, they differ by ClockStep.
 type Record struct {
 	ID        ID            `json:"id"`
 	Version   uint16        `json:"version"` // 1, plus one for each time it was rated again
