--- a/cmd/pipitring/day.go
+++ b/cmd/pipitring/day.go
@@ -24,9 +24,9 @@
 	var file, front string
 	c := &cobra.Command{Use: "day [SCRIPT]", Args: cobra.MaximumNArgs(1),
 		Short: "Run a fleet on loopback through a scripted day of faults and check the rules from its capture",
-		Long:  "Without SCRIPT the built-in day is run. Kinds of fault:\n\n  " + strings.Join(lab.KindNames(), "\n  "),
+		Long:  "Without SCRIPT the built-in day is run. Kinds of fault:\n\n  " + strings.Join(lab.FaultKindHelp(), "\n  "),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script, err := lab.BadDay()
+			script, err := lab.BuiltInScript()
 			if len(args) > 0 {
 				script, err = lab.LoadScript(args[0])
 			}
@@ -48,7 +48,7 @@
 					return err
 				}
 			}
-			res, err := lab.Day(cmd.Context(), script, o)
+			res, err := lab.RunDay(cmd.Context(), script, o)
 			if err != nil {
 				return err
 			}
@@ -72,7 +72,7 @@
 
 // virtualDay runs a script on the virtual clock.
 func virtualDay(ctx context.Context, script *lab.Script, asJSON bool) error {
-	res, err := lab.Virtual(ctx, script, lab.VirtualOptions{Drift: 0.01})
+	res, err := lab.RunVirtual(ctx, script, lab.VirtualOptions{Drift: 0.01})
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 		err = printJSON(res)
 	} else {
 		printDay(os.Stdout, &res.DayResult)
-		fmt.Printf("virtual: %v in %.2f s, %d steps, trace %016x\n", res.Virtual, res.WallSeconds, res.Steps, res.Trace)
+		fmt.Printf("virtual: %v in %.2f s, %d steps, trace %016x\n", res.VirtualTime, res.WallSeconds, res.Steps, res.Trace)
 	}
 	if err == nil && !res.Good() {
 		err = errCheckFailed
@@ -107,15 +107,15 @@
 		fmt.Fprintf(w, " %d: %d", c, r.Causes[c])
 	}
 	fmt.Fprintf(w, "\nremaining at the end: %d calls, %d legs, %d dialogs, %d circuits; switches collapsed: %d\n", r.LeftOver.Calls,
-		r.LeftOver.Legs, r.LeftOver.Dialogs, r.LeftOver.Circuits, r.SwitchFell)
+		r.LeftOver.Legs, r.LeftOver.Dialogs, r.LeftOver.Circuits, r.SwitchCollapses)
 	k := &r.Records
 	fmt.Fprintf(w, "records: %d stored (%d closed by recovery, %d unrated); of %d tries %d without a record, %d with two, %d with a wrong end\n", k.Records,
-		k.Recovered, k.Unrated, k.Looked, k.Missing, k.Doubled, k.Wrong)
-	for _, f := range k.Found[:min(20, len(k.Found))] {
+		k.Recovered, k.Unrated, k.TriesChecked, k.Missing, k.Duplicated, k.Wrong)
+	for _, f := range k.Problems[:min(20, len(k.Problems))] {
 		fmt.Fprintln(w, " ", f)
 	}
-	fmt.Fprintf(w, "rule violations: %d; overdue answers %d, faults %d, malformed frames %d\n", r.RulesBroken, r.Overdue, r.Faults, r.Malformed)
-	for _, b := range r.Broken[:min(20, len(r.Broken))] {
+	fmt.Fprintf(w, "rule violations: %d; overdue answers %d, faults %d, malformed frames %d\n", r.ViolationCount, r.Overdue, r.ActionFaults, r.Malformed)
+	for _, b := range r.Violations[:min(20, len(r.Violations))] {
 		fmt.Fprintln(w, " ", b)
 	}
 }
@@ -151,12 +151,12 @@
 				l := &rules.Ladder{Call: call, W: os.Stdout}
 				return capture.Read(f, func(p capture.Packet) error { l.Packet(p); return nil })
 			}
-			rep, err := lab.Judge(f)
+			rep, err := lab.CheckCapture(f)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				err = printJSON(lab.Summary(rep))
+				err = printJSON(lab.Summarize(rep))
 			} else {
 				printOutcomes(os.Stdout, rep.Outcomes)
 				fmt.Printf("%d datagrams, %d malformed; rule violations: %d\n", rep.Datagrams, rep.Malformed, len(rep.Violations))
--- a/cmd/pipitring/lab.go
+++ b/cmd/pipitring/lab.go
@@ -25,10 +25,10 @@
 	c := &cobra.Command{Use: "calls", Args: cobra.NoArgs,
 		Short: "Measure the calls per second of one router against a bare gnet echo, and the delay it adds",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Step <= 0 || o.Step > time.Minute {
-				return fmt.Errorf("--step: %v must be above 0 and at most 1 minute", o.Step)
+			if o.StepDuration <= 0 || o.StepDuration > time.Minute {
+				return fmt.Errorf("--step: %v must be above 0 and at most 1 minute", o.StepDuration)
 			}
-			r, err := lab.Calls(cmd.Context(), o)
+			r, err := lab.MeasureCalls(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -36,16 +36,16 @@
 				return printJSON(r)
 			}
 			fmt.Printf("one router, one core (machine of %d): %.0f calls/s without a missed deadline, %.0f datagrams/s (%.2f of the echo's %.0f), "+
-				"%.1f datagrams per call\n", r.Cores, r.CallsPerSecond, r.DatagramsPerSecond, r.Ratio, r.EchoPerSecond, r.DatagramsPerCall)
-			fmt.Printf("at %.0f calls/s it adds p50 %.0f us, p99 %.0f us, p99.9 %.0f us (direct p99 %.0f us)\n", r.MeasuredAt, r.AddedP50,
+				"%.1f datagrams per call\n", r.Cores, r.CallsPerSecond, r.DatagramsPerSecond, r.EchoRatio, r.EchoPerSecond, r.DatagramsPerCall)
+			fmt.Printf("at %.0f calls/s it adds p50 %.0f us, p99 %.0f us, p99.9 %.0f us (direct p99 %.0f us)\n", r.DelayRate, r.AddedP50,
 				r.AddedP99, r.AddedP999, r.DirectP99)
-			fmt.Printf("at 980 calls/s: %d deadlines missed, p99 %.0f us; %.0f bytes per standing call\n", r.At980Missed, r.At980P99,
-				r.BytesPerStanding)
+			fmt.Printf("at 980 calls/s: %d deadlines missed, p99 %.0f us; %.0f bytes per standing call\n", r.MissedAt980, r.P99At980,
+				r.BytesPerStandingCall)
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	c.Flags().DurationVar(&o.Step, "step", 3*time.Second, "duration of each rate")
-	c.Flags().Float64Var(&o.Most, "most", 20000, "highest rate tried, in calls per second")
+	c.Flags().DurationVar(&o.StepDuration, "step", 3*time.Second, "duration of each rate")
+	c.Flags().Float64Var(&o.MaxRate, "most", 20000, "highest rate tried, in calls per second")
 	return c
 }
 
@@ -55,10 +55,10 @@
 	c := &cobra.Command{Use: "fronts", Args: cobra.NoArgs,
 		Short: "Measure the calls per second of one router with IAX2 and ISUP over M3UA on either side, in one run",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Step <= 0 || o.Step > time.Minute {
-				return fmt.Errorf("--step: %v must be above 0 and at most 1 minute", o.Step)
+			if o.StepDuration <= 0 || o.StepDuration > time.Minute {
+				return fmt.Errorf("--step: %v must be above 0 and at most 1 minute", o.StepDuration)
 			}
-			r, err := lab.Fronts(cmd.Context(), o)
+			r, err := lab.MeasureFronts(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -72,8 +72,8 @@
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	c.Flags().DurationVar(&o.Step, "step", 2*time.Second, "duration of each rate")
-	c.Flags().Float64Var(&o.Most, "most", 12000, "highest rate tried, in calls per second")
+	c.Flags().DurationVar(&o.StepDuration, "step", 2*time.Second, "duration of each rate")
+	c.Flags().Float64Var(&o.MaxRate, "most", 12000, "highest rate tried, in calls per second")
 	return c
 }
 
@@ -87,7 +87,7 @@
 			if length <= 0 || length > time.Minute || rate <= 0 || rate > 10000 {
 				return fmt.Errorf("--length must be above 0 and at most 1 minute, --rate above 0 and at most 10000")
 			}
-			r, err := lab.Failover(cmd.Context(), rate, length)
+			r, err := lab.MeasureFailover(cmd.Context(), rate, length)
 			if err != nil {
 				return err
 			}
@@ -95,7 +95,7 @@
 				return printJSON(r)
 			}
 			fmt.Printf("%.0f calls/s: %d calls, %d stood, %d refused, %d failed; set-up p99 %.0f us before the cut; in the half second after it "+
-				"p50 %.0f us, p99 %.0f us, longest %.0f us\n", r.Rate, r.Calls, r.Stood, r.Refused, r.Failed, r.P99Before, r.P50After, r.P99After, r.MaxAfter)
+				"p50 %.0f us, p99 %.0f us, longest %.0f us\n", r.Rate, r.Calls, r.Answered, r.Refused, r.Failed, r.P99Before, r.P50After, r.P99After, r.MaxAfter)
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
@@ -113,7 +113,7 @@
 			if err := checkFront(o.Front); err != nil {
 				return err
 			}
-			r, err := lab.Start(cmd.Context(), o)
+			r, err := lab.MeasureStart(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -122,14 +122,14 @@
 			} else {
 				for _, c := range r.Cases {
 					fmt.Printf("%s: %.3f of %d tries answered in the first 20 s; rule violations %d, switches collapsed %d\n ", c.Case, c.Share,
-						c.Calls, c.RulesBroken, c.SwitchesFell)
+						c.Calls, c.ViolationCount, c.SwitchCollapses)
 					for _, s := range c.BySecond {
 						fmt.Printf(" %.2f", s)
 					}
 					fmt.Println()
 				}
 			}
-			if err == nil && r.RulesBroken > 0 {
+			if err == nil && r.ViolationCount > 0 {
 				err = errCheckFailed
 			}
 			return err
@@ -145,10 +145,10 @@
 	c := &cobra.Command{Use: "crash", Args: cobra.NoArgs,
 		Short: "Crash the record store at every write and sync, kill a router process under load, and check every record",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Calls < 1 || o.Calls > 100000 || o.Nested < 0 || o.Kills < 0 || o.Kills > 10000 {
+			if o.Calls < 1 || o.Calls > 100000 || o.NestedInterval < 0 || o.Kills < 0 || o.Kills > 10000 {
 				return fmt.Errorf("--calls must be 1 to 100000, --kills 0 to 10000, --nested 0 or more")
 			}
-			r, err := lab.Crash(cmd.Context(), o)
+			r, err := lab.RunCrashes(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -157,14 +157,14 @@
 			} else {
 				fmt.Printf("%d crash points in a run of %d calls (%d of them during recovery): %d finished calls checked, %d records missing, %d duplicated, "+
 					"%d without a call, %d by recovery; exports wrong %d\n", r.PointsTried, r.Calls, r.PointsNested, r.CallsFinished, r.RecordsMissing,
-					r.RecordsDoubled, r.RecordsFalse, r.Recovered, r.ExportsWrong)
+					r.RecordsDuplicated, r.RecordsUnknown, r.Recovered, r.ExportsWrong)
 				if k := r.Kills; k != nil {
 					fmt.Printf("%d kills under load: %d calls, %d answered, %d records (%d by recovery): %d missing, %d duplicated, %d wrong; "+
-						"rule violations %d; longest start %.0f ms\n", k.Kills, k.Calls, k.Answered, k.Records, k.Recovered, k.Missing, k.Doubled, k.Wrong,
-						k.RulesBroken, k.StartMS)
-					r.Broken = append(r.Broken, k.Found...)
+						"rule violations %d; longest start %.0f ms\n", k.Kills, k.Calls, k.Answered, k.Records, k.Recovered, k.Missing, k.Duplicated, k.Wrong,
+						k.ViolationCount, k.LongestStartMS)
+					r.Problems = append(r.Problems, k.Problems...)
 				}
-				for _, b := range r.Broken {
+				for _, b := range r.Problems {
 					fmt.Println(" ", b)
 				}
 			}
@@ -175,7 +175,7 @@
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.Flags().IntVar(&o.Calls, "calls", 1500, "calls of the run in which every write and sync is a crash point")
-	c.Flags().IntVar(&o.Nested, "nested", 25, "at every Nth crash point, also crash during the recovery; 0 never does")
+	c.Flags().IntVar(&o.NestedInterval, "nested", 25, "at every Nth crash point, also crash during the recovery; 0 never does")
 	c.Flags().IntVar(&o.Kills, "kills", 40, "number of times that a router process is killed under load")
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of calls and crashes")
 	return c
@@ -187,10 +187,10 @@
 	c := &cobra.Command{Use: "records", Args: cobra.NoArgs,
 		Short: "Measure call detail records: durable records per second, added delay, size, recovery, export",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Step <= 0 || o.Step > time.Minute || o.Records < 1 || o.Records > 10_000_000 || o.Rate <= 0 || o.Rate > 20000 {
+			if o.PassDuration <= 0 || o.PassDuration > time.Minute || o.Records < 1 || o.Records > 10_000_000 || o.Rate <= 0 || o.Rate > 20000 {
 				return fmt.Errorf("--step must be above 0 and at most 1 minute, --records 1 to 10,000,000, --rate above 0 and at most 20000")
 			}
-			r, err := lab.Records(cmd.Context(), o)
+			r, err := lab.MeasureRecords(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -198,7 +198,7 @@
 				return printJSON(r)
 			}
 			fmt.Printf("%.0f records/s durable on one core, %.0f per commit; %.0f bytes per record on disk (%.0f encoded); exported per second: csv %.0f, "+
-				"parquet %.0f\n", r.DurablePerSecond, r.PerCommit, r.BytesPerRecord, r.EncodedBytes, r.ExportPerSecond["csv"], r.ExportPerSecond["parquet"])
+				"parquet %.0f\n", r.DurablePerSecond, r.RecordsPerCommit, r.BytesPerRecord, r.EncodedBytes, r.ExportPerSecond["csv"], r.ExportPerSecond["parquet"])
 			for _, mode := range []string{"none", "at_once", "durable"} {
 				fmt.Printf("at %.0f calls/s, records %s: set-up p50 %.0f us, p99 %.0f us, %d missed\n", r.Rate, mode, r.SetUpP50[mode], r.SetUpP99[mode],
 					r.Missed[mode])
@@ -208,7 +208,7 @@
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
-	c.Flags().DurationVar(&o.Step, "step", 4*time.Second, "duration of each run of calls")
+	c.Flags().DurationVar(&o.PassDuration, "step", 4*time.Second, "duration of each run of calls")
 	c.Flags().Float64Var(&o.Rate, "rate", 980, "calls per second of the runs")
 	c.Flags().IntVar(&o.Records, "records", 300_000, "number of records made durable")
 	c.Flags().StringVar(&o.Dir, "dir", "", "directory on the disk to measure; default: the system's temporary directory")
@@ -221,10 +221,10 @@
 	c := &cobra.Command{Use: "seeds", Args: cobra.NoArgs,
 		Short: "Run days generated from seeds on a virtual clock, checking the rules after every step; failures are reproducible",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Count < 1 || o.Count > 1_000_000 || o.Exchanges < 0 || o.Exchanges > 100 || o.Drift < 0 || o.Drift > 0.1 || o.Mutants < 0 || o.Jobs < 0 {
+			if o.Count < 1 || o.Count > 1_000_000 || o.Exchanges < 0 || o.Exchanges > 100 || o.Drift < 0 || o.Drift > 0.1 || o.SeedsPerMutant < 0 || o.Jobs < 0 {
 				return fmt.Errorf("--count must be 1 to 1,000,000, --exchanges 0 to 100, --drift 0 to 0.1, --mutants and --jobs 0 or more")
 			}
-			r, err := lab.Seeds(cmd.Context(), o)
+			r, err := lab.ExploreSeeds(cmd.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -240,11 +240,11 @@
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
 	c.Flags().IntVar(&o.Count, "count", 1000, "seeds")
-	c.Flags().Uint64Var(&o.From, "from", 1, "the first seed")
+	c.Flags().Uint64Var(&o.FirstSeed, "from", 1, "the first seed")
 	c.Flags().IntVar(&o.Exchanges, "exchanges", 0, "exchanges of each day; 0 chooses them from the seed")
 	c.Flags().Float64Var(&o.Drift, "drift", 0.01, "maximum relative drift of the routers' clocks")
-	c.Flags().IntVar(&o.Mutants, "mutants", 0, "maximum number of seeds for each planted bug; 0 plants none")
-	c.Flags().StringVar(&o.Mutate, "mutate", "", "plant this bug in every day")
+	c.Flags().IntVar(&o.SeedsPerMutant, "mutants", 0, "maximum number of seeds for each planted bug; 0 plants none")
+	c.Flags().StringVar(&o.Mutation, "mutate", "", "plant this bug in every day")
 	c.Flags().BoolVar(&o.Shrink, "shrink", false, "shrink failing days to the fewest faults and calls")
 	c.Flags().IntVar(&o.Jobs, "jobs", 0, "days run in parallel; 0 is one per core")
 	return c
@@ -252,11 +252,11 @@
 
 func printSeeds(r *lab.SeedsResult) {
 	fmt.Printf("%d seeds, %d failed; %d calls, %d steps in %.1f s: per second and core %.1f virtual seconds, %.0f steps\n", r.Seeds, r.Failed, r.Calls,
-		r.Steps, r.WallSeconds, r.PerCore, r.StepsPerS)
-	fmt.Printf("outcomes %v; pairs of fault kinds covered: %d of %d; message types: %d\n", r.Outcomes, r.PairsMet, r.PairsInAll, len(r.Messages))
+		r.Steps, r.WallSeconds, r.VirtualSecondsPerCore, r.StepsPerSecond)
+	fmt.Printf("outcomes %v; pairs of fault kinds covered: %d of %d; message types: %d\n", r.Outcomes, r.PairsCovered, r.PairsTotal, len(r.Messages))
 	for _, f := range r.Failures {
 		fmt.Printf("\nseed %d\n", f.Seed)
-		for _, w := range f.What {
+		for _, w := range f.Problems {
 			fmt.Println("  ", w)
 		}
 		for _, e := range f.Events {
@@ -267,7 +267,7 @@
 			fmt.Println(f.Script)
 		}
 	}
-	for _, m := range r.Found {
-		fmt.Printf("planted: %s (breaks %s): seeds to find it: %d; %s\n", m.Name, m.Breaks, m.Seeds, m.By)
+	for _, m := range r.MutantResults {
+		fmt.Printf("planted: %s (breaks %s): seeds to find it: %d; %s\n", m.Name, m.Violates, m.Seeds, m.DetectedBy)
 	}
 }
--- a/cmd/pipitring/serve.go
+++ b/cmd/pipitring/serve.go
@@ -66,7 +66,7 @@
 
 // serveBuiltIn runs three routers and their switches on loopback, as a demonstration.
 func serveBuiltIn(ctx context.Context) error {
-	return lab.Demo(ctx, func(line string) { fmt.Fprintln(os.Stderr, line) })
+	return lab.RunDemo(ctx, func(line string) { fmt.Fprintln(os.Stderr, line) })
 }
 
 func checkCommand() *cobra.Command {
--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -30,29 +30,29 @@
 
 // CallsOptions are how `lab calls` measures.
 type CallsOptions struct {
-	Step     time.Duration // of one rate
-	Most     float64       // calls a second at which it stops looking
-	Progress io.Writer
+	StepDuration time.Duration // of one rate
+	MaxRate      float64       // calls a second at which it stops looking
+	Progress     io.Writer
 }
 
 // CallsResult is what one router carries. Datagrams are counted in and out together, at the router's socket.
 type CallsResult struct {
-	CallsPerSecond     float64 `json:"calls_per_second"` // the highest rate without a missed deadline
-	DatagramsPerSecond float64 `json:"datagrams_per_second"`
-	EchoPerSecond      float64 `json:"echo_datagrams_per_second"` // of a bare gnet UDP echo, in the same run
-	Ratio              float64 `json:"ratio_to_echo"`
-	DatagramsPerCall   float64 `json:"datagrams_per_call"`
-	MeasuredAt         float64 `json:"measured_at_calls_per_second"` // half of the highest: for the delays below
-	AddedP50           float64 `json:"added_p50_us"`
-	AddedP99           float64 `json:"added_p99_us"`
-	AddedP999          float64 `json:"added_p999_us"`
-	DirectP99          float64 `json:"direct_p99_us"` // the same calls without a router between
-	At980Missed        int     `json:"missed_at_980"`
-	At980P99           float64 `json:"p99_at_980_us"`
-	BytesPerStanding   float64 `json:"bytes_per_standing_call"`
-	RulesBroken        int     `json:"rules_broken"`
-	Calls              int     `json:"calls"`
-	Cores              int     `json:"cores"`
+	CallsPerSecond       float64 `json:"calls_per_second"` // the highest rate without a missed deadline
+	DatagramsPerSecond   float64 `json:"datagrams_per_second"`
+	EchoPerSecond        float64 `json:"echo_datagrams_per_second"` // of a bare gnet UDP echo, in the same run
+	EchoRatio            float64 `json:"ratio_to_echo"`
+	DatagramsPerCall     float64 `json:"datagrams_per_call"`
+	DelayRate            float64 `json:"measured_at_calls_per_second"` // half of the highest: for the delays below
+	AddedP50             float64 `json:"added_p50_us"`
+	AddedP99             float64 `json:"added_p99_us"`
+	AddedP999            float64 `json:"added_p999_us"`
+	DirectP99            float64 `json:"direct_p99_us"` // the same calls without a router between
+	MissedAt980          int     `json:"missed_at_980"`
+	P99At980             float64 `json:"p99_at_980_us"`
+	BytesPerStandingCall float64 `json:"bytes_per_standing_call"`
+	ViolationCount       int     `json:"rules_broken"`
+	Calls                int     `json:"calls"`
+	Cores                int     `json:"cores"`
 }
 
 const (
@@ -72,18 +72,18 @@
 	hist      *hdrhistogram.Histogram // µs
 }
 
-// Calls looks for the highest rate of whole calls that one router carries without a missed deadline, and
+// MeasureCalls looks for the highest rate of whole calls that one router carries without a missed deadline, and
 // measures the delay that it adds at half of that.
-func Calls(ctx context.Context, o CallsOptions) (*CallsResult, error) {
+func MeasureCalls(ctx context.Context, o CallsOptions) (*CallsResult, error) {
 	res := &CallsResult{Cores: goruntime.NumCPU()}
 	var err error
-	if res.EchoPerSecond, err = echo(ctx, o.Step); err != nil {
+	if res.EchoPerSecond, err = echo(ctx, o.StepDuration); err != nil {
 		return nil, err
 	}
 	fmt.Fprintf(o.Progress, "bare gnet echo: %.0f datagrams a second\n", res.EchoPerSecond)
 	best := pass{}
 	at := func(rate float64, direct bool) (pass, error) {
-		p, err := callsAt(ctx, rate, o.Step, direct, nil)
+		p, err := callsAt(ctx, rate, o.StepDuration, direct, nil)
 		res.Calls += p.calls
 		fmt.Fprintf(o.Progress, "%6.0f calls/s, direct %v: %d calls, %d missed, p50 %d us, p99 %d us, %.0f datagrams/s\n", rate, direct,
 			p.calls, p.missed, p.hist.ValueAtQuantile(50), p.hist.ValueAtQuantile(99), p.datagrams)
@@ -93,9 +93,9 @@
 	if err != nil {
 		return nil, err
 	}
-	res.At980Missed, res.At980P99 = p980.missed, float64(p980.hist.ValueAtQuantile(99))
+	res.MissedAt980, res.P99At980 = p980.missed, float64(p980.hist.ValueAtQuantile(99))
 	best = p980
-	for rate := 1500.0; rate <= o.Most; rate *= 1.25 {
+	for rate := 1500.0; rate <= o.MaxRate; rate *= 1.25 {
 		p, err := at(rate, false)
 		if err != nil {
 			return nil, err
@@ -107,13 +107,13 @@
 	}
 	res.CallsPerSecond, res.DatagramsPerSecond = best.rate, best.datagrams
 	res.DatagramsPerCall = best.datagrams / best.rate
-	res.Ratio = res.DatagramsPerSecond / res.EchoPerSecond
-	res.MeasuredAt = best.rate / 2
-	through, err := at(res.MeasuredAt, false)
+	res.EchoRatio = res.DatagramsPerSecond / res.EchoPerSecond
+	res.DelayRate = best.rate / 2
+	through, err := at(res.DelayRate, false)
 	if err != nil {
 		return nil, err
 	}
-	direct, err := at(res.MeasuredAt, true)
+	direct, err := at(res.DelayRate, true)
 	if err != nil {
 		return nil, err
 	}
@@ -122,10 +122,10 @@
 	}
 	res.AddedP50, res.AddedP99, res.AddedP999 = added(50), added(99), added(99.9)
 	res.DirectP99 = float64(direct.hist.ValueAtQuantile(99))
-	if res.RulesBroken, err = judgedCalls(ctx, o.Step); err != nil {
+	if res.ViolationCount, err = judgedCalls(ctx, o.StepDuration); err != nil {
 		return nil, err
 	}
-	res.BytesPerStanding, err = bytesPerStanding(4000)
+	res.BytesPerStandingCall, err = bytesPerStanding(4000)
 	return res, err
 }
 
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -21,37 +21,37 @@
 
 // CrashOptions are how `lab crash` measures.
 type CrashOptions struct {
-	Calls    int // of the run whose every write and sync is a crash
-	Nested   int // at every so-manieth point the crashes within its recovery are played too; 0 is never
-	Kills    int // of a real process under load
-	Seed     uint64
-	Progress io.Writer
-	early    bool // planted: answers go out before their record is durable
+	Calls          int // of the run whose every write and sync is a crash
+	NestedInterval int // at every so-manieth point the crashes within its recovery are played too; 0 is never
+	Kills          int // of a real process under load
+	Seed           uint64
+	Progress       io.Writer
+	early          bool // planted: answers go out before their record is durable
 }
 
 // CrashResult is what was found after the crashes. Counts of calls add up over all points: a call that was finished at
 // a thousand points was looked for a thousand times.
 type CrashResult struct {
-	PointsTried    int            `json:"points_tried"` // of these so many within recoveries:
-	PointsNested   int            `json:"points_in_recovery"`
-	PointsByOp     map[string]int `json:"points_by_operation"`
-	Calls          int            `json:"calls"` // of the run itself
-	CallsFinished  int            `json:"calls_finished"`
-	CallsStanding  int            `json:"calls_standing"`
-	RecordsMissing int            `json:"records_missing"`
-	RecordsDoubled int            `json:"records_doubled"`
-	RecordsFalse   int            `json:"records_false"` // of calls that were never taken
-	Recovered      int            `json:"records_by_recovery"`
-	ExportsWrong   int            `json:"exports_wrong"`
-	Broken         []string       `json:"broken,omitempty"`
-	RulesBroken    int            `json:"rules_broken"`
-	WallSeconds    float64        `json:"wall_seconds"`
-	Kills          *KillResult    `json:"kills,omitempty"`
+	PointsTried       int            `json:"points_tried"` // of these so many within recoveries:
+	PointsNested      int            `json:"points_in_recovery"`
+	PointsByOp        map[string]int `json:"points_by_operation"`
+	Calls             int            `json:"calls"` // of the run itself
+	CallsFinished     int            `json:"calls_finished"`
+	CallsStanding     int            `json:"calls_standing"`
+	RecordsMissing    int            `json:"records_missing"`
+	RecordsDuplicated int            `json:"records_doubled"`
+	RecordsUnknown    int            `json:"records_false"` // of calls that were never taken
+	Recovered         int            `json:"records_by_recovery"`
+	ExportsWrong      int            `json:"exports_wrong"`
+	Problems          []string       `json:"broken,omitempty"`
+	ViolationCount    int            `json:"rules_broken"`
+	WallSeconds       float64        `json:"wall_seconds"`
+	Kills             *KillResult    `json:"kills,omitempty"`
 }
 
 // Good tells whether nothing was lost, doubled or made up.
 func (r *CrashResult) Good() bool {
-	return r.RecordsMissing+r.RecordsDoubled+r.RecordsFalse+r.ExportsWrong+len(r.Broken) == 0 && (r.Kills == nil || r.Kills.Good())
+	return r.RecordsMissing+r.RecordsDuplicated+r.RecordsUnknown+r.ExportsWrong+len(r.Problems) == 0 && (r.Kills == nil || r.Kills.Good())
 }
 
 // crashRun is the run whose every point is a crash.
@@ -113,9 +113,9 @@
 		MaxRecords: crashBatch, MinRecords: crashBatch, MaxWait: time.Hour}}
 }
 
-// Crash plays a run of calls and crashes its disk before every write, sync, rename and removal. Each disk is recovered
+// RunCrashes plays a run of calls and crashes its disk before every write, sync, rename and removal. Each disk is recovered
 // and audited: every call whose answer had gone out has one record, no call has two, and what is exported is whole.
-func Crash(ctx context.Context, o CrashOptions) (*CrashResult, error) {
+func RunCrashes(ctx context.Context, o CrashOptions) (*CrashResult, error) {
 	began := time.Now()
 	res := &CrashResult{PointsByOp: map[string]int{}, Calls: o.Calls}
 	run := &crashRun{fs: crashfs.New(), early: o.early, rng: rand.New(rand.NewPCG(o.Seed, 9)), told: map[uint64]bool{},
@@ -126,7 +126,7 @@
 	for range goruntime.NumCPU() {
 		judges.Go(func() {
 			for d := range disks {
-				got := d.judge(o.Nested)
+				got := d.judge(o.NestedInterval)
 				mu.Lock()
 				res.add(got)
 				if res.PointsTried%1000 < got.PointsTried && o.Progress != nil {
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	if o.Kills > 0 {
-		if res.Kills, err = Kill(ctx, KillOptions{Kills: o.Kills, Seed: o.Seed, Progress: o.Progress}); err != nil {
+		if res.Kills, err = RunKills(ctx, KillOptions{Kills: o.Kills, Seed: o.Seed, Progress: o.Progress}); err != nil {
 			return nil, err
 		}
 	}
@@ -173,14 +173,14 @@
 	r.CallsFinished += o.CallsFinished
 	r.CallsStanding += o.CallsStanding
 	r.RecordsMissing += o.RecordsMissing
-	r.RecordsDoubled += o.RecordsDoubled
-	r.RecordsFalse += o.RecordsFalse
+	r.RecordsDuplicated += o.RecordsDuplicated
+	r.RecordsUnknown += o.RecordsUnknown
 	r.Recovered += o.Recovered
 	r.ExportsWrong += o.ExportsWrong
 	for op, n := range o.PointsByOp {
 		r.PointsByOp[op] += n
 	}
-	r.Broken = append(r.Broken, o.Broken[:min(len(o.Broken), 20-min(20, len(r.Broken)))]...)
+	r.Problems = append(r.Problems, o.Problems[:min(len(o.Problems), 20-min(20, len(r.Problems)))]...)
 }
 
 // play takes calls: most stand for a while, some are refused, some callers leave. Answers and refusals count as told
@@ -321,7 +321,7 @@
 // audit opens a disk, which recovers it, exports the rest and looks for every call.
 func (d *crashedDisk) audit(res *CrashResult, fs *crashfs.FS, recovered func()) {
 	broken := func(format string, args ...any) {
-		res.Broken = append(res.Broken, fmt.Sprintf("point %d (%s %s): ", d.point.N, d.point.Op, d.point.Name)+fmt.Sprintf(format, args...))
+		res.Problems = append(res.Problems, fmt.Sprintf("point %d (%s %s): ", d.point.N, d.point.Op, d.point.Name)+fmt.Sprintf(format, args...))
 	}
 	rec, err := records.Open(crashOptions(fs))
 	recovered()
@@ -339,7 +339,7 @@
 			res.Recovered++
 		}
 		if r.ID.Call == 0 || r.ID.Call > d.taken || r.ID.Incarnation != 1 {
-			res.RecordsFalse++
+			res.RecordsUnknown++
 			broken("call %v was never taken", r.ID)
 		}
 		return nil
@@ -360,7 +360,7 @@
 	}
 	for call, n := range found {
 		if n > 1 {
-			res.RecordsDoubled++
+			res.RecordsDuplicated++
 			broken("call %d has %d records", call, n)
 		}
 	}
--- a/internal/lab/crash_test.go
+++ b/internal/lab/crash_test.go
@@ -9,7 +9,7 @@
 // Every write, sync, rename and removal of a run with exports is a crash, and every fiftieth of those recoveries is
 // crashed at each of its own: no call without its record, none with two.
 func TestCrashAtEveryPoint(t *testing.T) {
-	res, err := Crash(context.Background(), CrashOptions{Calls: 150, Nested: 50, Seed: 3, Progress: io.Discard})
+	res, err := RunCrashes(context.Background(), CrashOptions{Calls: 150, NestedInterval: 50, Seed: 3, Progress: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 
 // The check can fail: a router that answers before the record is durable loses records.
 func TestCrashFindsEarlyAnswers(t *testing.T) {
-	res, err := Crash(context.Background(), CrashOptions{Calls: 150, Seed: 3, early: true})
+	res, err := RunCrashes(context.Background(), CrashOptions{Calls: 150, Seed: 3, early: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -25,40 +25,40 @@
 
 // DayResult is what a day came to. Counts of tries are from the capture, by the callers' sockets.
 type DayResult struct {
-	Day         string                           `json:"day"`
-	Front       string                           `json:"front"`
-	RulesBroken int                              `json:"rules_broken"`
-	Broken      []string                         `json:"broken,omitempty"`
-	Calls       int                              `json:"calls"`
-	Stood       int                              `json:"stood"`
-	Refused     int                              `json:"refused"`
-	Failed      int                              `json:"failed"`
-	LeftEarly   int                              `json:"left"`
-	Unanswered  int                              `json:"unanswered"`
-	Unfinished  int                              `json:"unfinished"`
-	Cut         int                              `json:"cut"`
-	ByClass     map[string]map[rules.Outcome]int `json:"by_class"`
-	Causes      map[uint8]int                    `json:"causes"`
-	SetUpMS     map[string]float64               `json:"setup_ms"`
-	Attempts    int                              `json:"attempts"`
-	Datagrams   int                              `json:"datagrams"`
-	Malformed   int                              `json:"malformed"`
-	LeftOver    Left                             `json:"left_over"`
-	Overdue     uint64                           `json:"overdue"`
-	Faults      uint64                           `json:"faults"`
-	SwitchFell  int                              `json:"switches_fallen"`
-	Records     DayRecords                       `json:"records"`
-	WallSeconds float64                          `json:"wall_seconds"`
-	kept        keptRecords
+	Day             string                           `json:"day"`
+	Front           string                           `json:"front"`
+	ViolationCount  int                              `json:"rules_broken"`
+	Violations      []string                         `json:"broken,omitempty"`
+	Calls           int                              `json:"calls"`
+	Answered        int                              `json:"stood"`
+	Refused         int                              `json:"refused"`
+	Failed          int                              `json:"failed"`
+	Abandoned       int                              `json:"left"`
+	Unanswered      int                              `json:"unanswered"`
+	Unfinished      int                              `json:"unfinished"`
+	Cut             int                              `json:"cut"`
+	ByClass         map[string]map[rules.Outcome]int `json:"by_class"`
+	Causes          map[uint8]int                    `json:"causes"`
+	SetUpMS         map[string]float64               `json:"setup_ms"`
+	Attempts        int                              `json:"attempts"`
+	Datagrams       int                              `json:"datagrams"`
+	Malformed       int                              `json:"malformed"`
+	LeftOver        HeldResources                    `json:"left_over"`
+	Overdue         uint64                           `json:"overdue"`
+	ActionFaults    uint64                           `json:"faults"`
+	SwitchCollapses int                              `json:"switches_fallen"`
+	Records         DayRecords                       `json:"records"`
+	WallSeconds     float64                          `json:"wall_seconds"`
+	kept            keptRecords
 }
 
 // Good tells whether nothing was broken or left over.
 func (r *DayResult) Good() bool {
-	return r.RulesBroken == 0 && r.LeftOver == (Left{}) && r.Overdue+r.Faults == 0 && r.Malformed == 0 && r.Records.Good()
+	return r.ViolationCount == 0 && r.LeftOver == (HeldResources{}) && r.Overdue+r.ActionFaults == 0 && r.Malformed == 0 && r.Records.Good()
 }
 
-// Day plays a script on loopback and judges it from its capture.
-func Day(ctx context.Context, s *Script, o DayOptions) (*DayResult, error) {
+// RunDay plays a script on loopback and judges it from its capture.
+func RunDay(ctx context.Context, s *Script, o DayOptions) (*DayResult, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
@@ -92,7 +92,7 @@
 		}
 		r = file
 	}
-	report, err := Judge(r)
+	report, err := CheckCapture(r)
 	if err != nil {
 		return nil, err
 	}
@@ -105,8 +105,8 @@
 // nopCloser keeps the capture from closing a file that is read afterwards.
 type nopCloser struct{ io.Writer }
 
-// Judge judges a capture.
-func Judge(r io.Reader) (*rules.Report, error) {
+// CheckCapture judges a capture.
+func CheckCapture(r io.Reader) (*rules.Report, error) {
 	c := rules.Checker{KeepTries: true}
 	if err := capture.Read(r, func(p capture.Packet) error { c.Packet(p); return nil }); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	if err := tap.Close(); err != nil {
 		return nil, err
 	}
-	return Judge(&held)
+	return CheckCapture(&held)
 }
 
 // play runs the fleet through its day.
@@ -163,7 +163,7 @@
 		c.Stop()
 	}
 	longest := time.Duration(0)
-	for _, c := range s.Class {
+	for _, c := range s.Classes {
 		longest = max(longest, c.Patience)
 	}
 	time.Sleep(longest + 200*time.Millisecond) // every try gets its answer, or shows that it got none
@@ -192,13 +192,13 @@
 		}
 		if err := r.Do(func(n *node.Node, _ time.Duration) {
 			res.Overdue += n.Core.Stats.Overdue
-			res.Faults += n.Core.Stats.ActionFaults
+			res.ActionFaults += n.Core.Stats.ActionFaults
 		}); err != nil {
 			return err
 		}
 	}
 	for _, sw := range f.switches {
-		res.SwitchFell += sw.Count().Collapsed
+		res.SwitchCollapses += sw.Count().Collapsed
 	}
 	return f.stopRouters()
 }
@@ -216,12 +216,12 @@
 
 // take puts a report in the result's terms.
 func (r *DayResult) take(rep *rules.Report) {
-	r.RulesBroken, r.Calls, r.ByClass, r.Causes = len(rep.Violations), rep.Tries, rep.Outcomes, rep.Causes
+	r.ViolationCount, r.Calls, r.ByClass, r.Causes = len(rep.Violations), rep.Tries, rep.Outcomes, rep.Causes
 	for _, b := range rep.Violations {
-		r.Broken = append(r.Broken, b.String())
+		r.Violations = append(r.Violations, b.String())
 	}
-	r.Stood, r.Refused, r.Failed = rep.Count(rules.Answered), rep.Count(rules.Refused), rep.Count(rules.Failed)
-	r.LeftEarly, r.Unanswered, r.Unfinished = rep.Count(rules.Abandoned), rep.Count(rules.Unanswered), rep.Count(rules.Unfinished)
+	r.Answered, r.Refused, r.Failed = rep.Count(rules.Answered), rep.Count(rules.Refused), rep.Count(rules.Failed)
+	r.Abandoned, r.Unanswered, r.Unfinished = rep.Count(rules.Abandoned), rep.Count(rules.Unanswered), rep.Count(rules.Unfinished)
 	r.Cut, r.Attempts, r.Datagrams, r.Malformed = rep.Cut, rep.Attempts, rep.Datagrams, rep.Malformed
 	r.SetUpMS = map[string]float64{}
 	for name, q := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99} {
@@ -231,8 +231,8 @@
 	}
 }
 
-// Summary is a report in the form of a day's result.
-func Summary(rep *rules.Report) *DayResult {
+// Summarize is a report in the form of a day's result.
+func Summarize(rep *rules.Report) *DayResult {
 	var r DayResult
 	r.take(rep)
 	return &r
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -7,13 +7,13 @@
 	"go.uber.org/zap"
 )
 
-// Demo runs three routers with their switches until ctx ends, and tells where they listen.
-func Demo(ctx context.Context, say func(string)) error {
-	s, err := BadDay()
+// RunDemo runs three routers with their switches until ctx ends, and tells where they listen.
+func RunDemo(ctx context.Context, say func(string)) error {
+	s, err := BuiltInScript()
 	if err != nil {
 		return err
 	}
-	s.Fleet.Exchanges, s.Fleet.Lose, s.Fleet.Repeat, s.Fleet.Unlinked = 3, 0, 0, 0
+	s.Fleet.Exchanges, s.Fleet.LossRate, s.Fleet.DuplicateRate, s.Fleet.UnlinkedShare = 3, 0, 0, 0
 	f, err := startFleet(s, nil, zap.NewNop())
 	if err != nil {
 		return err
--- a/internal/lab/failover.go
+++ b/internal/lab/failover.go
@@ -22,7 +22,7 @@
 type FailoverResult struct {
 	Rate      float64 `json:"calls_per_second"`
 	Calls     int     `json:"calls"`
-	Stood     int     `json:"stood"`
+	Answered  int     `json:"stood"`
 	Refused   int     `json:"refused"`
 	Failed    int     `json:"failed"`
 	P99Before float64 `json:"p99_before_us"` // set-up delay until the cut
@@ -34,8 +34,8 @@
 // newest is the link whose association is made last.
 const newest = 1
 
-// Failover plays calls between two routers with two associations, and resets the one that carries them in the middle.
-func Failover(ctx context.Context, rate float64, length time.Duration) (*FailoverResult, error) {
+// MeasureFailover plays calls between two routers with two associations, and resets the one that carries them in the middle.
+func MeasureFailover(ctx context.Context, rate float64, length time.Duration) (*FailoverResult, error) {
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}, 1, nil)
 	if err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	t := c.Count()[callsClass]
 	mu.Lock()
 	defer mu.Unlock()
-	return &FailoverResult{Rate: rate, Calls: t.Tries, Stood: t.Answered, Refused: t.Refused, Failed: t.Failed,
+	return &FailoverResult{Rate: rate, Calls: t.Tries, Answered: t.Answered, Refused: t.Refused, Failed: t.Failed,
 		P99Before: float64(before.ValueAtQuantile(99)), P50After: float64(after.ValueAtQuantile(50)),
 		P99After: float64(after.ValueAtQuantile(99)), MaxAfter: float64(after.Max())}, nil
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -210,8 +210,8 @@
 
 func (f *fleet) switchSpec(x int) standin.SwitchSpec {
 	s := &f.script.Fleet
-	return standin.SwitchSpec{Exchange: x, Rate: s.SetUpRate, QueueWait: s.QueueWait, Lines: s.Lines, ColdCapacity: s.ColdFrom,
-		ColdDuration: s.ColdFor, OverloadMultiple: s.FallMultiple, OverloadWindow: s.FallWindow, RingTime: s.Ring}
+	return standin.SwitchSpec{Exchange: x, Rate: s.SetUpRate, QueueWait: s.QueueWait, Lines: s.Lines, ColdCapacity: s.ColdCapacity,
+		ColdDuration: s.ColdDuration, OverloadMultiple: s.OverloadMultiple, OverloadWindow: s.OverloadWindow, RingTime: s.RingTime}
 }
 
 // listSwitch puts a switch that has long run on the list.
@@ -264,9 +264,9 @@
 
 func (f *fleet) figures() *capture.Parameters {
 	s := &f.script.Fleet
-	g := &capture.Parameters{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, OverloadMultiple: s.FallMultiple,
-		OverloadWindow: s.FallWindow, Patience: map[string]time.Duration{}}
-	for _, c := range f.script.Class {
+	g := &capture.Parameters{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, OverloadMultiple: s.OverloadMultiple,
+		OverloadWindow: s.OverloadWindow, Patience: map[string]time.Duration{}}
+	for _, c := range f.script.Classes {
 		g.Patience[c.Name] = c.Patience
 	}
 	return g
@@ -279,8 +279,8 @@
 	s := &f.script.Fleet
 	for a := range s.Exchanges {
 		for b := a + 1; b < s.Exchanges; b++ {
-			size := float64(s.Circuits) * (1 + s.Spread*(2*f.rng.Float64()-1))
-			if f.rng.Float64() < s.Unlinked {
+			size := float64(s.Circuits) * (1 + s.CircuitSpread*(2*f.rng.Float64()-1))
+			if f.rng.Float64() < s.UnlinkedShare {
 				size = 0
 			}
 			f.circuits[[2]int{a, b}] = int(size + 0.5)
@@ -306,11 +306,11 @@
 
 func (f *fleet) linkFaults(a, b int) standin.LinkFaults {
 	s := &f.script.Fleet
-	delay := s.SameDelay
+	delay := s.RegionDelay
 	if f.region(a) != f.region(b) {
-		delay = s.CrossDelay
+		delay = s.CrossRegionDelay
 	}
-	return standin.LinkFaults{Delay: delay, Jitter: s.Jitter, LossRate: s.Lose, DuplicateRate: s.Repeat}
+	return standin.LinkFaults{Delay: delay, Jitter: s.Jitter, LossRate: s.LossRate, DuplicateRate: s.DuplicateRate}
 }
 
 // prefix is the beginning of the numbers that an exchange serves.
@@ -318,18 +318,18 @@
 
 func (f *fleet) callersSpec(x int) standin.CallersSpec {
 	s := f.script
-	c := standin.CallersSpec{Exchange: x, Rate: s.Load.Rate / float64(s.Fleet.Exchanges), MaxRedials: s.Load.Redials,
+	c := standin.CallersSpec{Exchange: x, Rate: s.Load.Rate / float64(s.Fleet.Exchanges), MaxRedials: s.Load.MaxRedials,
 		Backoff: s.Load.Backoff, User: fmt.Sprintf("handheld-%d", x), Secret: "let me in",
 		Number: func(dest int, rng *rand.Rand) string { return fmt.Sprintf("%s%05d", prefix(dest), rng.IntN(100000)) }}
-	for _, cl := range s.Class {
-		c.Classes = append(c.Classes, standin.CallerClass{Name: cl.Name, Share: cl.Share, Hold: cl.Hold, Patience: cl.Patience,
+	for _, cl := range s.Classes {
+		c.Classes = append(c.Classes, standin.CallerClass{Name: cl.Name, Share: cl.Share, Hold: cl.HoldTime, Patience: cl.Patience,
 			Deadline: cl.Deadline})
 	}
 	others := float64(s.Fleet.Exchanges - 1)
 	for d := range s.Fleet.Exchanges {
-		w := (1 - s.Load.Local) / others
+		w := (1 - s.Load.LocalShare) / others
 		if d == x {
-			w = s.Load.Local
+			w = s.Load.LocalShare
 		}
 		c.Weights = append(c.Weights, w)
 	}
@@ -341,12 +341,12 @@
 	s := f.script
 	var b strings.Builder
 	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	p("[router]\nexchange = %d\nlisten = %q\ndefault_class = %q\nanswer_margin = \"120ms\"\nseed = %d", x, f.at[x], s.Class[0].Name,
+	p("[router]\nexchange = %d\nlisten = %q\ndefault_class = %q\nanswer_margin = \"120ms\"\nseed = %d", x, f.at[x], s.Classes[0].Name,
 		s.Seed*1000+uint64(x)+1)
 	// The wait is set over the figure that is judged by: the far end counts from when it hears of the release, and so
 	// does the tap.
 	p("[rules]\nrelease_wait = %q\ndrain_grace = %q\ncold_from = %v\ncold_for = %q\nfall_multiple = %v", s.Fleet.ReleaseWait+f.ground.tapDelay(),
-		s.Fleet.DrainGrace, s.Fleet.ColdFrom, s.Fleet.ColdFor, s.Fleet.FallMultiple)
+		s.Fleet.DrainGrace, s.Fleet.ColdCapacity, s.Fleet.ColdDuration, s.Fleet.OverloadMultiple)
 	p("[list]\nregister = %q\nwait = \"10s\"", f.ground.listURL(x))
 	p("[iax]\nmax_per_host = 0\ncall_tokens = true\nretry_first = \"300ms\"\naccept_delay = %q\nping_every = \"2s\"\nlinger = \"2s\"", s.Fleet.AcceptDelay)
 	p("[records]\ndir = %q\ntariffs = %q", f.recordsDir(x), filepath.Join(f.dir, "tariffs.toml"))
@@ -358,9 +358,9 @@
 	if s.Fleet.Front == "m3ua" && f.ground.isupSwitches() {
 		p("front = \"isup\"\npoint_code = %d", switchPoint(x))
 	}
-	for _, c := range s.Class {
+	for _, c := range s.Classes {
 		p("[[class]]\nname = %q\nhold = %q\naim = %q\ndeadline = %q\npatience = %q\nworth = %v\nlate_worth = %v\ncontexts = [%q]",
-			c.Name, c.Hold, c.Aim, c.Deadline, c.Patience, c.Worth, c.LateWorth, c.Name)
+			c.Name, c.HoldTime, c.SetupTarget, c.Deadline, c.Patience, c.Value, c.LateValue, c.Name)
 	}
 	for y := range s.Fleet.Exchanges {
 		p("[[exchange]]\nnumber = %d\nzone = %q\nprefixes = [%q]", y, f.region(y), prefix(y))
@@ -483,8 +483,8 @@
 	return nil
 }
 
-// Left is what is held when all should be over.
-type Left struct {
+// HeldResources is what is held when all should be over.
+type HeldResources struct {
 	Calls    int `json:"Calls"`
 	Legs     int `json:"Legs"`
 	Dialogs  int `json:"Dialogs"`
@@ -492,7 +492,7 @@
 }
 
 // left adds up what routers that run hold.
-func (f *fleet) left() (l Left, err error) {
+func (f *fleet) left() (l HeldResources, err error) {
 	for _, r := range f.routers {
 		if r == nil {
 			continue
@@ -540,9 +540,9 @@
 }
 
 // settle waits until nothing is held any more, or until the limit.
-func (f *fleet) settle(limit time.Duration) (l Left, err error) {
+func (f *fleet) settle(limit time.Duration) (l HeldResources, err error) {
 	for end := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
-		if l, err = f.left(); err != nil || l == (Left{}) || time.Now().After(end) {
+		if l, err = f.left(); err != nil || l == (HeldResources{}) || time.Now().After(end) {
 			return l, err
 		}
 	}
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -21,9 +21,9 @@
 
 // FrontsOptions are how `lab fronts` measures.
 type FrontsOptions struct {
-	Step     time.Duration
-	Most     float64
-	Progress io.Writer
+	StepDuration time.Duration
+	MaxRate      float64
+	Progress     io.Writer
 }
 
 // FrontsResult is what one router carries by each pair of protocols, in one run.
@@ -43,22 +43,22 @@
 	circuits = 4000
 )
 
-// Fronts measures whole calls a second of one router for IAX2 and ISUP on either side. Calls by ISUP come from the
+// MeasureFronts measures whole calls a second of one router for IAX2 and ISUP on either side. Calls by ISUP come from the
 // own switch and go to a far exchange over one association each.
-func Fronts(ctx context.Context, o FrontsOptions) (*FrontsResult, error) {
+func MeasureFronts(ctx context.Context, o FrontsOptions) (*FrontsResult, error) {
 	res := &FrontsResult{CallsPerSecond: map[string]float64{}, P99: map[string]float64{}}
 	for _, in := range []string{"iax2", "isup"} {
 		for _, out := range []string{"iax2", "isup"} {
 			name := in + " to " + out
 			at := func(rate float64) (pass, error) {
-				p, err := frontsAt(ctx, rate, o.Step, in, out)
+				p, err := frontsAt(ctx, rate, o.StepDuration, in, out)
 				res.Calls += p.calls
 				fmt.Fprintf(o.Progress, "%s: %6.0f calls/s: %d calls, %d missed, p50 %d us, p99 %d us\n", name, rate, p.calls, p.missed,
 					p.hist.ValueAtQuantile(50), p.hist.ValueAtQuantile(99))
 				return p, err
 			}
 			best := 0.0
-			for rate := 980.0; rate <= o.Most; rate *= 1.5 {
+			for rate := 980.0; rate <= o.MaxRate; rate *= 1.5 {
 				p, err := at(rate)
 				if err != nil {
 					return nil, err
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -22,37 +22,37 @@
 
 // KillOptions are how a real router process is killed under load.
 type KillOptions struct {
-	Kills    int
-	Rate     float64 // calls a second; 0 is 400
-	Seed     uint64
-	Progress io.Writer
-	Serve    []string // the command that serves the settings file named after it; empty is this program
+	Kills        int
+	Rate         float64 // calls a second; 0 is 400
+	Seed         uint64
+	Progress     io.Writer
+	ServeCommand []string // the command that serves the settings file named after it; empty is this program
 }
 
 // KillResult is what was found after the kills.
 type KillResult struct {
-	Kills       int     `json:"kills"`
-	Calls       int     `json:"calls"`
-	Answered    int     `json:"answered"` // final answers that callers saw
-	Recovered   int     `json:"recovered"`
-	Records     int     `json:"records"`
-	Missing     int     `json:"records_missing"`
-	Doubled     int     `json:"records_doubled"`
-	Wrong       int     `json:"records_wrong"`
-	RulesBroken int     `json:"rules_broken"`
-	StartMS     float64 `json:"longest_start_ms"` // from the process's start until it serves
+	Kills          int     `json:"kills"`
+	Calls          int     `json:"calls"`
+	Answered       int     `json:"answered"` // final answers that callers saw
+	Recovered      int     `json:"recovered"`
+	Records        int     `json:"records"`
+	Missing        int     `json:"records_missing"`
+	Duplicated     int     `json:"records_doubled"`
+	Wrong          int     `json:"records_wrong"`
+	ViolationCount int     `json:"rules_broken"`
+	LongestStartMS float64 `json:"longest_start_ms"` // from the process's start until it serves
 
-	Found []string `json:"found,omitempty"`
+	Problems []string `json:"found,omitempty"`
 }
 
 // Good tells whether nothing was lost, doubled or broken.
 func (r *KillResult) Good() bool {
-	return r.Missing+r.Doubled+r.Wrong+r.RulesBroken+len(r.Found) == 0
+	return r.Missing+r.Duplicated+r.Wrong+r.ViolationCount+len(r.Problems) == 0
 }
 
-// Kill starts a router as a process of its own, calls through it, kills it at random moments with SIGKILL and starts
+// RunKills starts a router as a process of its own, calls through it, kills it at random moments with SIGKILL and starts
 // it again on the same records. The callers' capture tells which call must have its record.
-func Kill(ctx context.Context, o KillOptions) (*KillResult, error) {
+func RunKills(ctx context.Context, o KillOptions) (*KillResult, error) {
 	if o.Rate == 0 {
 		o.Rate = 400
 	}
@@ -69,10 +69,10 @@
 	if err != nil {
 		return nil, err
 	}
-	res.Calls, res.RulesBroken = rep.Tries, len(rep.Violations)
+	res.Calls, res.ViolationCount = rep.Tries, len(rep.Violations)
 	res.Answered = rep.Count(rules.Answered) + rep.Count(rules.Refused) + rep.Count(rules.Failed)
 	for _, b := range rep.Violations[:min(len(rep.Violations), 20)] {
-		res.Found = append(res.Found, b.String())
+		res.Problems = append(res.Problems, b.String())
 	}
 	return res, res.audit(filepath.Join(dir, "records"), rep)
 }
@@ -94,8 +94,8 @@
 		return err
 	}
 	d.match(rep.TryDetails, keptRecords{0: have}, nil)
-	r.Records, r.Recovered, r.Missing, r.Doubled, r.Wrong = d.Records, d.Recovered, d.Missing, d.Doubled, d.Wrong
-	r.Found = append(r.Found, d.Found...)
+	r.Records, r.Recovered, r.Missing, r.Duplicated, r.Wrong = d.Records, d.Recovered, d.Missing, d.Duplicated, d.Wrong
+	r.Problems = append(r.Problems, d.Problems...)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(o.Seed, 21))
 	for i := range o.Kills + 1 {
-		p, err := startProcess(ctx, o.Serve, file, web, res)
+		p, err := startProcess(ctx, o.ServeCommand, file, web, res)
 		if err != nil {
 			return fmt.Errorf("start %d: %w", i+1, err)
 		}
@@ -210,7 +210,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusOK {
-			res.StartMS = max(res.StartMS, float64(time.Since(began).Microseconds())/1000)
+			res.LongestStartMS = max(res.LongestStartMS, float64(time.Since(began).Microseconds())/1000)
 			return p, nil
 		}
 	}
--- a/internal/lab/kill_test.go
+++ b/internal/lab/kill_test.go
@@ -38,7 +38,7 @@
 	if err := os.WriteFile(script, fmt.Appendf(nil, "#!/bin/sh\n%s=\"$1\" exec %q\n", serveEnv, exe), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Kill(context.Background(), KillOptions{Kills: 6, Rate: 200, Seed: 5, Serve: []string{script}})
+	res, err := RunKills(context.Background(), KillOptions{Kills: 6, Rate: 200, Seed: 5, ServeCommand: []string{script}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -27,13 +27,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := Day(context.Background(), s, DayOptions{})
+	res, err := RunDay(context.Background(), s, DayOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !res.Good() {
-		t.Errorf("%d rules broken, left %+v, %d overdue, %d faults, %d malformed:\n%s", res.RulesBroken, res.LeftOver, res.Overdue,
-			res.Faults, res.Malformed, strings.Join(res.Broken, "\n"))
+		t.Errorf("%d rules broken, left %+v, %d overdue, %d faults, %d malformed:\n%s", res.ViolationCount, res.LeftOver, res.Overdue,
+			res.ActionFaults, res.Malformed, strings.Join(res.Violations, "\n"))
 	}
 	return res
 }
@@ -94,8 +94,8 @@
 for = "500ms"
 exchanges = [1]
 `)
-	if res.Calls < 1000 || res.Stood < 300 || res.LeftEarly == 0 {
-		t.Errorf("%d calls, %d stood, %d left early", res.Calls, res.Stood, res.LeftEarly)
+	if res.Calls < 1000 || res.Answered < 300 || res.Abandoned == 0 {
+		t.Errorf("%d calls, %d stood, %d left early", res.Calls, res.Answered, res.Abandoned)
 	}
 }
 
@@ -117,8 +117,8 @@
 for = "4s"
 exchanges = [1]
 `)
-	if res.Failed == 0 || res.Stood == 0 || res.Unanswered > 0 {
-		t.Errorf("%d failed, %d stood, %d unanswered", res.Failed, res.Stood, res.Unanswered)
+	if res.Failed == 0 || res.Answered == 0 || res.Unanswered > 0 {
+		t.Errorf("%d failed, %d stood, %d unanswered", res.Failed, res.Answered, res.Unanswered)
 	}
 }
 
@@ -144,8 +144,8 @@
 at = "1500ms"
 exchanges = [0, 1]
 `)
-	if res.SwitchFell != 0 {
-		t.Errorf("%d switches fell", res.SwitchFell)
+	if res.SwitchCollapses != 0 {
+		t.Errorf("%d switches fell", res.SwitchCollapses)
 	}
 }
 
@@ -180,8 +180,8 @@
 for = "1s"
 exchanges = [2]
 `)
-	if res.Stood < 200 || res.Failed+res.Refused == 0 {
-		t.Errorf("%d stood, %d refused, %d failed", res.Stood, res.Refused, res.Failed)
+	if res.Answered < 200 || res.Failed+res.Refused == 0 {
+		t.Errorf("%d stood, %d refused, %d failed", res.Answered, res.Refused, res.Failed)
 	}
 }
 
@@ -200,7 +200,7 @@
 			t.Errorf("%q: %v, want %q", c.script, err, c.want)
 		}
 	}
-	if _, err := BadDay(); err != nil {
+	if _, err := BuiltInScript(); err != nil {
 		t.Error(err)
 	}
 }
@@ -223,7 +223,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := Virtual(context.Background(), s, VirtualOptions{})
+	res, err := RunVirtual(context.Background(), s, VirtualOptions{})
 	if err != nil || len(res.problems()) > 0 || res.Calls == 0 {
 		t.Errorf("on the virtual clock: %v, %v", res.problems(), err)
 	}
@@ -269,8 +269,8 @@
 local = 0.3
 redials = 0
 `+class)
-		if res.Stood != res.Calls || res.Calls < 60 {
-			t.Errorf("%s: %d of %d calls stood: causes %v", front, res.Stood, res.Calls, res.Causes)
+		if res.Answered != res.Calls || res.Calls < 60 {
+			t.Errorf("%s: %d of %d calls stood: causes %v", front, res.Answered, res.Calls, res.Causes)
 		}
 	}
 }
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -20,17 +20,17 @@
 
 // RecordsOptions are how `lab records` measures.
 type RecordsOptions struct {
-	Rate     float64       // calls a second of the delays
-	Step     time.Duration // of each pass
-	Records  int           // that are made durable
-	Dir      string        // on the disk that is measured; "" is the system's for temporary files
-	Progress io.Writer
+	Rate         float64       // calls a second of the delays
+	PassDuration time.Duration // of each pass
+	Records      int           // that are made durable
+	Dir          string        // on the disk that is measured; "" is the system's for temporary files
+	Progress     io.Writer
 }
 
 // RecordsResult is what records cost. Delays are from NEW to ANSWER at the callers' sockets.
 type RecordsResult struct {
 	DurablePerSecond float64            `json:"records_durable_per_second"` // one writer, one core
-	PerCommit        float64            `json:"records_per_commit"`
+	RecordsPerCommit float64            `json:"records_per_commit"`
 	BytesPerRecord   float64            `json:"bytes_per_record"` // on disk, after they are sorted
 	EncodedBytes     float64            `json:"encoded_bytes"`
 	ExportPerSecond  map[string]float64 `json:"export_records_per_second"` // by format, to a directory
@@ -40,12 +40,12 @@
 	Rate             float64            `json:"at_calls_per_second"`
 	RecoveryMS       map[string]float64 `json:"recovery_ms"` // by calls that stood at the kill
 	Calls            int                `json:"calls"`
-	RulesBroken      int                `json:"rules_broken"` // no pass of this lab is captured: lab calls and days are
+	ViolationCount   int                `json:"rules_broken"` // no pass of this lab is captured: lab calls and days are
 	Cores            int                `json:"cores"`
 }
 
-// Records measures what keeping records costs, and how fast they come back after a kill.
-func Records(ctx context.Context, o RecordsOptions) (*RecordsResult, error) {
+// MeasureRecords measures what keeping records costs, and how fast they come back after a kill.
+func MeasureRecords(ctx context.Context, o RecordsOptions) (*RecordsResult, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
@@ -59,7 +59,7 @@
 	if err := r.durable(filepath.Join(dir, "durable"), o.Records); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(o.Progress, "%.0f records a second durable, %.0f a commit\n", r.DurablePerSecond, r.PerCommit)
+	fmt.Fprintf(o.Progress, "%.0f records a second durable, %.0f a commit\n", r.DurablePerSecond, r.RecordsPerCommit)
 	for _, open := range []int{1000, 10_000, 100_000} {
 		if err := r.recovery(filepath.Join(dir, fmt.Sprint("open-", open)), open); err != nil {
 			return nil, err
@@ -71,7 +71,7 @@
 		if mode != "none" {
 			tables = fmt.Sprintf("[records]\ndir = %q\nanswer = %q\n", filepath.Join(dir, "calls-"+mode), mode)
 		}
-		p, err := callsThrough(ctx, callsPass{rate: o.Rate, length: o.Step, tables: tables})
+		p, err := callsThrough(ctx, callsPass{rate: o.Rate, length: o.PassDuration, tables: tables})
 		if err != nil {
 			return nil, err
 		}
@@ -128,7 +128,7 @@
 		}
 	}
 	r.DurablePerSecond = float64(n) / time.Since(began).Seconds()
-	r.PerCommit = float64(n) / float64(rec.Status().Commits)
+	r.RecordsPerCommit = float64(n) / float64(rec.Status().Commits)
 	one := costRecord(rec.ID(1))
 	one.Charge = crashTariffs().Rate(&one)
 	r.EncodedBytes = float64(len(one.Encode(nil)))
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -67,23 +67,25 @@
 
 // DayRecords is what the audit of a day's records found.
 type DayRecords struct {
-	Records   int      `json:"records"` // of all routers, tandems included
-	Recovered int      `json:"recovered"`
-	Unrated   int      `json:"unrated"`
-	Looked    int      `json:"tries_looked_for"`
-	Missing   int      `json:"missing"`
-	Doubled   int      `json:"doubled"`
-	AtRisk    int      `json:"at_risk"` // missing at a router that was killed and had answered before records were durable
-	Wrong     int      `json:"wrong"`   // another end than the capture shows
-	Found     []string `json:"found,omitempty"`
+	Records      int      `json:"records"` // of all routers, tandems included
+	Recovered    int      `json:"recovered"`
+	Unrated      int      `json:"unrated"`
+	TriesChecked int      `json:"tries_looked_for"`
+	Missing      int      `json:"missing"`
+	Duplicated   int      `json:"doubled"`
+	AtRisk       int      `json:"at_risk"` // missing at a router that was killed and had answered before records were durable
+	Wrong        int      `json:"wrong"`   // another end than the capture shows
+	Problems     []string `json:"found,omitempty"`
 }
 
 // Good tells whether every call that the capture shows has its one record.
-func (d *DayRecords) Good() bool { return d.Missing+d.Doubled+d.Wrong+len(d.Found)+d.Unrated == 0 }
+func (d *DayRecords) Good() bool {
+	return d.Missing+d.Duplicated+d.Wrong+len(d.Problems)+d.Unrated == 0
+}
 
 func (d *DayRecords) find(format string, args ...any) {
-	if len(d.Found) < 50 {
-		d.Found = append(d.Found, fmt.Sprintf(format, args...))
+	if len(d.Problems) < 50 {
+		d.Problems = append(d.Problems, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -151,11 +153,11 @@
 	for _, t := range tries {
 		got := have[t.Router][t.Call]
 		answered := t.Outcome == rules.Answered || t.Outcome == rules.Refused || t.Outcome == rules.Failed
-		d.Looked++
+		d.TriesChecked++
 		what := "router " + strconv.Itoa(t.Router) + ", call " + t.Call + ", " + string(t.Outcome) + " by the capture"
 		switch {
 		case twice(got):
-			d.Doubled++
+			d.Duplicated++
 			d.find("%s: %d records", what, len(got))
 		case len(got) == 0 && unproven[t.Router]:
 			d.AtRisk++
--- a/internal/lab/script.go
+++ b/internal/lab/script.go
@@ -22,64 +22,64 @@
 	Virtual bool          `toml:"virtual"` // it has troubles of the virtual clock alone
 	Fleet   FleetSpec     `toml:"fleet"`
 	Load    LoadSpec      `toml:"load"`
-	Class   []ClassSpec   `toml:"class"`
-	Trouble []Trouble     `toml:"trouble"`
+	Classes []ClassSpec   `toml:"class"`
+	Faults  []Fault       `toml:"trouble"`
 }
 
 // FleetSpec is the [fleet] table.
 type FleetSpec struct {
-	Exchanges    int           `toml:"exchanges"`
-	Regions      []string      `toml:"regions"`
-	Circuits     int           `toml:"circuits"` // of a group, on average
-	Spread       float64       `toml:"spread"`   // they differ by this part either way
-	Unlinked     float64       `toml:"unlinked"` // share of pairs without a group
-	SetUpRate    float64       `toml:"setup_rate"`
-	QueueWait    time.Duration `toml:"queue_wait"`
-	Lines        int           `toml:"lines"`
-	Ring         time.Duration `toml:"ring"`
-	ColdFrom     float64       `toml:"cold_from"`
-	ColdFor      time.Duration `toml:"cold_for"`
-	FallMultiple float64       `toml:"fall_multiple"`
-	FallWindow   time.Duration `toml:"fall_window"`
-	DrainGrace   time.Duration `toml:"drain_grace"`
-	ReleaseWait  time.Duration `toml:"release_wait"`
-	SameDelay    time.Duration `toml:"same_delay"`  // one way between exchanges of a region
-	CrossDelay   time.Duration `toml:"cross_delay"` // and between regions
-	Jitter       time.Duration `toml:"jitter"`
-	Lose         float64       `toml:"lose"` // of datagrams between routers
-	Repeat       float64       `toml:"repeat"`
-	ListLag      time.Duration `toml:"list_lag"`
-	AcceptDelay  time.Duration `toml:"accept_delay"`
-	Front        string        `toml:"front"` // between routers: iax2, m3ua, or mixed
+	Exchanges        int           `toml:"exchanges"`
+	Regions          []string      `toml:"regions"`
+	Circuits         int           `toml:"circuits"` // of a group, on average
+	CircuitSpread    float64       `toml:"spread"`   // they differ by this part either way
+	UnlinkedShare    float64       `toml:"unlinked"` // share of pairs without a group
+	SetUpRate        float64       `toml:"setup_rate"`
+	QueueWait        time.Duration `toml:"queue_wait"`
+	Lines            int           `toml:"lines"`
+	RingTime         time.Duration `toml:"ring"`
+	ColdCapacity     float64       `toml:"cold_from"`
+	ColdDuration     time.Duration `toml:"cold_for"`
+	OverloadMultiple float64       `toml:"fall_multiple"`
+	OverloadWindow   time.Duration `toml:"fall_window"`
+	DrainGrace       time.Duration `toml:"drain_grace"`
+	ReleaseWait      time.Duration `toml:"release_wait"`
+	RegionDelay      time.Duration `toml:"same_delay"`  // one way between exchanges of a region
+	CrossRegionDelay time.Duration `toml:"cross_delay"` // and between regions
+	Jitter           time.Duration `toml:"jitter"`
+	LossRate         float64       `toml:"lose"` // of datagrams between routers
+	DuplicateRate    float64       `toml:"repeat"`
+	ListLag          time.Duration `toml:"list_lag"`
+	AcceptDelay      time.Duration `toml:"accept_delay"`
+	Front            string        `toml:"front"` // between routers: iax2, m3ua, or mixed
 }
 
 // LoadSpec is the [load] table.
 type LoadSpec struct {
-	Rate    float64       `toml:"rate"`  // first tries a second, over all exchanges
-	Local   float64       `toml:"local"` // share of calls to the own exchange
-	Redials int           `toml:"redials"`
-	Backoff time.Duration `toml:"backoff"`
+	Rate       float64       `toml:"rate"`  // first tries a second, over all exchanges
+	LocalShare float64       `toml:"local"` // share of calls to the own exchange
+	MaxRedials int           `toml:"redials"`
+	Backoff    time.Duration `toml:"backoff"`
 }
 
 // ClassSpec is one [[class]].
 type ClassSpec struct {
-	Name      string        `toml:"name"`
-	Share     float64       `toml:"share"`
-	Hold      time.Duration `toml:"hold"`
-	Aim       time.Duration `toml:"aim"`
-	Patience  time.Duration `toml:"patience"`
-	Deadline  time.Duration `toml:"deadline"`
-	Worth     float64       `toml:"worth"`
-	LateWorth float64       `toml:"late_worth"`
+	Name        string        `toml:"name"`
+	Share       float64       `toml:"share"`
+	HoldTime    time.Duration `toml:"hold"`
+	SetupTarget time.Duration `toml:"aim"`
+	Patience    time.Duration `toml:"patience"`
+	Deadline    time.Duration `toml:"deadline"`
+	Value       float64       `toml:"worth"`
+	LateValue   float64       `toml:"late_worth"`
 }
 
-// Trouble is one [[trouble]].
-type Trouble struct {
+// Fault is one [[trouble]].
+type Fault struct {
 	Kind      string        `toml:"kind"`
 	At        time.Duration `toml:"at"`
 	For       time.Duration `toml:"for"`
 	Exchanges []int         `toml:"exchanges"` // struck; if none are named, a part of them
-	Part      float64       `toml:"part"`
+	Share     float64       `toml:"part"`
 	Region    string        `toml:"region"`
 	Size      float64       `toml:"size"`
 }
@@ -124,8 +124,8 @@
 	"retry_abuse":     {0, 0, 0, false, "callers redial at once", false},
 }
 
-// KindNames lists the kinds of trouble with what their size means.
-func KindNames() []string {
+// FaultKindHelp lists the kinds of trouble with what their size means.
+func FaultKindHelp() []string {
 	var out []string
 	for _, k := range slices.Sorted(maps.Keys(kinds)) {
 		out = append(out, fmt.Sprintf("%-16s %s", k, kinds[k].what))
@@ -139,8 +139,8 @@
 //go:embed badday.toml
 var badDay []byte
 
-// BadDay is the day that is played where no script is named.
-func BadDay() (*Script, error) { return ParseScript("badday.toml", badDay) }
+// BuiltInScript is the day that is played where no script is named.
+func BuiltInScript() (*Script, error) { return ParseScript("badday.toml", badDay) }
 
 // LoadScript reads a script.
 func LoadScript(path string) (*Script, error) {
@@ -154,10 +154,10 @@
 func defaultScript() Script {
 	return Script{Name: "day", Length: 20 * time.Second, Seed: 1,
 		Fleet: FleetSpec{Exchanges: 8, Regions: []string{"metro"}, Circuits: 30, SetUpRate: 120, QueueWait: 800 * time.Millisecond,
-			Lines: 400, Ring: 20 * time.Millisecond, ColdFrom: 0.3, ColdFor: 5 * time.Second, FallMultiple: 3,
-			FallWindow: 2 * time.Second, DrainGrace: time.Second, ReleaseWait: 300 * time.Millisecond,
+			Lines: 400, RingTime: 20 * time.Millisecond, ColdCapacity: 0.3, ColdDuration: 5 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: 2 * time.Second, DrainGrace: time.Second, ReleaseWait: 300 * time.Millisecond,
 			ListLag: 100 * time.Millisecond, AcceptDelay: 100 * time.Millisecond, Front: "iax2"},
-		Load: LoadSpec{Rate: 100, Redials: 2, Backoff: 700 * time.Millisecond}}
+		Load: LoadSpec{Rate: 100, MaxRedials: 2, Backoff: 700 * time.Millisecond}}
 }
 
 // ParseScript reads and checks a script; everything wrong is reported at once.
@@ -185,8 +185,8 @@
 	if f.Circuits < 1 {
 		d.Report("fleet.circuits", "%d is under 1", f.Circuits)
 	}
-	for key, x := range map[string]float64{"fleet.spread": f.Spread, "fleet.unlinked": f.Unlinked, "fleet.lose": f.Lose,
-		"fleet.repeat": f.Repeat, "load.local": s.Load.Local} {
+	for key, x := range map[string]float64{"fleet.spread": f.CircuitSpread, "fleet.unlinked": f.UnlinkedShare, "fleet.lose": f.LossRate,
+		"fleet.repeat": f.DuplicateRate, "load.local": s.Load.LocalShare} {
 		if x < 0 || x > 1 {
 			d.Report(key, "%v is not a share from 0 to 1", x)
 		}
@@ -197,42 +197,42 @@
 	if f.SetUpRate <= 0 {
 		d.Report("fleet.setup_rate", "%v must be above zero", f.SetUpRate)
 	}
-	if f.ColdFrom <= 0 || f.ColdFrom > 1 {
-		d.Report("fleet.cold_from", "%v is not a share above 0, up to 1", f.ColdFrom)
+	if f.ColdCapacity <= 0 || f.ColdCapacity > 1 {
+		d.Report("fleet.cold_from", "%v is not a share above 0, up to 1", f.ColdCapacity)
 	}
 	if s.Load.Rate <= 0 || s.Load.Rate > 5000 {
 		d.Report("load.rate", "%v is not above 0, up to 5000", s.Load.Rate)
 	}
-	if s.Load.Redials < 0 {
-		d.Report("load.redials", "%d is negative", s.Load.Redials)
+	if s.Load.MaxRedials < 0 {
+		d.Report("load.redials", "%d is negative", s.Load.MaxRedials)
 	}
 	s.checkClasses(d)
-	for i := range s.Trouble {
-		s.checkTrouble(d, fmt.Sprintf("trouble[%d]", i+1), &s.Trouble[i])
+	for i := range s.Faults {
+		s.checkTrouble(d, fmt.Sprintf("trouble[%d]", i+1), &s.Faults[i])
 	}
 }
 
 func (s *Script) checkClasses(d *tomlbind.Doc) {
-	if len(s.Class) == 0 {
+	if len(s.Classes) == 0 {
 		d.Report("class", "at least one [[class]] is needed")
 	}
 	sum := 0.0
-	for i, c := range s.Class {
+	for i, c := range s.Classes {
 		key := fmt.Sprintf("class[%d]", i+1)
 		if c.Name == "" {
 			d.Report(key+".name", "a name is needed")
 		}
-		if c.Share <= 0 || c.Hold <= 0 || c.Aim <= 0 || c.Patience <= 0 || c.Deadline < c.Patience || c.Worth <= 0 {
+		if c.Share <= 0 || c.HoldTime <= 0 || c.SetupTarget <= 0 || c.Patience <= 0 || c.Deadline < c.Patience || c.Value <= 0 {
 			d.Report(key, "share, hold, aim, patience and worth must be above zero, and the deadline not before the patience")
 		}
 		sum += c.Share
 	}
-	if len(s.Class) > 0 && (sum < 0.999 || sum > 1.001) {
+	if len(s.Classes) > 0 && (sum < 0.999 || sum > 1.001) {
 		d.Report("class", "the shares add up to %v, not to 1", sum)
 	}
 }
 
-func (s *Script) checkTrouble(d *tomlbind.Doc, key string, t *Trouble) {
+func (s *Script) checkTrouble(d *tomlbind.Doc, key string, t *Fault) {
 	k, ok := kinds[t.Kind]
 	if !ok {
 		d.Report(key+".kind", "%q is none of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
@@ -250,8 +250,8 @@
 	if t.At < 0 || t.At >= s.Length || t.For < 0 {
 		d.Report(key+".at", "it begins at %v, which is not within the day", t.At)
 	}
-	if t.Part < 0 || t.Part > 1 {
-		d.Report(key+".part", "%v is not a share from 0 to 1", t.Part)
+	if t.Share < 0 || t.Share > 1 {
+		d.Report(key+".part", "%v is not a share from 0 to 1", t.Share)
 	}
 	for _, x := range t.Exchanges {
 		if x < 0 || x >= s.Fleet.Exchanges {
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Shrink cuts a failing day down to the fewest troubles, exchanges and calls that still fail.
-func Shrink(ctx context.Context, s *Script, o VirtualOptions) *Script {
+// ShrinkScript cuts a failing day down to the fewest troubles, exchanges and calls that still fail.
+func ShrinkScript(ctx context.Context, s *Script, o VirtualOptions) *Script {
 	fails := func(c *Script) bool {
-		res, err := Virtual(ctx, c, o)
+		res, err := RunVirtual(ctx, c, o)
 		return err == nil && len(res.problems()) > 0
 	}
 	best := clone(s)
@@ -26,8 +26,8 @@
 	}
 	for again := true; again && ctx.Err() == nil; {
 		again = false
-		for i := 0; i < len(best.Trouble); {
-			if try(func(c *Script) { c.Trouble = slices.Delete(c.Trouble, i, i+1) }) {
+		for i := 0; i < len(best.Faults); {
+			if try(func(c *Script) { c.Faults = slices.Delete(c.Faults, i, i+1) }) {
 				again = true
 			} else {
 				i++
@@ -38,8 +38,8 @@
 			func(c *Script) { c.Fleet.Exchanges = max(2, c.Fleet.Exchanges-1) },
 			func(c *Script) { c.Load.Rate = max(0.5, c.Load.Rate/2) },
 			func(c *Script) { c.Length = max(time.Second, c.Length*2/3) },
-			func(c *Script) { c.Load.Redials = 0 },
-			func(c *Script) { c.Fleet.Lose, c.Fleet.Repeat = 0, 0 },
+			func(c *Script) { c.Load.MaxRedials = 0 },
+			func(c *Script) { c.Fleet.LossRate, c.Fleet.DuplicateRate = 0, 0 },
 			func(c *Script) { c.Fleet.Jitter = 0 },
 			func(c *Script) { c.Fleet.Regions = c.Fleet.Regions[:1] },
 		} {
@@ -57,21 +57,21 @@
 
 func clone(s *Script) *Script {
 	c := *s
-	c.Trouble = slices.Clone(s.Trouble)
-	for i := range c.Trouble {
-		c.Trouble[i].Exchanges = slices.Clone(s.Trouble[i].Exchanges)
+	c.Faults = slices.Clone(s.Faults)
+	for i := range c.Faults {
+		c.Faults[i].Exchanges = slices.Clone(s.Faults[i].Exchanges)
 	}
-	c.Class, c.Fleet.Regions = slices.Clone(s.Class), slices.Clone(s.Fleet.Regions)
+	c.Classes, c.Fleet.Regions = slices.Clone(s.Classes), slices.Clone(s.Fleet.Regions)
 	return &c
 }
 
 // fit drops what a smaller fleet or a shorter day has no place for.
 func (s *Script) fit() {
-	s.Trouble = slices.DeleteFunc(s.Trouble, func(t Trouble) bool {
+	s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool {
 		return t.At >= s.Length || t.Region != "" && !slices.Contains(s.Fleet.Regions, t.Region)
 	})
-	for i := range s.Trouble {
-		s.Trouble[i].Exchanges = slices.DeleteFunc(s.Trouble[i].Exchanges, func(x int) bool { return x >= s.Fleet.Exchanges })
+	for i := range s.Faults {
+		s.Faults[i].Exchanges = slices.DeleteFunc(s.Faults[i].Exchanges, func(x int) bool { return x >= s.Fleet.Exchanges })
 	}
 }
 
@@ -88,20 +88,20 @@
 func durations(s *Script) map[string]any {
 	f, l := &s.Fleet, &s.Load
 	out := map[string]any{"name": s.Name, "length": s.Length.String(), "seed": int64(s.Seed), "virtual": s.Virtual,
-		"fleet": map[string]any{"exchanges": f.Exchanges, "regions": f.Regions, "circuits": f.Circuits, "spread": f.Spread,
-			"unlinked": f.Unlinked, "setup_rate": f.SetUpRate, "queue_wait": f.QueueWait.String(), "lines": f.Lines,
-			"ring": f.Ring.String(), "cold_from": f.ColdFrom, "cold_for": f.ColdFor.String(), "fall_multiple": f.FallMultiple,
-			"fall_window": f.FallWindow.String(), "drain_grace": f.DrainGrace.String(), "release_wait": f.ReleaseWait.String(),
-			"same_delay": f.SameDelay.String(), "cross_delay": f.CrossDelay.String(), "jitter": f.Jitter.String(), "lose": f.Lose,
-			"repeat": f.Repeat, "list_lag": f.ListLag.String(), "accept_delay": f.AcceptDelay.String(), "front": f.Front},
-		"load": map[string]any{"rate": l.Rate, "local": l.Local, "redials": l.Redials, "backoff": l.Backoff.String()}}
+		"fleet": map[string]any{"exchanges": f.Exchanges, "regions": f.Regions, "circuits": f.Circuits, "spread": f.CircuitSpread,
+			"unlinked": f.UnlinkedShare, "setup_rate": f.SetUpRate, "queue_wait": f.QueueWait.String(), "lines": f.Lines,
+			"ring": f.RingTime.String(), "cold_from": f.ColdCapacity, "cold_for": f.ColdDuration.String(), "fall_multiple": f.OverloadMultiple,
+			"fall_window": f.OverloadWindow.String(), "drain_grace": f.DrainGrace.String(), "release_wait": f.ReleaseWait.String(),
+			"same_delay": f.RegionDelay.String(), "cross_delay": f.CrossRegionDelay.String(), "jitter": f.Jitter.String(), "lose": f.LossRate,
+			"repeat": f.DuplicateRate, "list_lag": f.ListLag.String(), "accept_delay": f.AcceptDelay.String(), "front": f.Front},
+		"load": map[string]any{"rate": l.Rate, "local": l.LocalShare, "redials": l.MaxRedials, "backoff": l.Backoff.String()}}
 	var classes, troubles []map[string]any
-	for _, c := range s.Class {
-		classes = append(classes, map[string]any{"name": c.Name, "share": c.Share, "hold": c.Hold.String(), "aim": c.Aim.String(),
-			"patience": c.Patience.String(), "deadline": c.Deadline.String(), "worth": c.Worth, "late_worth": c.LateWorth})
+	for _, c := range s.Classes {
+		classes = append(classes, map[string]any{"name": c.Name, "share": c.Share, "hold": c.HoldTime.String(), "aim": c.SetupTarget.String(),
+			"patience": c.Patience.String(), "deadline": c.Deadline.String(), "worth": c.Value, "late_worth": c.LateValue})
 	}
-	for _, t := range s.Trouble {
-		m := map[string]any{"kind": t.Kind, "at": t.At.String(), "for": t.For.String(), "part": t.Part, "size": t.Size}
+	for _, t := range s.Faults {
+		m := map[string]any{"kind": t.Kind, "at": t.At.String(), "for": t.For.String(), "part": t.Share, "size": t.Size}
 		if len(t.Exchanges) > 0 {
 			m["exchanges"] = t.Exchanges
 		}
--- a/internal/lab/start.go
+++ b/internal/lab/start.go
@@ -22,24 +22,24 @@
 
 // StartCase is what callers met in the first seconds of one kind of start.
 type StartCase struct {
-	Case         string    `json:"case"`
-	Share        float64   `json:"answered_share_first_20s"`
-	BySecond     []float64 `json:"answered_share_by_second"` // of the tries dialled in each; -1 where none was
-	FirstAnswer  float64   `json:"seconds_to_first_answer"`  // the first second with a try that stood; -1 is none
-	Calls        int       `json:"calls"`
-	Stood        int       `json:"stood"`
-	RulesBroken  int       `json:"rules_broken"`
-	SwitchesFell int       `json:"switches_fallen"`
-	Broken       []string  `json:"broken,omitempty"`
+	Case            string    `json:"case"`
+	Share           float64   `json:"answered_share_first_20s"`
+	BySecond        []float64 `json:"answered_share_by_second"` // of the tries dialled in each; -1 where none was
+	FirstAnswer     float64   `json:"seconds_to_first_answer"`  // the first second with a try that stood; -1 is none
+	Calls           int       `json:"calls"`
+	Answered        int       `json:"stood"`
+	ViolationCount  int       `json:"rules_broken"`
+	SwitchCollapses int       `json:"switches_fallen"`
+	Violations      []string  `json:"broken,omitempty"`
 }
 
 // StartResult is what `lab start` came to; the counts add up all cases.
 type StartResult struct {
-	Front       string      `json:"front"`
-	Cases       []StartCase `json:"cases"`
-	RulesBroken int         `json:"rules_broken"`
-	Calls       int         `json:"calls"`
-	Stood       int         `json:"stood"`
+	Front          string      `json:"front"`
+	Cases          []StartCase `json:"cases"`
+	ViolationCount int         `json:"rules_broken"`
+	Calls          int         `json:"calls"`
+	Answered       int         `json:"stood"`
 }
 
 // startCase is one kind of start: a fleet, and what starts when.
@@ -96,8 +96,8 @@
 	return ParseScript("start.toml", []byte(text))
 }
 
-// Start plays each kind of start on loopback and tells the share of calls answered in the first 20 s.
-func Start(ctx context.Context, o StartOptions) (*StartResult, error) {
+// MeasureStart plays each kind of start on loopback and tells the share of calls answered in the first 20 s.
+func MeasureStart(ctx context.Context, o StartOptions) (*StartResult, error) {
 	res := &StartResult{Front: o.Front}
 	for _, c := range startCases {
 		got, err := startOne(ctx, c, o)
@@ -106,9 +106,9 @@
 		}
 		fmt.Fprintf(o.Progress, "%s: %.3f of %d tries in the first %d s answered\n", c.name, got.Share, got.Calls, startWatch)
 		res.Cases = append(res.Cases, *got)
-		res.RulesBroken += got.RulesBroken
+		res.ViolationCount += got.ViolationCount
 		res.Calls += got.Calls
-		res.Stood += got.Stood
+		res.Answered += got.Answered
 	}
 	return res, nil
 }
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	day.take(rep)
-	out := &StartCase{Case: c.name, RulesBroken: day.RulesBroken, Broken: day.Broken, SwitchesFell: day.SwitchFell, FirstAnswer: -1}
+	out := &StartCase{Case: c.name, ViolationCount: day.ViolationCount, Violations: day.Violations, SwitchCollapses: day.SwitchCollapses, FirstAnswer: -1}
 	for _, t := range seconds {
 		share := -1.0
 		if t.Tries > 0 {
@@ -145,10 +145,10 @@
 		}
 		out.BySecond = append(out.BySecond, share)
 		out.Calls += t.Tries
-		out.Stood += t.Answered
+		out.Answered += t.Answered
 	}
 	if out.Calls > 0 {
-		out.Share = float64(out.Stood) / float64(out.Calls)
+		out.Share = float64(out.Answered) / float64(out.Calls)
 	}
 	out.FirstAnswer = float64(slices.IndexFunc(seconds, func(t standin.Tally) bool { return t.Answered > 0 }))
 	return out, nil
--- a/internal/lab/trouble.go
+++ b/internal/lab/trouble.go
@@ -20,29 +20,29 @@
 // steps turns the script's troubles into what happens when, in order.
 func (f *fleet) steps() []step {
 	var all []step
-	for i := range f.script.Trouble {
-		all = append(all, f.trouble(&f.script.Trouble[i])...)
+	for i := range f.script.Faults {
+		all = append(all, f.trouble(&f.script.Faults[i])...)
 	}
 	slices.SortStableFunc(all, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
 // struck are the exchanges that a trouble names, or draws.
-func (f *fleet) struck(t *Trouble) []int {
+func (f *fleet) struck(t *Fault) []int {
 	if len(t.Exchanges) > 0 {
 		return t.Exchanges
 	}
 	n := f.script.Fleet.Exchanges
-	if t.Part == 0 {
-		t.Part = 1
+	if t.Share == 0 {
+		t.Share = 1
 	}
-	k := max(1, int(t.Part*float64(n)+0.5))
+	k := max(1, int(t.Share*float64(n)+0.5))
 	out := f.rng.Perm(n)[:k]
 	slices.Sort(out)
 	return out
 }
 
-func (f *fleet) trouble(t *Trouble) []step {
+func (f *fleet) trouble(t *Fault) []step {
 	at := f.struck(t)
 	begin := func(do func() error) step { return step{t.At, t.Kind + " begins", do} }
 	end := func(do func() error) step { return step{t.At + t.For, t.Kind + " ends", do} }
@@ -158,7 +158,7 @@
 }
 
 // deploy drains, stops and replaces the struck processors one after another.
-func (f *fleet) deploy(t *Trouble, at []int) (out []step) {
+func (f *fleet) deploy(t *Fault, at []int) (out []step) {
 	drain := time.Duration(t.Size * float64(time.Second))
 	for i, x := range at {
 		from := t.At + t.For*time.Duration(i)/time.Duration(len(at))
@@ -172,7 +172,7 @@
 	return out
 }
 
-func (f *fleet) processors(t *Trouble, at []int, begin, end func(func() error) step) []step {
+func (f *fleet) processors(t *Fault, at []int, begin, end func(func() error) step) []step {
 	each := func(do func(x int)) func() error {
 		return func() error {
 			for _, x := range at {
@@ -201,7 +201,7 @@
 }
 
 // strikeRegion strikes the links or groups between a region and the others.
-func (f *fleet) strikeRegion(t *Trouble, both func(func(bool) error) []step) []step {
+func (f *fleet) strikeRegion(t *Fault, both func(func(bool) error) []step) []step {
 	return both(func(on bool) error {
 		for _, p := range f.pairs() {
 			l := f.links[p]
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -27,18 +27,18 @@
 
 // VirtualOptions are how a day is played on the virtual clock.
 type VirtualOptions struct {
-	Mutate string  // the name of a planted bug in one router, "" is none
-	Drift  float64 // clocks of routers differ by up to this part
-	Steps  bool    // stop at the first rule that is broken
-	Watch  func(capture.Packet)
+	Mutation        string  // the name of a planted bug in one router, "" is none
+	Drift           float64 // clocks of routers differ by up to this part
+	StopAtViolation bool    // stop at the first rule that is broken
+	OnPacket        func(capture.Packet)
 }
 
 // VirtualResult is a day's result with what the world did.
 type VirtualResult struct {
 	DayResult
-	Trace   uint64        `json:"trace"` // hash of all that was delivered
-	Steps   uint64        `json:"steps"`
-	Virtual time.Duration `json:"virtual_ns"`
+	Trace       uint64        `json:"trace"` // hash of all that was delivered
+	Steps       uint64        `json:"steps"`
+	VirtualTime time.Duration `json:"virtual_ns"`
 
 	firstCall string // that a rule was broken for
 }
@@ -76,9 +76,9 @@
 func (g *virtual) streamAddr(p [2]int) netip.AddrPort { return vnet.RouterAddr(p[1]) }
 
 func (g *virtual) begin(x int, set *config.Settings) (router, error) {
-	o := vnet.RouterOptions{Disk: g.disks[x], Life: g.lives[x], Drift: g.drifts[x]}
+	o := vnet.RouterOptions{Disk: g.disks[x], Incarnation: g.lives[x], Drift: g.drifts[x]}
 	if x == 0 {
-		o.Mutate = g.mutation
+		o.Mutation = g.mutation
 	}
 	g.lives[x]++
 	r, err := g.w.Start(x, set, o)
@@ -234,7 +234,7 @@
 }
 
 // strike begins or ends a trouble that only this ground knows.
-func (g *virtual) strike(t *Trouble, at []int, on bool) {
+func (g *virtual) strike(t *Fault, at []int, on bool) {
 	for _, p := range g.f.pairs() {
 		l := g.w.Link(p[0], p[1])
 		faults := l.Faults()
@@ -242,18 +242,18 @@
 		across := (g.f.region(p[0]) == t.Region) != (g.f.region(p[1]) == t.Region)
 		switch {
 		case t.Kind == "reorder" && inside:
-			faults.Reorder, faults.Held = 0, 0
+			faults.ReorderRate, faults.MaxReorderDelay = 0, 0
 			if on {
-				faults.Reorder, faults.Held = t.Size, 80*time.Millisecond
+				faults.ReorderRate, faults.MaxReorderDelay = t.Size, 80*time.Millisecond
 			}
 		case t.Kind == "stall" && across:
 			faults.Stall = on
 		case t.Kind == "half_cut" && across:
-			faults.HalfCut = on
+			faults.Blackhole = on
 		default:
 			continue
 		}
-		l.SetAll(faults)
+		l.SetFaults(faults)
 	}
 	for _, x := range at {
 		switch t.Kind {
@@ -261,13 +261,13 @@
 			g.disks[x].Full, g.unproven[x] = on, true
 		case "disk_slow":
 			g.unproven[x] = true
-			g.disks[x].Sync = diskSync
+			g.disks[x].SyncTime = diskSync
 			if on {
-				g.disks[x].Sync = time.Duration(t.Size * float64(diskSync))
+				g.disks[x].SyncTime = time.Duration(t.Size * float64(diskSync))
 			}
 		case "clock_set":
 			if r, ok := g.f.routers[x].(*vnet.Router); ok && on {
-				r.SetClock(time.Duration(t.Size * float64(time.Second)))
+				r.AdjustClock(time.Duration(t.Size * float64(time.Second)))
 			}
 		}
 	}
@@ -281,11 +281,11 @@
 	g = &virtual{f: f, w: w, o: o, unproven: map[int]bool{}, disks: make([]*vnet.Disk, n), lives: make([]int, n), drifts: make([]float64, n)}
 	g.register = &vregister{g: g, views: make([]view, n)}
 	f.ground, f.register = g, g.register
-	if o.Mutate != "" {
+	if o.Mutation != "" {
 		all := vnet.Mutations()
-		i := slices.IndexFunc(all, func(m *vnet.Mutation) bool { return m.Name == o.Mutate })
+		i := slices.IndexFunc(all, func(m *vnet.Mutation) bool { return m.Name == o.Mutation })
 		if i < 0 {
-			return nil, fmt.Errorf("no planted bug is named %q", o.Mutate)
+			return nil, fmt.Errorf("no planted bug is named %q", o.Mutation)
 		}
 		g.mutation = all[i]
 	}
@@ -345,24 +345,24 @@
 // run plays until a time, and stops at a broken rule if that is asked for.
 func (g *virtual) run(until time.Duration, c *rules.Checker) error {
 	for g.w.Step(until) {
-		if g.o.Steps && len(c.Violations()) > 0 {
+		if g.o.StopAtViolation && len(c.Violations()) > 0 {
 			return errBrokenRule
 		}
 	}
 	return nil
 }
 
-// Virtual plays a script on the virtual clock, with the rules checked after every step from what crossed the network.
-func Virtual(ctx context.Context, s *Script, o VirtualOptions) (*VirtualResult, error) {
+// RunVirtual plays a script on the virtual clock, with the rules checked after every step from what crossed the network.
+func RunVirtual(ctx context.Context, s *Script, o VirtualOptions) (*VirtualResult, error) {
 	copied := *s // troubles fill in what they leave open
-	copied.Trouble = slices.Clone(s.Trouble)
+	copied.Faults = slices.Clone(s.Faults)
 	s = &copied
 	began := time.Now()
 	res := &VirtualResult{DayResult: DayResult{Day: s.Name, Front: s.Fleet.Front}}
 	c := &rules.Checker{KeepTries: true, Exact: true}
 	tap := capture.NewSink(func(p capture.Packet) {
-		if o.Watch != nil {
-			o.Watch(p)
+		if o.OnPacket != nil {
+			o.OnPacket(p)
 		}
 		c.Packet(p)
 	})
@@ -383,7 +383,7 @@
 	if err == nil {
 		res.Records.match(report.TryDetails, res.kept, g.unproven)
 	}
-	res.Trace, res.Steps, res.Virtual = g.w.Trace(), g.w.Steps, g.w.Now()
+	res.Trace, res.Steps, res.VirtualTime = g.w.Trace(), g.w.Steps, g.w.Now()
 	res.WallSeconds = time.Since(began).Seconds()
 	return res, nil
 }
@@ -409,7 +409,7 @@
 		caller.Stop()
 	}
 	longest := time.Duration(0)
-	for _, class := range s.Class {
+	for _, class := range s.Classes {
 		longest = max(longest, class.Patience)
 	}
 	if err := g.run(g.w.Now()+longest+200*time.Millisecond, c); err != nil {
@@ -436,7 +436,7 @@
 		if err := g.run(g.w.Now()+time.Second, c); err != nil {
 			return err
 		}
-		if res.LeftOver, err = g.f.left(); err != nil || res.LeftOver == (Left{}) {
+		if res.LeftOver, err = g.f.left(); err != nil || res.LeftOver == (HeldResources{}) {
 			return err
 		}
 	}
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -12,12 +12,12 @@
 // Disk keeps keys and values as a synced disk does: a batch comes to be some time after it was committed, all of it or
 // nothing, and in order. A crash loses the batches that were on their way.
 type Disk struct {
-	w       *World
-	data    map[string][]byte
-	pending []*commit
-	Sync    time.Duration // of one commit
-	Full    bool          // commits wait until it is not
-	busy    time.Duration // until when the disk is at work
+	w        *World
+	data     map[string][]byte
+	pending  []*commit
+	SyncTime time.Duration // of one commit
+	Full     bool          // commits wait until it is not
+	busy     time.Duration // until when the disk is at work
 }
 
 type commit struct {
@@ -34,7 +34,7 @@
 
 // NewDisk returns an empty disk.
 func (w *World) NewDisk(sync time.Duration) *Disk {
-	return &Disk{w: w, data: map[string][]byte{}, Sync: sync}
+	return &Disk{w: w, data: map[string][]byte{}, SyncTime: sync}
 }
 
 // batch gathers changes.
@@ -53,7 +53,7 @@
 	c := &commit{ops: b.ops, done: done}
 	c.Value = func() { d.land(c) }
 	d.pending = append(d.pending, c)
-	d.busy = max(d.busy, d.w.now) + d.Sync
+	d.busy = max(d.busy, d.w.now) + d.SyncTime
 	d.w.queue.Set(&c.Entry, d.busy)
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// Now applies a batch at once: for what is done before a router serves.
-func (d *Disk) Now(build func(cdr.WriteBatch) error) error {
+// CommitNow applies a batch at once: for what is done before a router serves.
+func (d *Disk) CommitNow(build func(cdr.WriteBatch) error) error {
 	b := &batch{}
 	if err := build(b); err != nil {
 		return err
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -31,37 +31,37 @@
 // Router is a whole router on the virtual network: the node of the service on a clock, a socket, connections and a disk
 // of this world.
 type Router struct {
-	offset time.Duration // its clock on the wall is off by this
-	w      *World
-	x      int
-	set    *config.Settings
-	node   *node.Node
-	rng    *rand.Rand
-	start  time.Duration
-	drift  float64 // its clock runs so much faster
-	port   standin.Port
-	wake   timers.Entry[func()]
-	conns  map[isupfront.ConnID]*End
-	last   isupfront.ConnID
-	disk   *Disk
-	ledger *cdr.Ledger
-	clock  cdr.Clock
-	dead   bool
-	Mutate *Mutation // a planted bug; nil is none
+	offset   time.Duration // its clock on the wall is off by this
+	w        *World
+	x        int
+	set      *config.Settings
+	node     *node.Node
+	rng      *rand.Rand
+	start    time.Duration
+	drift    float64 // its clock runs so much faster
+	port     standin.Port
+	wake     timers.Entry[func()]
+	conns    map[isupfront.ConnID]*StreamEnd
+	last     isupfront.ConnID
+	disk     *Disk
+	ledger   *cdr.Ledger
+	clock    cdr.Clock
+	dead     bool
+	Mutation *Mutation // a planted bug; nil is none
 }
 
 // RouterOptions are what a router has beside its settings.
 type RouterOptions struct {
-	Disk   *Disk
-	Life   int     // how often it was started before
-	Drift  float64 // its clock runs so much faster than the world's
-	Mutate *Mutation
+	Disk        *Disk
+	Incarnation int     // how often it was started before
+	Drift       float64 // its clock runs so much faster than the world's
+	Mutation    *Mutation
 }
 
 // Start starts the router of an exchange.
 func (w *World) Start(x int, set *config.Settings, o RouterOptions) (*Router, error) {
-	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*End{}, disk: o.Disk, Mutate: o.Mutate,
-		rng: w.Rand(fmt.Sprintf("router %d life %d", x, o.Life))}
+	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*StreamEnd{}, disk: o.Disk, Mutation: o.Mutation,
+		rng: w.Rand(fmt.Sprintf("router %d life %d", x, o.Incarnation))}
 	r.wake.Value = r.due
 	ns := set.NodeSettings(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
 	if r.disk != nil {
@@ -70,7 +70,7 @@
 			return nil, err
 		}
 	}
-	r.Mutate.settings(&ns)
+	r.Mutation.settings(&ns)
 	r.node = node.New(ns)
 	var err error
 	if r.port, err = w.Open(RouterAddr(x), r); err != nil {
@@ -80,7 +80,7 @@
 		if g.Front != config.FrontISUP {
 			continue
 		}
-		w.Accept(RouterAddr(x), r.accept)
+		w.Listen(RouterAddr(x), r.accept)
 		if len(g.Connect) > 0 {
 			r.associate(g.To, firstPause)
 		}
@@ -98,11 +98,11 @@
 	if r.ledger, err = cdr.OpenLedger(r.disk, uint32(r.x), rater); err != nil {
 		return err
 	}
-	if err = r.disk.Now(func(b cdr.WriteBatch) error { r.ledger.StartIncarnation(b, r.wall()); return nil }); err != nil {
+	if err = r.disk.CommitNow(func(b cdr.WriteBatch) error { r.ledger.StartIncarnation(b, r.wall()); return nil }); err != nil {
 		return err
 	}
 	for n := 1; n > 0 && err == nil; {
-		err = r.disk.Now(func(b cdr.WriteBatch) (err error) {
+		err = r.disk.CommitNow(func(b cdr.WriteBatch) (err error) {
 			n, err = r.ledger.Recover(b, 100, func(cdr.ID, error) {})
 			return err
 		})
@@ -132,8 +132,8 @@
 // wall is the router's clock on the wall.
 func (r *Router) wall() time.Time { return r.w.Wall().Add(r.offset) }
 
-// SetClock sets the router's clock on the wall forward, or back.
-func (r *Router) SetClock(by time.Duration) {
+// AdjustClock sets the router's clock on the wall forward, or back.
+func (r *Router) AdjustClock(by time.Duration) {
 	r.offset += by
 	r.due()
 }
@@ -186,7 +186,7 @@
 	out := &r.node.IAX().Out
 	for i := range out.Len() {
 		to, b := out.At(i)
-		pass, more := r.Mutate.out(b)
+		pass, more := r.Mutation.out(b)
 		if pass {
 			r.port.Send(to, b)
 		}
@@ -225,7 +225,7 @@
 	for i := range made {
 		items = append(items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: r.set.CallRecord(&r.clock, r.ledger.ID(made[i].CallSeq), &made[i])})
 	}
-	items = r.Mutate.items(items)
+	items = r.Mutation.items(items)
 	ticket := made[len(made)-1].RecordSeq
 	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Put(b, items) }, func() {
 		if r.dead {
@@ -253,7 +253,7 @@
 	if r.dead {
 		return
 	}
-	r.Mutate.list(&l)
+	r.Mutation.list(&l)
 	now := r.now()
 	r.node.SetList(now, r.wall(), l)
 	r.settle(now)
@@ -294,23 +294,23 @@
 	r.dead = true
 	r.w.queue.Stop(&r.wake)
 	r.port.Close()
-	r.w.Accept(RouterAddr(r.x), nil)
+	r.w.Listen(RouterAddr(r.x), nil)
 	for id := isupfront.ConnID(1); id <= r.last; id++ { // in order: map order would differ from run to run
 		if e := r.conns[id]; e != nil {
-			e.Gone = nil
+			e.OnClose = nil
 			e.Close()
 		}
 	}
 }
 
-func (r *Router) accept(e *End) { r.connected(e, -1, nil) }
+func (r *Router) accept(e *StreamEnd) { r.connected(e, -1, nil) }
 
 // connected begins an association on a connection; gone is called when it has ended.
-func (r *Router) connected(e *End, exchange int, gone func()) {
+func (r *Router) connected(e *StreamEnd, exchange int, gone func()) {
 	r.last++
 	id := r.last
 	r.conns[id] = e
-	e.Data = func(b []byte) {
+	e.OnData = func(b []byte) {
 		if r.dead {
 			return
 		}
@@ -319,7 +319,7 @@
 		r.node.Pump(now)
 		r.settle(now)
 	}
-	e.Gone = func() {
+	e.OnClose = func() {
 		if r.dead {
 			return
 		}
@@ -352,7 +352,7 @@
 			}
 		})
 	}
-	r.w.Dial(r.x, to, func(e *End) {
+	r.w.Dial(r.x, to, func(e *StreamEnd) {
 		switch {
 		case r.dead:
 			if e != nil {
--- a/internal/vnet/stream.go
+++ b/internal/vnet/stream.go
@@ -12,25 +12,25 @@
 // stream is a connection between the routers of two exchanges: bytes in order, in pieces of any size.
 type stream struct {
 	link *Link
-	ends [2]*End // who connected, and to whom
+	ends [2]*StreamEnd // who connected, and to whom
 	gone bool
 }
 
-// End is one end of a connection.
-type End struct {
+// StreamEnd is one end of a connection.
+type StreamEnd struct {
 	s       *stream
 	who     int
 	party   capture.Party
 	addr    iax2.Addr
-	Data    func(b []byte)
-	Gone    func()
+	OnData  func(b []byte)
+	OnClose func()
 	cut     m3ua.Stream
 	arrive  time.Duration // when the last piece to the other end arrives
 	waiting [][]byte      // of this end's, while the link stalls
 }
 
-// Accept lets the router of an exchange take connections, nil takes it back.
-func (w *World) Accept(at netip.AddrPort, f func(*End)) {
+// Listen lets the router of an exchange take connections, nil takes it back.
+func (w *World) Listen(at netip.AddrPort, f func(*StreamEnd)) {
 	if f == nil {
 		delete(w.ends, at)
 		return
@@ -39,18 +39,18 @@
 }
 
 // Dial connects the router of exchange a to that of b; up is called with its end, or with nil where nobody takes it.
-func (w *World) Dial(a, b int, up func(*End)) {
+func (w *World) Dial(a, b int, up func(*StreamEnd)) {
 	l := w.Link(a, b)
 	w.After(l.delay()+l.delay(), func() {
 		take := w.ends[RouterAddr(b)]
-		if take == nil || l.f.Cut || l.f.HalfCut {
+		if take == nil || l.f.Cut || l.f.Blackhole {
 			up(nil)
 			return
 		}
 		s := &stream{link: l}
 		for i, x := range [2]int{a, b} {
 			from, _ := iax2.AddrFrom(RouterAddr(x))
-			s.ends[i] = &End{s: s, who: i, party: capture.Party{Kind: capture.Router, Exchange: x}, addr: from}
+			s.ends[i] = &StreamEnd{s: s, who: i, party: capture.Party{Kind: capture.Router, Exchange: x}, addr: from}
 		}
 		l.streams = append(l.streams, s)
 		take(s.ends[1])
@@ -61,7 +61,7 @@
 }
 
 // Write sends bytes to the other end, in pieces as the link likes.
-func (e *End) Write(b []byte) {
+func (e *StreamEnd) Write(b []byte) {
 	if e.s.gone {
 		return
 	}
@@ -84,9 +84,9 @@
 }
 
 // send brings one piece over, after those before it.
-func (e *End) send(piece []byte) {
+func (e *StreamEnd) send(piece []byte) {
 	l := e.s.link
-	if l.f.Stall || l.f.HalfCut || // TCP goes on trying: what it carries comes late, and whole
+	if l.f.Stall || l.f.Blackhole || // TCP goes on trying: what it carries comes late, and whole
 		len(e.waiting) > 0 {
 		e.waiting = append(e.waiting, piece)
 		return
@@ -99,9 +99,9 @@
 	e.arrive = max(e.arrive, l.w.now+d)
 	other := e.s.ends[1-e.who]
 	l.w.At(e.arrive, func() {
-		if !e.s.gone && other.Data != nil {
+		if !e.s.gone && other.OnData != nil {
 			l.w.mark('s', other.addr, piece)
-			other.Data(piece)
+			other.OnData(piece)
 		}
 	})
 }
@@ -134,11 +134,11 @@
 		if l.w.tap != nil {
 			l.w.tap.Reset(l.w.Wall(), e.party, s.ends[1-i].party)
 		}
-		if e.Gone != nil {
-			l.w.After(near, e.Gone)
+		if e.OnClose != nil {
+			l.w.After(near, e.OnClose)
 		}
 	}
 }
 
 // Close ends the connection.
-func (e *End) Close() { e.s.reset() }
+func (e *StreamEnd) Close() { e.s.reset() }
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -32,7 +32,7 @@
 	queue timers.Queue[func()]
 	ports map[iax2.Addr]*Port
 	links map[[2]int]*Link
-	ends  map[netip.AddrPort]func(*End) // who takes connections
+	ends  map[netip.AddrPort]func(*StreamEnd) // who takes connections
 	trace *xxhash.Digest
 	tap   *capture.Writer
 	Steps uint64 // things that happened
@@ -41,7 +41,7 @@
 
 // New returns an empty world; tap sees all that crosses it.
 func New(seed uint64, tap *capture.Writer) *World {
-	return &World{seed: seed, ports: map[iax2.Addr]*Port{}, links: map[[2]int]*Link{}, ends: map[netip.AddrPort]func(*End){},
+	return &World{seed: seed, ports: map[iax2.Addr]*Port{}, links: map[[2]int]*Link{}, ends: map[netip.AddrPort]func(*StreamEnd){},
 		trace: xxhash.New(), tap: tap}
 }
 
@@ -100,20 +100,20 @@
 	_, _ = w.trace.Write(b)
 }
 
-// Faults are what a link between two exchanges does.
-type Faults struct {
+// LinkFaults are what a link between two exchanges does.
+type LinkFaults struct {
 	standin.LinkFaults
-	Reorder float64       // share of datagrams that are held up
-	Held    time.Duration // by up to this
-	HalfCut bool          // nothing passes, and streams are not told
-	Stall   bool          // streams hold what they carry until it is over
+	ReorderRate     float64       // share of datagrams that are held up
+	MaxReorderDelay time.Duration // by up to this
+	Blackhole       bool          // nothing passes, and streams are not told
+	Stall           bool          // streams hold what they carry until it is over
 }
 
 // Link is what lies between two exchanges, for datagrams and streams.
 type Link struct {
 	w       *World
 	rng     *rand.Rand
-	f       Faults
+	f       LinkFaults
 	streams []*stream
 }
 
@@ -132,25 +132,25 @@
 func (l *Link) Set(f standin.LinkFaults) {
 	now := l.f
 	now.LinkFaults = f
-	l.SetAll(now)
+	l.SetFaults(now)
 }
 
-// SetAll changes all that the link does.
-func (l *Link) SetAll(f Faults) {
+// SetFaults changes all that the link does.
+func (l *Link) SetFaults(f LinkFaults) {
 	was := l.f
 	l.f = f
 	for _, s := range append([]*stream(nil), l.streams...) {
 		switch {
 		case f.Cut && !was.Cut:
 			s.reset()
-		case (was.Stall || was.HalfCut) && !f.Stall && !f.HalfCut:
+		case (was.Stall || was.Blackhole) && !f.Stall && !f.Blackhole:
 			s.flow()
 		}
 	}
 }
 
 // Faults are those in force.
-func (l *Link) Faults() Faults { return l.f }
+func (l *Link) Faults() LinkFaults { return l.f }
 
 // Close has nothing to do: the world goes as a whole.
 func (l *Link) Close() {}
@@ -160,7 +160,7 @@
 	f := &l.f
 	copies := 1
 	switch {
-	case f.Cut, f.HalfCut, f.LossRate > 0 && l.rng.Float64() < f.LossRate:
+	case f.Cut, f.Blackhole, f.LossRate > 0 && l.rng.Float64() < f.LossRate:
 		copies = 0
 	case f.DuplicateRate > 0 && l.rng.Float64() < f.DuplicateRate:
 		copies = 2
@@ -176,8 +176,8 @@
 	if f.Jitter > 0 {
 		d += time.Duration(l.rng.Int64N(int64(f.Jitter)))
 	}
-	if f.Reorder > 0 && l.rng.Float64() < f.Reorder && f.Held > 0 {
-		d += time.Duration(l.rng.Int64N(int64(f.Held)))
+	if f.ReorderRate > 0 && l.rng.Float64() < f.ReorderRate && f.MaxReorderDelay > 0 {
+		d += time.Duration(l.rng.Int64N(int64(f.MaxReorderDelay)))
 	}
 	return d
 }
@@ -218,14 +218,14 @@
 	gone bool
 }
 
-// ErrTaken says that an address is in use.
-var ErrTaken = errors.New("vnet: the address is in use")
+// ErrAddressInUse says that an address is in use.
+var ErrAddressInUse = errors.New("vnet: the address is in use")
 
 // Open takes an address.
 func (w *World) Open(at netip.AddrPort, to standin.PacketHandler) (standin.Port, error) {
 	a, ok := iax2.AddrFrom(at)
 	if !ok || w.ports[a] != nil {
-		return nil, ErrTaken
+		return nil, ErrAddressInUse
 	}
 	p := &Port{w: w, addr: a, to: to}
 	p.wake.Value = func() {
