--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -9,15 +9,15 @@
 	"pipitring/internal/timers"
 )
 
-// Disk keeps keys and values as a synced disk does: a batch comes to be some time after it was committed, all of it or
-// nothing, and in order. A crash loses the batches that were on their way.
+// Disk simulates a key-value store on a disk with synced writes. Batches become durable in order and atomically, some
+// time after their commit. A crash loses the batches that are not yet durable.
 type Disk struct {
-	w        *World
-	data     map[string][]byte
-	pending  []*commit
-	SyncTime time.Duration // of one commit
-	Full     bool          // commits wait until it is not
-	busy     time.Duration // until when the disk is at work
+	world     *World
+	data      map[string][]byte
+	pending   []*commit
+	SyncTime  time.Duration // duration of one commit
+	Full      bool          // while set, commits wait
+	busyUntil time.Duration // end of the last scheduled commit
 }
 
 type commit struct {
@@ -26,18 +26,18 @@
 	done func()
 }
 
-// op is one change; value nil deletes.
+// op is one change of a batch; a nil value deletes the key.
 type op struct {
 	key   string
 	value []byte
 }
 
-// NewDisk returns an empty disk.
+// NewDisk returns an empty disk whose commits take the given time each.
 func (w *World) NewDisk(sync time.Duration) *Disk {
-	return &Disk{w: w, data: map[string][]byte{}, SyncTime: sync}
+	return &Disk{world: w, data: map[string][]byte{}, SyncTime: sync}
 }
 
-// batch gathers changes.
+// batch collects the changes of one commit.
 type batch struct{ ops []op }
 
 func (b *batch) Set(key, value []byte) {
@@ -46,25 +46,25 @@
 
 func (b *batch) Delete(key []byte) { b.ops = append(b.ops, op{string(key), nil}) }
 
-// Commit makes what build puts into a batch durable, in time, and then calls done.
+// Commit schedules the batch that build fills, and calls done when the batch is durable.
 func (d *Disk) Commit(build func(cdr.WriteBatch), done func()) {
 	b := &batch{}
 	build(b)
 	c := &commit{ops: b.ops, done: done}
-	c.Value = func() { d.land(c) }
+	c.Value = func() { d.complete(c) }
 	d.pending = append(d.pending, c)
-	d.busy = max(d.busy, d.w.now) + d.SyncTime
-	d.w.queue.Set(&c.Entry, d.busy)
+	d.busyUntil = max(d.busyUntil, d.world.now) + d.SyncTime
+	d.world.queue.Set(&c.Entry, d.busyUntil)
 }
 
-// land applies a commit whose time has come.
-func (d *Disk) land(c *commit) {
+// complete applies a commit that is due. While the disk is full it retries every 100 ms.
+func (d *Disk) complete(c *commit) {
 	if d.Full {
-		d.w.queue.Set(&c.Entry, d.w.now+100*time.Millisecond)
+		d.world.queue.Set(&c.Entry, d.world.now+100*time.Millisecond)
 		return
 	}
 	if d.pending[0] != c {
-		d.w.queue.Set(&c.Entry, d.pending[0].At()) // one before it was held up
+		d.world.queue.Set(&c.Entry, d.pending[0].At()) // an earlier commit is delayed: keep the order
 		return
 	}
 	d.pending = d.pending[1:]
@@ -82,7 +82,7 @@
 	}
 }
 
-// CommitNow applies a batch at once: for what is done before a router serves.
+// CommitNow applies the batch that build fills at once. It is for changes made before a router serves calls.
 func (d *Disk) CommitNow(build func(cdr.WriteBatch) error) error {
 	b := &batch{}
 	if err := build(b); err != nil {
@@ -92,20 +92,21 @@
 	return nil
 }
 
-// Crash loses what was on its way.
+// Crash discards all commits that are not yet durable.
 func (d *Disk) Crash() {
 	for _, c := range d.pending {
-		d.w.queue.Stop(&c.Entry)
+		d.world.queue.Stop(&c.Entry)
 	}
-	d.pending, d.busy = nil, 0
+	d.pending, d.busyUntil = nil, 0
 }
 
-// Get reads a value.
+// Get returns the value of a key and whether the key exists. The error is always nil.
 func (d *Disk) Get(key []byte) ([]byte, bool, error) {
 	v, ok := d.data[string(key)]
 	return v, ok, nil
 }
 
+// keys returns the keys that begin with prefix, sorted.
 func (d *Disk) keys(prefix []byte) (out []string) {
 	for k := range d.data {
 		if len(k) >= len(prefix) && k[:len(prefix)] == string(prefix) {
@@ -116,7 +117,8 @@
 	return out
 }
 
-// Scan calls f for all keys with a prefix from a key on, in order.
+// Scan calls f for each key that begins with prefix, in key order and starting at from; an empty from starts at the
+// first. It stops at the first error of f and returns it.
 func (d *Disk) Scan(prefix, from []byte, f func(key, value []byte) error) error {
 	for _, k := range d.keys(prefix) {
 		if len(from) > 0 && bytes.Compare([]byte(k), from) < 0 {
@@ -129,7 +131,8 @@
 	return nil
 }
 
-// Last reads the last key with a prefix.
+// Last returns the last key that begins with prefix, and its value; found is false if there is no such key. The error
+// is always nil.
 func (d *Disk) Last(prefix []byte) (key, value []byte, found bool, err error) {
 	all := d.keys(prefix)
 	if len(all) == 0 {
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -10,48 +10,48 @@
 	"pipitring/internal/registry"
 )
 
-// Mutation is a planted bug at one edge of a router: a setting that does not reach it, a message or record that goes
-// missing or comes twice. The explorer must find each; a nil one plants nothing.
+// Mutation is a bug planted at the boundary of a router: a setting that is not applied, or a message or record that is
+// lost or duplicated. The seed exploration must detect each of them. A nil *Mutation plants nothing.
 type Mutation struct {
 	Name         string
-	Violates     string // the rule or invariant that it breaks
+	Violates     string // the rule or invariant that it violates
 	Settings     func(*node.Settings)
-	Duplicate    func(f *iax2.Frame, n int) bool // of outgoing full frames: sent once more as a frame of its own
-	Drop         func(f *iax2.Frame, n int) bool // of outgoing full frames; n counts those of its kind
-	AlterList    func(*registry.List)
-	AlterRecords func(items []cdr.Item, n int) []cdr.Item // n counts the items before
+	Duplicate    func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are sent again with the next sequence number; n as for Drop
+	Drop         func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are dropped; n counts frames of the same type and subclass
+	AlterList    func(*registry.List)                     // changes an exchange list before the router gets it
+	AlterRecords func(items []cdr.Item, n int) []cdr.Item // returns the items to store instead; n counts the items before them
 
-	frames  map[[2]uint32]int
-	records int
+	frameCounts map[[2]uint32]int
+	recordCount int
 }
 
-func (m *Mutation) settings(s *node.Settings) {
+func (m *Mutation) applySettings(s *node.Settings) {
 	if m != nil && m.Settings != nil {
 		m.Settings(s)
 	}
 }
 
-func (m *Mutation) list(l *registry.List) {
+func (m *Mutation) applyList(l *registry.List) {
 	if m != nil && m.AlterList != nil {
 		l.Entries = append([]registry.Entry(nil), l.Entries...)
 		m.AlterList(l)
 	}
 }
 
-func (m *Mutation) items(items []cdr.Item) []cdr.Item {
+func (m *Mutation) applyItems(items []cdr.Item) []cdr.Item {
 	if m == nil || m.AlterRecords == nil {
 		return items
 	}
-	out := m.AlterRecords(items, m.records)
-	m.records += len(items)
+	out := m.AlterRecords(items, m.recordCount)
+	m.recordCount += len(items)
 	return out
 }
 
-// oseq is where a full frame has its sequence number.
-const oseq = 8
+// oseqOffset is the offset in bytes of the outbound sequence number in a full frame.
+const oseqOffset = 8
 
-// out tells what becomes of an outgoing datagram: whether it passes, and what follows it.
-func (m *Mutation) out(b []byte) (pass bool, more []byte) {
+// filterOutgoing returns whether an outgoing datagram is sent, and a duplicate to send after it, nil for none.
+func (m *Mutation) filterOutgoing(b []byte) (pass bool, more []byte) {
 	if m == nil || m.Drop == nil && m.Duplicate == nil {
 		return true, nil
 	}
@@ -59,19 +59,19 @@
 	if iax2.ParseFrame(b, &f) != nil || f.Layout != iax2.Full {
 		return true, nil
 	}
-	if m.frames == nil {
-		m.frames = map[[2]uint32]int{}
+	if m.frameCounts == nil {
+		m.frameCounts = map[[2]uint32]int{}
 	}
 	k := [2]uint32{uint32(f.Type), f.Subclass}
-	m.frames[k]++
-	if m.Duplicate != nil && m.Duplicate(&f, m.frames[k]) {
+	m.frameCounts[k]++
+	if m.Duplicate != nil && m.Duplicate(&f, m.frameCounts[k]) {
 		more = append([]byte(nil), b...)
-		more[oseq]++
+		more[oseqOffset]++
 	}
-	return m.Drop == nil || !m.Drop(&f, m.frames[k]), more
+	return m.Drop == nil || !m.Drop(&f, m.frameCounts[k]), more
 }
 
-// Mutations are the planted bugs. Each is new: it counts as it goes.
+// Mutations returns the planted bugs. Each call returns new values, because a Mutation counts frames and records.
 func Mutations() []*Mutation {
 	every := func(k int) func(n int) bool { return func(n int) bool { return n%k == 0 } }
 	tenth, third := every(10), every(3)
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -18,51 +18,52 @@
 	"pipitring/internal/timers"
 )
 
-// Pauses before an association is made anew, as the runtime has them.
+// Delays before an association is established again. They are the same as in the runtime.
 const (
-	firstPause  = 200 * time.Millisecond
-	longestWait = 10 * time.Second
-	steadyFor   = 5 * time.Second
+	firstReconnectDelay = 200 * time.Millisecond
+	maxReconnectDelay   = 10 * time.Second
+	stableAfter         = 5 * time.Second // an association that lasted longer resets the delay to the first
 )
 
-// ErrStopped says that a router has been killed.
-var ErrStopped = errors.New("vnet: the router has stopped")
+// ErrStopped is returned for operations on a router that was stopped or killed.
+var ErrStopped = errors.New("vnet: router is stopped")
 
-// Router is a whole router on the virtual network: the node of the service on a clock, a socket, connections and a disk
-// of this world.
+// Router is a complete router on the virtual network: the service's node with the clock, socket, connections and disk of
+// a World.
 type Router struct {
-	offset   time.Duration // its clock on the wall is off by this
-	w        *World
-	x        int
-	set      *config.Settings
-	node     *node.Node
-	rng      *rand.Rand
-	start    time.Duration
-	drift    float64 // its clock runs so much faster
-	port     standin.Port
-	wake     timers.Entry[func()]
-	conns    map[isupfront.ConnID]*StreamEnd
-	last     isupfront.ConnID
-	disk     *Disk
-	ledger   *cdr.Ledger
-	clock    cdr.Clock
-	dead     bool
-	Mutation *Mutation // a planted bug; nil is none
+	wallOffset time.Duration // offset of its wall clock from the world's
+	world      *World
+	exchange   int
+	settings   *config.Settings
+	node       *node.Node
+	rng        *rand.Rand
+	startedAt  time.Duration
+	drift      float64 // relative drift of its monotonic clock; 0.01 runs 1 % fast
+	port       standin.Port
+	timer      timers.Entry[func()]
+	conns      map[isupfront.ConnID]*StreamEnd
+	lastConn   isupfront.ConnID
+	disk       *Disk
+	ledger     *cdr.Ledger
+	clock      cdr.Clock
+	stopped    bool
+	Mutation   *Mutation // planted bug; nil for none
 }
 
-// RouterOptions are what a router has beside its settings.
+// RouterOptions are the properties of a router that are not part of its settings.
 type RouterOptions struct {
-	Disk        *Disk
-	Incarnation int     // how often it was started before
-	Drift       float64 // its clock runs so much faster than the world's
-	Mutation    *Mutation
+	Disk        *Disk     // nil stores no records
+	Incarnation int       // number of earlier starts
+	Drift       float64   // relative drift of the router's clock from the world's; 0.01 runs 1 % fast
+	Mutation    *Mutation // planted bug; nil for none
 }
 
-// Start starts the router of an exchange.
-func (w *World) Start(x int, set *config.Settings, o RouterOptions) (*Router, error) {
-	r := &Router{w: w, x: x, set: set, start: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*StreamEnd{}, disk: o.Disk, Mutation: o.Mutation,
-		rng: w.Rand(fmt.Sprintf("router %d life %d", x, o.Incarnation))}
-	r.wake.Value = r.due
+// Start starts the router of an exchange: it recovers the records on its disk, opens its address and connects its
+// associations.
+func (w *World) Start(exchange int, set *config.Settings, o RouterOptions) (*Router, error) {
+	r := &Router{world: w, exchange: exchange, settings: set, startedAt: w.now, drift: o.Drift, conns: map[isupfront.ConnID]*StreamEnd{}, disk: o.Disk, Mutation: o.Mutation,
+		rng: w.Rand(fmt.Sprintf("router %d life %d", exchange, o.Incarnation))}
+	r.timer.Value = r.advance
 	ns := set.NodeSettings(r.rng.Uint64(), r.rng.Uint64, func(number string) bool { return r.node.Core.HasRoute(number) })
 	if r.disk != nil {
 		ns.Core.DurableTimeout = set.Records.AnswerWait
@@ -70,35 +71,35 @@
 			return nil, err
 		}
 	}
-	r.Mutation.settings(&ns)
+	r.Mutation.applySettings(&ns)
 	r.node = node.New(ns)
 	var err error
-	if r.port, err = w.Open(RouterAddr(x), r); err != nil {
+	if r.port, err = w.Open(RouterAddr(exchange), r); err != nil {
 		return nil, err
 	}
 	for _, g := range set.ISUPGroups() {
 		if g.Front != config.FrontISUP {
 			continue
 		}
-		w.Listen(RouterAddr(x), r.accept)
+		w.Listen(RouterAddr(exchange), r.accept)
 		if len(g.Connect) > 0 {
-			r.associate(g.To, firstPause)
+			r.associate(g.To, firstReconnectDelay)
 		}
 	}
 	return r, nil
 }
 
-// openRecords begins a life of the records: calls that stood in an earlier one are closed.
+// openRecords starts a new incarnation of the record ledger and closes the calls that earlier incarnations left open.
 func (r *Router) openRecords() error {
 	var rater cdr.Rater
-	if r.set.Tariffs != nil {
-		rater = r.set.Tariffs
+	if r.settings.Tariffs != nil {
+		rater = r.settings.Tariffs
 	}
 	var err error
-	if r.ledger, err = cdr.OpenLedger(r.disk, uint32(r.x), rater); err != nil {
+	if r.ledger, err = cdr.OpenLedger(r.disk, uint32(r.exchange), rater); err != nil {
 		return err
 	}
-	if err = r.disk.CommitNow(func(b cdr.WriteBatch) error { r.ledger.StartIncarnation(b, r.wall()); return nil }); err != nil {
+	if err = r.disk.CommitNow(func(b cdr.WriteBatch) error { r.ledger.StartIncarnation(b, r.wallTime()); return nil }); err != nil {
 		return err
 	}
 	for n := 1; n > 0 && err == nil; {
@@ -110,71 +111,71 @@
 	if err != nil {
 		return err
 	}
-	r.alive()
+	r.heartbeat()
 	return nil
 }
 
-// alive notes once a second that this life runs.
-func (r *Router) alive() {
-	if r.dead {
+// heartbeat records once a second that this incarnation is running.
+func (r *Router) heartbeat() {
+	if r.stopped {
 		return
 	}
-	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Heartbeat(b, r.wall()) }, func() {})
-	r.w.After(time.Second, r.alive)
+	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Heartbeat(b, r.wallTime()) }, func() {})
+	r.world.After(time.Second, r.heartbeat)
 }
 
-// now is the router's clock: it began at the router's start, and may run too fast.
+// now returns the router's monotonic clock: the time since its start, with its drift.
 func (r *Router) now() time.Duration {
-	d := r.w.now - r.start
+	d := r.world.now - r.startedAt
 	return d + time.Duration(r.drift*float64(d))
 }
 
-// wall is the router's clock on the wall.
-func (r *Router) wall() time.Time { return r.w.Wall().Add(r.offset) }
+// wallTime returns the router's wall clock.
+func (r *Router) wallTime() time.Time { return r.world.Wall().Add(r.wallOffset) }
 
-// AdjustClock sets the router's clock on the wall forward, or back.
+// AdjustClock steps the router's wall clock by a duration, which may be negative.
 func (r *Router) AdjustClock(by time.Duration) {
-	r.offset += by
-	r.due()
+	r.wallOffset += by
+	r.advance()
 }
 
-// at is when the router's clock shows a time.
-func (r *Router) at(t time.Duration) time.Duration {
+// worldTime returns the world's time at which the router's monotonic clock reaches t.
+func (r *Router) worldTime(t time.Duration) time.Duration {
 	d := time.Duration(float64(t) / (1 + r.drift))
 	for d+time.Duration(r.drift*float64(d)) < t {
 		d++
 	}
-	return r.start + d
+	return r.startedAt + d
 }
 
-// Addr is where the router listens.
-func (r *Router) Addr() netip.AddrPort { return RouterAddr(r.x) }
+// Addr returns the address that the router listens on.
+func (r *Router) Addr() netip.AddrPort { return RouterAddr(r.exchange) }
 
-// Receive takes a datagram.
+// Receive processes a datagram.
 func (r *Router) Receive(from iax2.Addr, b []byte) {
-	if r.dead {
+	if r.stopped {
 		return
 	}
 	now := r.now()
-	r.clock.Observe(now, r.wall())
+	r.clock.Observe(now, r.wallTime())
 	r.node.Receive(now, from, b)
-	r.settle(now)
+	r.processDue(now)
 }
 
-// Due does what is due.
-func (r *Router) Due() { r.due() }
+// Due processes all timers that are due.
+func (r *Router) Due() { r.advance() }
 
-func (r *Router) due() {
-	if r.dead {
+func (r *Router) advance() {
+	if r.stopped {
 		return
 	}
 	now := r.now()
-	r.clock.Observe(now, r.wall())
-	r.settle(now)
+	r.clock.Observe(now, r.wallTime())
+	r.processDue(now)
 }
 
-// settle does what is due, sends what is to go and sets the timer, as the runtime does.
-func (r *Router) settle(now time.Duration) {
+// processDue processes timers that are due, sends all output and sets the timer for the next, as the runtime does.
+func (r *Router) processDue(now time.Duration) {
 	for {
 		at, ok := r.node.Next()
 		if !ok || at > now {
@@ -186,7 +187,7 @@
 	out := &r.node.IAX().Out
 	for i := range out.Len() {
 		to, b := out.At(i)
-		pass, more := r.Mutation.out(b)
+		pass, more := r.Mutation.filterOutgoing(b)
 		if pass {
 			r.port.Send(to, b)
 		}
@@ -204,64 +205,64 @@
 			e.Close()
 		}
 	})
-	r.keep(now)
+	r.storeRecords(now)
 	r.node.ISUP().Alarms = r.node.ISUP().Alarms[:0]
 	if at, ok := r.node.Next(); ok {
-		r.w.queue.Set(&r.wake, max(r.at(at), r.w.now+1))
+		r.world.queue.Set(&r.timer, max(r.worldTime(at), r.world.now+1))
 	} else {
-		r.w.queue.Stop(&r.wake)
+		r.world.queue.Stop(&r.timer)
 	}
 }
 
-// keep hands the core's records to the disk.
-func (r *Router) keep(now time.Duration) {
+// storeRecords commits the core's new records to the disk and marks them durable when the commit completes.
+func (r *Router) storeRecords(now time.Duration) {
 	core := r.node.Core
-	made := core.Records
+	records := core.Records
 	core.Records = nil
-	if r.disk == nil || len(made) == 0 {
+	if r.disk == nil || len(records) == 0 {
 		return
 	}
-	items := make([]cdr.Item, 0, len(made))
-	for i := range made {
-		items = append(items, cdr.Item{Open: made[i].Kind == call.AnswerRecord, Record: r.set.CallRecord(&r.clock, r.ledger.ID(made[i].CallSeq), &made[i])})
+	items := make([]cdr.Item, 0, len(records))
+	for i := range records {
+		items = append(items, cdr.Item{Open: records[i].Kind == call.AnswerRecord, Record: r.settings.CallRecord(&r.clock, r.ledger.ID(records[i].CallSeq), &records[i])})
 	}
-	items = r.Mutation.items(items)
-	ticket := made[len(made)-1].RecordSeq
+	items = r.Mutation.applyItems(items)
+	ticket := records[len(records)-1].RecordSeq
 	r.disk.Commit(func(b cdr.WriteBatch) { r.ledger.Put(b, items) }, func() {
-		if r.dead {
+		if r.stopped {
 			return
 		}
 		now := r.now()
 		r.node.MarkDurable(now, ticket)
-		r.settle(now)
+		r.processDue(now)
 	})
 }
 
-// Do runs f on the router.
+// Do runs f on the router's node. It returns ErrStopped if the router was stopped.
 func (r *Router) Do(f func(n *node.Node, now time.Duration)) error {
-	if r.dead {
+	if r.stopped {
 		return ErrStopped
 	}
 	now := r.now()
 	f(r.node, now)
-	r.settle(now)
+	r.processDue(now)
 	return nil
 }
 
-// SetList tells the router the exchange list.
+// SetList passes an exchange list to the router.
 func (r *Router) SetList(l registry.List) {
-	if r.dead {
+	if r.stopped {
 		return
 	}
-	r.Mutation.list(&l)
+	r.Mutation.applyList(&l)
 	now := r.now()
-	r.node.SetList(now, r.wall(), l)
-	r.settle(now)
+	r.node.SetList(now, r.wallTime(), l)
+	r.processDue(now)
 }
 
-// Reload takes new settings over.
+// Reload applies new settings. It returns an error if they change what a reload cannot change.
 func (r *Router) Reload(next *config.Settings) error {
-	if err := r.set.CheckReload(next); err != nil {
+	if err := r.settings.CheckReload(next); err != nil {
 		return err
 	}
 	return r.Do(func(n *node.Node, now time.Duration) {
@@ -269,9 +270,10 @@
 	})
 }
 
-// Kill ends the router without a word: its connections are reset, its disk loses what was on its way.
+// Kill stops the router abruptly: its connections are reset, and its disk loses the commits that are not yet durable.
+// It returns ErrStopped if the router was stopped before.
 func (r *Router) Kill() error {
-	if r.dead {
+	if r.stopped {
 		return ErrStopped
 	}
 	r.stop()
@@ -281,9 +283,10 @@
 	return nil
 }
 
-// Stop ends the router when nothing stands any more: what its disk has to write comes to be.
+// Stop stops a router that has no calls any more; pending commits of its disk still complete. It returns ErrStopped if
+// the router was stopped before.
 func (r *Router) Stop() error {
-	if r.dead {
+	if r.stopped {
 		return ErrStopped
 	}
 	r.stop()
@@ -291,11 +294,11 @@
 }
 
 func (r *Router) stop() {
-	r.dead = true
-	r.w.queue.Stop(&r.wake)
+	r.stopped = true
+	r.world.queue.Stop(&r.timer)
 	r.port.Close()
-	r.w.Listen(RouterAddr(r.x), nil)
-	for id := isupfront.ConnID(1); id <= r.last; id++ { // in order: map order would differ from run to run
+	r.world.Listen(RouterAddr(r.exchange), nil)
+	for id := isupfront.ConnID(1); id <= r.lastConn; id++ { // in order: map order differs between runs
 		if e := r.conns[id]; e != nil {
 			e.OnClose = nil
 			e.Close()
@@ -303,65 +306,67 @@
 	}
 }
 
-func (r *Router) accept(e *StreamEnd) { r.connected(e, -1, nil) }
+func (r *Router) accept(e *StreamEnd) { r.addConnection(e, -1, nil) }
 
-// connected begins an association on a connection; gone is called when it has ended.
-func (r *Router) connected(e *StreamEnd, exchange int, gone func()) {
-	r.last++
-	id := r.last
+// addConnection starts an association on a connection; onClose, unless nil, is called when the connection has closed.
+// exchange is the one that was dialled, -1 for an accepted connection.
+func (r *Router) addConnection(e *StreamEnd, exchange int, onClose func()) {
+	r.lastConn++
+	id := r.lastConn
 	r.conns[id] = e
 	e.OnData = func(b []byte) {
-		if r.dead {
+		if r.stopped {
 			return
 		}
 		now := r.now()
 		r.node.ISUP().Receive(now, id, b)
 		r.node.Pump(now)
-		r.settle(now)
+		r.processDue(now)
 	}
 	e.OnClose = func() {
-		if r.dead {
+		if r.stopped {
 			return
 		}
 		delete(r.conns, id)
 		now := r.now()
 		r.node.ISUP().Disconnected(now, id)
 		r.node.Pump(now)
-		r.settle(now)
-		if gone != nil {
-			gone()
+		r.processDue(now)
+		if onClose != nil {
+			onClose()
 		}
 	}
 	now := r.now()
 	r.node.ISUP().Connected(now, id, exchange)
 	r.node.Pump(now)
-	r.settle(now)
+	r.processDue(now)
 }
 
-// associate makes an association, and makes it anew after a pause that doubles.
-func (r *Router) associate(to int, pause time.Duration) {
-	began := r.w.now
-	again := func() {
-		if r.w.now-began > steadyFor {
-			pause = firstPause
+// associate establishes an association with the router of an exchange. When it fails or ends, it is established again
+// after a random time around delay, which doubles with each attempt.
+func (r *Router) associate(to int, delay time.Duration) {
+	began := r.world.now
+	reconnect := func() {
+		if r.world.now-began > stableAfter {
+			delay = firstReconnectDelay
 		}
-		wait := pause/2 + time.Duration(r.rng.Int64N(int64(pause)))
-		r.w.After(wait, func() {
-			if !r.dead {
-				r.associate(to, min(2*pause, longestWait))
+		wait := delay/2 + time.Duration(r.rng.Int64N(int64(delay)))
+		r.world.After(wait, func() {
+			if !r.stopped {
+				r.associate(to, min(2*delay, maxReconnectDelay))
 			}
 		})
 	}
-	r.w.Dial(r.x, to, func(e *StreamEnd) {
+	r.world.Dial(r.exchange, to, func(e *StreamEnd) {
 		switch {
-		case r.dead:
+		case r.stopped:
 			if e != nil {
 				e.Close()
 			}
 		case e == nil:
-			again()
+			reconnect()
 		default:
-			r.connected(e, to, again)
+			r.addConnection(e, to, reconnect)
 		}
 	})
 }
--- a/internal/vnet/stream.go
+++ b/internal/vnet/stream.go
@@ -9,120 +9,122 @@
 	"pipitring/internal/m3ua"
 )
 
-// stream is a connection between the routers of two exchanges: bytes in order, in pieces of any size.
+// stream is a byte-stream connection between the routers of two exchanges. It delivers bytes in order, in segments of
+// any size.
 type stream struct {
-	link *Link
-	ends [2]*StreamEnd // who connected, and to whom
-	gone bool
+	link   *Link
+	ends   [2]*StreamEnd // the dialling end and the accepting end
+	closed bool
 }
 
-// StreamEnd is one end of a connection.
+// StreamEnd is one end of a stream connection.
 type StreamEnd struct {
-	s       *stream
-	who     int
-	party   capture.Party
-	addr    iax2.Addr
-	OnData  func(b []byte)
-	OnClose func()
-	cut     m3ua.Stream
-	arrive  time.Duration // when the last piece to the other end arrives
-	waiting [][]byte      // of this end's, while the link stalls
+	stream      *stream
+	index       int
+	party       capture.Party
+	addr        iax2.Addr
+	OnData      func(b []byte)
+	OnClose     func()
+	framer      m3ua.Stream
+	lastArrival time.Duration // arrival time of the last segment sent to the other end
+	stalled     [][]byte      // segments of this end that wait for a stalled link
 }
 
-// Listen lets the router of an exchange take connections, nil takes it back.
+// Listen sets the handler of connections to an address; nil removes it.
 func (w *World) Listen(at netip.AddrPort, f func(*StreamEnd)) {
 	if f == nil {
-		delete(w.ends, at)
+		delete(w.listeners, at)
 		return
 	}
-	w.ends[at] = f
+	w.listeners[at] = f
 }
 
-// Dial connects the router of exchange a to that of b; up is called with its end, or with nil where nobody takes it.
+// Dial connects the router of exchange a to that of exchange b after a round trip. It calls up with the dialling end, or
+// with nil if the link is down or nothing listens.
 func (w *World) Dial(a, b int, up func(*StreamEnd)) {
 	l := w.Link(a, b)
-	w.After(l.delay()+l.delay(), func() {
-		take := w.ends[RouterAddr(b)]
-		if take == nil || l.f.Cut || l.f.Blackhole {
+	w.After(l.drawDelay()+l.drawDelay(), func() {
+		accept := w.listeners[RouterAddr(b)]
+		if accept == nil || l.faults.Cut || l.faults.Blackhole {
 			up(nil)
 			return
 		}
 		s := &stream{link: l}
 		for i, x := range [2]int{a, b} {
 			from, _ := iax2.AddrFrom(RouterAddr(x))
-			s.ends[i] = &StreamEnd{s: s, who: i, party: capture.Party{Kind: capture.Router, Exchange: x}, addr: from}
+			s.ends[i] = &StreamEnd{stream: s, index: i, party: capture.Party{Kind: capture.Router, Exchange: x}, addr: from}
 		}
 		l.streams = append(l.streams, s)
-		take(s.ends[1])
-		if !s.gone {
+		accept(s.ends[1])
+		if !s.closed {
 			up(s.ends[0])
 		}
 	})
 }
 
-// Write sends bytes to the other end, in pieces as the link likes.
+// Write sends bytes to the other end, in segments of random size.
 func (e *StreamEnd) Write(b []byte) {
-	if e.s.gone {
+	if e.stream.closed {
 		return
 	}
-	l := e.s.link
-	w := l.w
+	l := e.stream.link
+	w := l.world
 	if w.tap != nil {
-		other := e.s.ends[1-e.who].party
-		// What is no M3UA shows at the other end.
-		_ = e.cut.Feed(b, func(m []byte) error { w.tap.Message(w.Wall(), e.party, other, m); return nil })
+		other := e.stream.ends[1-e.index].party
+		// Data that is not M3UA is reported by the receiver.
+		_ = e.framer.Feed(b, func(m []byte) error { w.tap.Message(w.Wall(), e.party, other, m); return nil })
 	}
-	held := append([]byte(nil), b...)
-	for len(held) > 0 {
-		n := len(held)
+	rest := append([]byte(nil), b...)
+	for len(rest) > 0 {
+		n := len(rest)
 		if l.rng.IntN(2) == 0 {
 			n = 1 + l.rng.IntN(n)
 		}
-		e.send(held[:n])
-		held = held[n:]
+		e.sendSegment(rest[:n])
+		rest = rest[n:]
 	}
 }
 
-// send brings one piece over, after those before it.
-func (e *StreamEnd) send(piece []byte) {
-	l := e.s.link
-	if l.f.Stall || l.f.Blackhole || // TCP goes on trying: what it carries comes late, and whole
-		len(e.waiting) > 0 {
-		e.waiting = append(e.waiting, piece)
+// sendSegment delivers one segment to the other end, after the earlier ones.
+func (e *StreamEnd) sendSegment(segment []byte) {
+	l := e.stream.link
+	if l.faults.Stall || l.faults.Blackhole || // TCP keeps retransmitting: data arrives late but complete
+		len(e.stalled) > 0 {
+		e.stalled = append(e.stalled, segment)
 		return
 	}
-	// What TCP has to send again comes a round trip later, and all behind it.
-	d := l.delay()
-	if l.f.LossRate > 0 && l.rng.Float64() < l.f.LossRate {
-		d += 2*l.f.Delay + 200*time.Millisecond
+	// A segment that TCP retransmits arrives a round trip and a timeout later, and delays all that follow.
+	d := l.drawDelay()
+	if l.faults.LossRate > 0 && l.rng.Float64() < l.faults.LossRate {
+		d += 2*l.faults.Delay + 200*time.Millisecond
 	}
-	e.arrive = max(e.arrive, l.w.now+d)
-	other := e.s.ends[1-e.who]
-	l.w.At(e.arrive, func() {
-		if !e.s.gone && other.OnData != nil {
-			l.w.mark('s', other.addr, piece)
-			other.OnData(piece)
+	e.lastArrival = max(e.lastArrival, l.world.now+d)
+	other := e.stream.ends[1-e.index]
+	l.world.At(e.lastArrival, func() {
+		if !e.stream.closed && other.OnData != nil {
+			l.world.traceDelivery('s', other.addr, segment)
+			other.OnData(segment)
 		}
 	})
 }
 
-// flow sends what has waited for a stall to end.
-func (s *stream) flow() {
+// flushStalled sends the segments that waited while the link was stalled.
+func (s *stream) flushStalled() {
 	for _, e := range s.ends {
-		held := e.waiting
-		e.waiting = nil
-		for _, piece := range held {
-			e.send(piece)
+		segments := e.stalled
+		e.stalled = nil
+		for _, segment := range segments {
+			e.sendSegment(segment)
 		}
 	}
 }
 
-// reset ends the connection for both ends.
+// reset closes the connection; both ends are notified after the local delay.
 func (s *stream) reset() {
-	if s.gone {
+	if s.closed {
 		return
 	}
-	s.gone = true
+	s.closed = true
 	l := s.link
 	for i, o := range l.streams {
 		if o == s {
@@ -131,14 +133,14 @@
 		}
 	}
 	for i, e := range s.ends {
-		if l.w.tap != nil {
-			l.w.tap.Reset(l.w.Wall(), e.party, s.ends[1-i].party)
+		if l.world.tap != nil {
+			l.world.tap.Reset(l.world.Wall(), e.party, s.ends[1-i].party)
 		}
 		if e.OnClose != nil {
-			l.w.After(near, e.OnClose)
+			l.world.After(localDelay, e.OnClose)
 		}
 	}
 }
 
-// Close ends the connection.
-func (e *StreamEnd) Close() { e.s.reset() }
+// Close closes the connection for both ends.
+func (e *StreamEnd) Close() { e.stream.reset() }
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -1,6 +1,6 @@
-// Package vnet is a network on a clock of its own: datagram links and byte streams with faults, disks that lose what was
-// not synced, and routers and stand-ins that run on them unchanged. One goroutine plays it, from one seed: two runs agree
-// to the byte.
+// Package vnet is a deterministic simulation of a network on a virtual clock. It has datagram links and byte streams with
+// faults, and disks that lose unsynced writes; routers and stand-ins run on them unchanged. One goroutine runs it, and all
+// randomness comes from one seed: two runs are identical to the byte.
 package vnet
 
 import (
@@ -19,57 +19,58 @@
 	"pipitring/internal/timers"
 )
 
-// Epoch is the time of day at which every world begins.
+// Epoch is the wall-clock time at which every world starts.
 var Epoch = time.Date(2026, 12, 1, 14, 0, 0, 0, time.UTC)
 
-// near is the delay between a router and the parties of its own exchange.
-const near = 100 * time.Microsecond
+// localDelay is the delay between a router and the parties of its own exchange.
+const localDelay = 100 * time.Microsecond
 
-// World is a virtual network and its clock.
+// World is a virtual network with its clock and event queue.
 type World struct {
-	now   time.Duration
-	seed  uint64
-	queue timers.Queue[func()]
-	ports map[iax2.Addr]*Port
-	links map[[2]int]*Link
-	ends  map[netip.AddrPort]func(*StreamEnd) // who takes connections
-	trace *xxhash.Digest
-	tap   *capture.Writer
-	Steps uint64 // things that happened
-	buf   [32]byte
+	now       time.Duration
+	seed      uint64
+	queue     timers.Queue[func()]
+	ports     map[iax2.Addr]*Port
+	links     map[[2]int]*Link
+	listeners map[netip.AddrPort]func(*StreamEnd) // handlers of incoming connections
+	trace     *xxhash.Digest
+	tap       *capture.Writer
+	Steps     uint64 // number of events processed
+	scratch   [32]byte
 }
 
-// New returns an empty world; tap sees all that crosses it.
+// New returns an empty world. tap, unless nil, records the traffic of the routers.
 func New(seed uint64, tap *capture.Writer) *World {
-	return &World{seed: seed, ports: map[iax2.Addr]*Port{}, links: map[[2]int]*Link{}, ends: map[netip.AddrPort]func(*StreamEnd){},
+	return &World{seed: seed, ports: map[iax2.Addr]*Port{}, links: map[[2]int]*Link{}, listeners: map[netip.AddrPort]func(*StreamEnd){},
 		trace: xxhash.New(), tap: tap}
 }
 
-// Rand returns the random numbers of one part: adding a part does not disturb the others' draws.
+// Rand returns the random number generator of one component. Each component has its own sequence, so that adding a
+// component does not change the numbers of the others.
 func (w *World) Rand(part string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(part))
 	return rand.New(rand.NewPCG(w.seed, h.Sum64()))
 }
 
-// Now is the time since the world began.
+// Now returns the time since the world's start.
 func (w *World) Now() time.Duration { return w.now }
 
-// Wall is the time of day.
+// Wall returns the world's wall-clock time.
 func (w *World) Wall() time.Time { return Epoch.Add(w.now) }
 
-// Trace is a hash over all that was delivered, and when.
+// Trace returns a hash over all deliveries and their times.
 func (w *World) Trace() uint64 { return w.trace.Sum64() }
 
-// At does f at a time, after all that was to be done then before.
+// At schedules f at a time, after everything already scheduled for that time.
 func (w *World) At(at time.Duration, f func()) {
 	w.queue.Set(&timers.Entry[func()]{Value: f}, max(at, w.now))
 }
 
-// After does f later.
+// After schedules f after a delay.
 func (w *World) After(d time.Duration, f func()) { w.At(w.now+d, f) }
 
-// Step does the next thing there is to do, up to a time; false if there is none.
+// Step processes the next event due by until and reports whether there was one. If not, it advances the clock to until.
 func (w *World) Step(until time.Duration) bool {
 	e := w.queue.Due(until)
 	if e == nil {
@@ -82,82 +83,82 @@
 	return true
 }
 
-// Run plays until a time.
+// Run processes all events due by until and advances the clock to it.
 func (w *World) Run(until time.Duration) {
 	for w.Step(until) {
 	}
 }
 
-// mark notes a delivery in the trace.
-func (w *World) mark(kind byte, to iax2.Addr, b []byte) {
-	n := w.buf[:0]
-	n = binary.BigEndian.AppendUint64(n, uint64(w.now))
-	n = append(n, kind)
-	n = append(n, to.IP[:]...)
-	n = binary.BigEndian.AppendUint16(n, to.Port)
-	n = binary.BigEndian.AppendUint32(n, uint32(len(b)))
-	_, _ = w.trace.Write(n) // a hash takes everything
+// traceDelivery adds a delivery to the trace hash; kind is 'd' for a datagram, 's' for a stream segment.
+func (w *World) traceDelivery(kind byte, to iax2.Addr, b []byte) {
+	header := w.scratch[:0]
+	header = binary.BigEndian.AppendUint64(header, uint64(w.now))
+	header = append(header, kind)
+	header = append(header, to.IP[:]...)
+	header = binary.BigEndian.AppendUint16(header, to.Port)
+	header = binary.BigEndian.AppendUint32(header, uint32(len(b)))
+	_, _ = w.trace.Write(header) // writing to a hash never fails
 	_, _ = w.trace.Write(b)
 }
 
-// LinkFaults are what a link between two exchanges does.
+// LinkFaults are the faults of a link between two exchanges.
 type LinkFaults struct {
 	standin.LinkFaults
-	ReorderRate     float64       // share of datagrams that are held up
-	MaxReorderDelay time.Duration // by up to this
-	Blackhole       bool          // nothing passes, and streams are not told
-	Stall           bool          // streams hold what they carry until it is over
+	ReorderRate     float64       // share of datagrams that are delayed, 0 to 1
+	MaxReorderDelay time.Duration // upper limit of that delay
+	Blackhole       bool          // drops everything without resetting the streams
+	Stall           bool          // streams deliver nothing until it ends; datagrams pass
 }
 
-// Link is what lies between two exchanges, for datagrams and streams.
+// Link connects two exchanges and carries their datagrams and streams.
 type Link struct {
-	w       *World
+	world   *World
 	rng     *rand.Rand
-	f       LinkFaults
+	faults  LinkFaults
 	streams []*stream
 }
 
-// Link finds or makes the link between two exchanges.
+// Link returns the link between two exchanges, and creates it at the first use.
 func (w *World) Link(a, b int) *Link {
 	k := [2]int{min(a, b), max(a, b)}
 	l := w.links[k]
 	if l == nil {
-		l = &Link{w: w, rng: w.Rand("link " + string(rune('0'+k[0])) + " " + string(rune('0'+k[1])))}
+		l = &Link{world: w, rng: w.Rand("link " + string(rune('0'+k[0])) + " " + string(rune('0'+k[1])))}
 		w.links[k] = l
 	}
 	return l
 }
 
-// Set changes what the link does to datagrams; a cut resets its streams and lets no others come up.
+// Set changes the faults that stand-in links know as well. A cut resets the link's streams and prevents new ones.
 func (l *Link) Set(f standin.LinkFaults) {
-	now := l.f
-	now.LinkFaults = f
-	l.SetFaults(now)
+	faults := l.faults
+	faults.LinkFaults = f
+	l.SetFaults(faults)
 }
 
-// SetFaults changes all that the link does.
+// SetFaults changes all faults of the link.
 func (l *Link) SetFaults(f LinkFaults) {
-	was := l.f
-	l.f = f
+	before := l.faults
+	l.faults = f
 	for _, s := range append([]*stream(nil), l.streams...) {
 		switch {
-		case f.Cut && !was.Cut:
+		case f.Cut && !before.Cut:
 			s.reset()
-		case (was.Stall || was.Blackhole) && !f.Stall && !f.Blackhole:
-			s.flow()
+		case (before.Stall || before.Blackhole) && !f.Stall && !f.Blackhole:
+			s.flushStalled()
 		}
 	}
 }
 
-// Faults are those in force.
-func (l *Link) Faults() LinkFaults { return l.f }
+// Faults returns the current faults.
+func (l *Link) Faults() LinkFaults { return l.faults }
 
-// Close has nothing to do: the world goes as a whole.
+// Close does nothing: links last as long as the world.
 func (l *Link) Close() {}
 
-// pass delays, loses and repeats a datagram.
-func (l *Link) pass(deliver func()) {
-	f := &l.f
+// transmit delivers a datagram with the link's delay, or drops or duplicates it.
+func (l *Link) transmit(deliver func()) {
+	f := &l.faults
 	copies := 1
 	switch {
 	case f.Cut, f.Blackhole, f.LossRate > 0 && l.rng.Float64() < f.LossRate:
@@ -166,13 +167,14 @@
 		copies = 2
 	}
 	for range copies {
-		l.w.After(l.delay(), deliver)
+		l.world.After(l.drawDelay(), deliver)
 	}
 }
 
-func (l *Link) delay() time.Duration {
-	f := &l.f
-	d := max(f.Delay, near)
+// drawDelay returns the random delay of one datagram or segment.
+func (l *Link) drawDelay() time.Duration {
+	f := &l.faults
+	d := max(f.Delay, localDelay)
 	if f.Jitter > 0 {
 		d += time.Duration(l.rng.Int64N(int64(f.Jitter)))
 	}
@@ -182,103 +184,103 @@
 	return d
 }
 
-// Addresses of the parties of exchange x.
-func addrOf(x int, kind byte) netip.AddrPort {
+// partyAddr returns the address of a party of exchange x; kind is 0 for its router, 1 for its switch, 2 for its callers.
+func partyAddr(x int, kind byte) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, kind, byte(x >> 8), byte(x)}), 4569)
 }
 
-// RouterAddr is where the router of an exchange listens, for IAX2; M3UA has the same address.
-func RouterAddr(x int) netip.AddrPort { return addrOf(x, 0) }
+// RouterAddr returns the address of an exchange's router, for IAX2 as well as M3UA.
+func RouterAddr(x int) netip.AddrPort { return partyAddr(x, 0) }
 
-// SwitchAddr is where its switch does, CallersAddr its callers.
-func SwitchAddr(x int) netip.AddrPort { return addrOf(x, 1) }
+// SwitchAddr returns the address of an exchange's switch.
+func SwitchAddr(x int) netip.AddrPort { return partyAddr(x, 1) }
 
-// CallersAddr is where the callers of an exchange are.
-func CallersAddr(x int) netip.AddrPort { return addrOf(x, 2) }
+// CallersAddr returns the address of an exchange's callers.
+func CallersAddr(x int) netip.AddrPort { return partyAddr(x, 2) }
 
-// exchangeOf is the exchange that an address belongs to.
+// exchangeOf returns the exchange that an address belongs to.
 func exchangeOf(a iax2.Addr) int { return int(a.IP[2])<<8 | int(a.IP[3]) }
 
-// party is whose address it is.
-func party(a iax2.Addr) capture.Party {
+// partyOf returns the party that an address belongs to.
+func partyOf(a iax2.Addr) capture.Party {
 	return capture.Party{Kind: [...]capture.Kind{capture.Router, capture.Switch, capture.Callers}[min(a.IP[1], 2)], Exchange: exchangeOf(a)}
 }
 
-// RecordsPackets tells that the network records what routers send, at the moment of sending.
+// RecordsPackets reports that the network itself records the packets of routers, when they are sent.
 func (w *World) RecordsPackets() bool { return true }
 
 func isRouter(a iax2.Addr) bool { return a.IP[1] == 0 }
 
-// Port is an address on the network.
+// Port is an open address on the network.
 type Port struct {
-	w    *World
-	addr iax2.Addr
-	to   standin.PacketHandler
-	wake timers.Entry[func()]
-	gone bool
+	world   *World
+	addr    iax2.Addr
+	handler standin.PacketHandler
+	wake    timers.Entry[func()]
+	closed  bool
 }
 
-// ErrAddressInUse says that an address is in use.
-var ErrAddressInUse = errors.New("vnet: the address is in use")
+// ErrAddressInUse is returned for an address that is in use or is not an IPv4 address.
+var ErrAddressInUse = errors.New("vnet: address is in use")
 
-// Open takes an address.
-func (w *World) Open(at netip.AddrPort, to standin.PacketHandler) (standin.Port, error) {
+// Open opens an address; its datagrams and wake-ups go to handler.
+func (w *World) Open(at netip.AddrPort, handler standin.PacketHandler) (standin.Port, error) {
 	a, ok := iax2.AddrFrom(at)
 	if !ok || w.ports[a] != nil {
 		return nil, ErrAddressInUse
 	}
-	p := &Port{w: w, addr: a, to: to}
+	p := &Port{world: w, addr: a, handler: handler}
 	p.wake.Value = func() {
-		if !p.gone {
-			p.to.Due()
+		if !p.closed {
+			p.handler.Due()
 		}
 	}
 	w.ports[a] = p
 	return p, nil
 }
 
-// Addr is the port's address.
+// Addr returns the port's address.
 func (p *Port) Addr() netip.AddrPort { return p.addr.AddrPort() }
 
-// Run has nothing to do: the world runs.
+// Run does nothing: the world delivers the port's events.
 func (p *Port) Run() {}
 
-// Send sends a datagram: what it is sent to gets it, if it is there when it arrives.
+// Send sends a datagram. It is delivered if the destination address is open when it arrives.
 func (p *Port) Send(to iax2.Addr, b []byte) {
-	w := p.w
-	held := append([]byte(nil), b...)
+	w := p.world
+	datagram := append([]byte(nil), b...)
 	deliver := func() {
 		if q := w.ports[to]; q != nil {
-			w.mark('d', to, held)
-			q.to.Receive(p.addr, held)
+			w.traceDelivery('d', to, datagram)
+			q.handler.Receive(p.addr, datagram)
 		}
 	}
-	a, z := exchangeOf(p.addr), exchangeOf(to)
+	from, dest := exchangeOf(p.addr), exchangeOf(to)
 	if w.tap != nil && isRouter(p.addr) {
-		w.tap.Datagram(w.Wall(), party(p.addr), party(to), held)
+		w.tap.Datagram(w.Wall(), partyOf(p.addr), partyOf(to), datagram)
 	}
-	if !isRouter(p.addr) || !isRouter(to) || a == z {
-		w.After(near, deliver)
+	if !isRouter(p.addr) || !isRouter(to) || from == dest {
+		w.After(localDelay, deliver)
 		return
 	}
-	w.Link(a, z).pass(deliver)
+	w.Link(from, dest).transmit(deliver)
 }
 
-// SetWake wants Due at a time; an earlier wish stays.
-func (p *Port) SetWake(at time.Duration, any bool) {
-	if any && (!p.wake.Running() || at < p.wake.At()) {
-		p.w.queue.Set(&p.wake, max(at, p.w.now))
+// SetWake schedules a call of the handler's Due at a time, unless an earlier one is scheduled or wanted is false.
+func (p *Port) SetWake(at time.Duration, wanted bool) {
+	if wanted && (!p.wake.Running() || at < p.wake.At()) {
+		p.world.queue.Set(&p.wake, max(at, p.world.now))
 	}
 }
 
-// ClearWake forgets the earlier wish.
-func (p *Port) ClearWake() { p.w.queue.Stop(&p.wake) }
+// ClearWake cancels the scheduled call of Due.
+func (p *Port) ClearWake() { p.world.queue.Stop(&p.wake) }
 
-// Close lets the address go: what is on its way to it is lost.
+// Close closes the address; datagrams still in transit to it are lost.
 func (p *Port) Close() {
-	p.gone = true
-	p.w.queue.Stop(&p.wake)
-	if p.w.ports[p.addr] == p {
-		delete(p.w.ports, p.addr)
+	p.closed = true
+	p.world.queue.Stop(&p.wake)
+	if p.world.ports[p.addr] == p {
+		delete(p.world.ports, p.addr)
 	}
 }
