--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -28,25 +28,25 @@
 	"pipitring/internal/standin"
 )
 
-// CallsOptions are how `lab calls` measures.
+// CallsOptions are the options of `lab calls`.
 type CallsOptions struct {
-	StepDuration time.Duration // of one rate
-	MaxRate      float64       // calls a second at which it stops looking
-	Progress     io.Writer
+	StepDuration time.Duration // duration of each rate
+	MaxRate      float64       // highest rate tried, in calls per second
+	Progress     io.Writer     // gets a line for each rate
 }
 
-// CallsResult is what one router carries. Datagrams are counted in and out together, at the router's socket.
+// CallsResult is the capacity of one router. Datagrams are counted at the router's socket, both directions together.
 type CallsResult struct {
-	CallsPerSecond       float64 `json:"calls_per_second"` // the highest rate without a missed deadline
+	CallsPerSecond       float64 `json:"calls_per_second"` // highest rate without a missed deadline
 	DatagramsPerSecond   float64 `json:"datagrams_per_second"`
-	EchoPerSecond        float64 `json:"echo_datagrams_per_second"` // of a bare gnet UDP echo, in the same run
+	EchoPerSecond        float64 `json:"echo_datagrams_per_second"` // a bare gnet UDP echo, in the same run
 	EchoRatio            float64 `json:"ratio_to_echo"`
 	DatagramsPerCall     float64 `json:"datagrams_per_call"`
-	DelayRate            float64 `json:"measured_at_calls_per_second"` // half of the highest: for the delays below
+	DelayRate            float64 `json:"measured_at_calls_per_second"` // half of the highest rate; the rate of the delays below
 	AddedP50             float64 `json:"added_p50_us"`
 	AddedP99             float64 `json:"added_p99_us"`
 	AddedP999            float64 `json:"added_p999_us"`
-	DirectP99            float64 `json:"direct_p99_us"` // the same calls without a router between
+	DirectP99            float64 `json:"direct_p99_us"` // the same calls without a router
 	MissedAt980          int     `json:"missed_at_980"`
 	P99At980             float64 `json:"p99_at_980_us"`
 	BytesPerStandingCall float64 `json:"bytes_per_standing_call"`
@@ -56,47 +56,47 @@
 }
 
 const (
-	callsClass    = "status"
-	callsPatience = 2 * time.Second
-	callsAim      = time.Second
-	callsHold     = 300 * time.Millisecond
-	generators    = 2
+	callsClass       = "status"
+	callsPatience    = 2 * time.Second
+	callsSetupTarget = time.Second
+	callsHoldTime    = 300 * time.Millisecond
+	generators       = 2
 )
 
-// pass is one rate's measurement.
-type pass struct {
+// passResult is the measurement of one rate.
+type passResult struct {
 	rate      float64
 	calls     int
-	missed    int // no answer within the aim
-	datagrams float64
-	hist      *hdrhistogram.Histogram // µs
+	missed    int                     // calls without an answer within the set-up target
+	datagrams float64                 // per second, at the router
+	hist      *hdrhistogram.Histogram // set-up delays in µs
 }
 
-// MeasureCalls looks for the highest rate of whole calls that one router carries without a missed deadline, and
-// measures the delay that it adds at half of that.
+// MeasureCalls searches for the highest rate of complete calls that one router carries without a missed deadline, and
+// measures the delay that the router adds at half of that rate.
 func MeasureCalls(ctx context.Context, o CallsOptions) (*CallsResult, error) {
 	res := &CallsResult{Cores: goruntime.NumCPU()}
 	var err error
-	if res.EchoPerSecond, err = echo(ctx, o.StepDuration); err != nil {
+	if res.EchoPerSecond, err = measureEcho(ctx, o.StepDuration); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(o.Progress, "bare gnet echo: %.0f datagrams a second\n", res.EchoPerSecond)
-	best := pass{}
-	at := func(rate float64, direct bool) (pass, error) {
-		p, err := callsAt(ctx, rate, o.StepDuration, direct, nil)
+	fmt.Fprintf(o.Progress, "bare gnet echo: %.0f datagrams/s\n", res.EchoPerSecond)
+	best := passResult{}
+	measureAt := func(rate float64, direct bool) (passResult, error) {
+		p, err := callsAtRate(ctx, rate, o.StepDuration, direct, nil)
 		res.Calls += p.calls
 		fmt.Fprintf(o.Progress, "%6.0f calls/s, direct %v: %d calls, %d missed, p50 %d us, p99 %d us, %.0f datagrams/s\n", rate, direct,
 			p.calls, p.missed, p.hist.ValueAtQuantile(50), p.hist.ValueAtQuantile(99), p.datagrams)
 		return p, err
 	}
-	p980, err := at(980, false)
+	p980, err := measureAt(980, false)
 	if err != nil {
 		return nil, err
 	}
 	res.MissedAt980, res.P99At980 = p980.missed, float64(p980.hist.ValueAtQuantile(99))
 	best = p980
 	for rate := 1500.0; rate <= o.MaxRate; rate *= 1.25 {
-		p, err := at(rate, false)
+		p, err := measureAt(rate, false)
 		if err != nil {
 			return nil, err
 		}
@@ -109,11 +109,11 @@
 	res.DatagramsPerCall = best.datagrams / best.rate
 	res.EchoRatio = res.DatagramsPerSecond / res.EchoPerSecond
 	res.DelayRate = best.rate / 2
-	through, err := at(res.DelayRate, false)
+	through, err := measureAt(res.DelayRate, false)
 	if err != nil {
 		return nil, err
 	}
-	direct, err := at(res.DelayRate, true)
+	direct, err := measureAt(res.DelayRate, true)
 	if err != nil {
 		return nil, err
 	}
@@ -122,58 +122,59 @@
 	}
 	res.AddedP50, res.AddedP99, res.AddedP999 = added(50), added(99), added(99.9)
 	res.DirectP99 = float64(direct.hist.ValueAtQuantile(99))
-	if res.ViolationCount, err = judgedCalls(ctx, o.StepDuration); err != nil {
+	if res.ViolationCount, err = checkCallRules(ctx, o.StepDuration); err != nil {
 		return nil, err
 	}
-	res.BytesPerStandingCall, err = bytesPerStanding(4000)
+	res.BytesPerStandingCall, err = bytesPerStandingCall(4000)
 	return res, err
 }
 
-// judgedCalls offers 980 calls a second once more with a tap, which the other passes go without, and counts the
-// rules broken in what crossed the sockets.
-func judgedCalls(ctx context.Context, length time.Duration) (int, error) {
-	rep, err := judged(func(tap *capture.Writer) error {
-		tap.Notice(time.Now(), callsFigures())
+// checkCallRules runs one more pass at 980 calls/s with a capture, which the other passes do without, and returns the
+// number of rule violations in it.
+func checkCallRules(ctx context.Context, length time.Duration) (int, error) {
+	rep, err := runChecked(func(tap *capture.Writer) error {
+		tap.Notice(time.Now(), callsParameters())
 		tap.Notice(time.Now(), capture.Notice{Router: &capture.RouterState{Exchange: 0, Up: true}})
-		_, err := callsAt(ctx, 980, length, false, tap)
+		_, err := callsAtRate(ctx, 980, length, false, tap)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
 	if rep.Tries == 0 {
-		return 0, errors.New("the capture shows no call")
+		return 0, errors.New("the capture contains no call")
 	}
 	return len(rep.Violations), nil
 }
 
-// callsFigures are what the rules are judged by where whole calls are measured.
-func callsFigures() capture.Notice {
+// callsParameters returns the parameters of the rules for captures of these measurements.
+func callsParameters() capture.Notice {
 	return capture.Notice{Parameters: &capture.Parameters{DrainGrace: time.Second, ReleaseWait: 300 * time.Millisecond,
 		Patience: map[string]time.Duration{callsClass: callsPatience}}}
 }
 
-// callsPass is one pass: whole calls at a rate to one router with a switch behind it, or to the switch itself.
-type callsPass struct {
+// passOptions describe one pass: complete calls at a rate to one router with a switch behind it, or directly to the switch.
+type passOptions struct {
 	rate   float64
 	length time.Duration
 	direct bool
-	tap    *capture.Writer // then one socket calls, since a capture knows one for each exchange
-	tables string          // added to the router's settings
+	tap    *capture.Writer // if not nil, one socket makes all calls: a capture has one calling party per exchange
+	tables string          // TOML tables added to the router's settings
 }
 
-// callsAt plays a pass with ordinary settings.
-func callsAt(ctx context.Context, rate float64, length time.Duration, direct bool, tap *capture.Writer) (pass, error) {
-	return callsThrough(ctx, callsPass{rate: rate, length: length, direct: direct, tap: tap})
+// callsAtRate runs a pass with the default settings.
+func callsAtRate(ctx context.Context, rate float64, length time.Duration, direct bool, tap *capture.Writer) (passResult, error) {
+	return runCallsPass(ctx, passOptions{rate: rate, length: length, direct: direct, tap: tap})
 }
 
-func callsThrough(ctx context.Context, o callsPass) (p pass, err error) {
+// runCallsPass runs one pass and returns its measurement.
+func runCallsPass(ctx context.Context, o passOptions) (p passResult, err error) {
 	rate, length, direct, tap := o.rate, o.length, o.direct, o.tap
 	generators := generators
 	if tap != nil {
 		generators = 1
 	}
-	p = pass{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
+	p = passResult{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}, 1, tap)
 	if err != nil {
 		return p, err
@@ -182,7 +183,7 @@
 	target := sw.Addr()
 	var r *runtime.Server
 	if !direct {
-		if r, err = callsRouter(sw.Addr(), o.tables); err != nil {
+		if r, err = startCallsRouter(sw.Addr(), o.tables); err != nil {
 			return p, err
 		}
 		defer func() { err = errors.Join(err, r.Stop()) }()
@@ -193,13 +194,13 @@
 	var callers []*standin.Callers
 	for i := range generators {
 		c, err := standin.NewCallers(anyPort, target, standin.CallersSpec{Exchange: i, Rate: rate / float64(generators), FixedHold: true,
-			Weights: []float64{0, 1}, Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold,
+			Weights: []float64{0, 1}, Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime,
 				Patience: callsPatience, Deadline: callsPatience}},
 			Number: func(int, *rand.Rand) string { return "1555" },
 			OnAnswer: func(d time.Duration) {
 				mu.Lock()
-				_ = p.hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // within its range
-				if d > callsAim {
+				_ = p.hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // clamped to the range of the histogram
+				if d > callsSetupTarget {
 					late++
 				}
 				mu.Unlock()
@@ -210,19 +211,19 @@
 		defer c.Close()
 		callers = append(callers, c)
 	}
-	count := func() (n uint64) {
+	count := func() (datagrams uint64) {
 		if r != nil {
-			_ = r.Do(func(n2 *node.Node, _ time.Duration) { st := &n2.IAX().Stats; n = st.In + st.Out })
+			_ = r.Do(func(n *node.Node, _ time.Duration) { st := &n.IAX().Stats; datagrams = st.In + st.Out })
 		}
-		return n
+		return datagrams
 	}
 	for _, c := range callers {
 		c.Start()
 	}
-	if !sleepUntil(ctx, time.Now().Add(callsHold+200*time.Millisecond)) {
+	if !sleepUntil(ctx, time.Now().Add(callsHoldTime+200*time.Millisecond)) {
 		return p, ctx.Err()
 	}
-	from, began := count(), time.Now() // calls begin and end at the same rate from here on
+	from, began := count(), time.Now() // from here on, calls begin and end at the same rate
 	if !sleepUntil(ctx, time.Now().Add(length)) {
 		return p, ctx.Err()
 	}
@@ -244,8 +245,8 @@
 	return p, nil
 }
 
-// callsRouter starts a router whose only neighbour is the switch.
-func callsRouter(sw netip.AddrPort, tables string) (*runtime.Server, error) {
+// startCallsRouter starts a router whose only neighbour is the switch. tables are TOML tables added to its settings.
+func startCallsRouter(sw netip.AddrPort, tables string) (*runtime.Server, error) {
 	set, err := callsSettings(0, "circuits = 20000", tables)
 	if err != nil {
 		return nil, err
@@ -254,19 +255,19 @@
 	if err != nil {
 		return nil, err
 	}
-	r.SetList(callsList(sw))
+	r.SetList(callsExchangeList(sw))
 	return r, nil
 }
 
-// callsSettings are those of router 0 or 1 that is measured, with one group to the other exchange; group adds to its
-// table, tables follow.
+// callsSettings returns the settings of router x, 0 or 1, with one trunk group to the other exchange. group is added to
+// the [[group]] table, tables at the end.
 func callsSettings(x int, group, tables string) (*config.Settings, error) {
-	return config.Parse("calls.toml", callsText(x, "listen = \"127.0.0.1:0\"\nmax_calls = 0\nseed = 1", group,
+	return config.Parse("calls.toml", callsSettingsText(x, "listen = \"127.0.0.1:0\"\nmax_calls = 0\nseed = 1", group,
 		"register = \"http://127.0.0.1:9\"", tables))
 }
 
-// callsText writes such settings; router and list add to their tables.
-func callsText(x int, router, group, list, tables string) []byte {
+// callsSettingsText formats these settings as TOML. router and list are added to the tables of the same name.
+func callsSettingsText(x int, router, group, list, tables string) []byte {
 	return fmt.Appendf(nil, `
 [router]
 exchange = %d
@@ -293,14 +294,15 @@
 max_per_host = 0
 linger = "500ms"
 %s
-`, x, router, callsClass, callsHold, callsAim, callsPatience, callsPatience, 1-x, group, list, tables)
+`, x, router, callsClass, callsHoldTime, callsSetupTarget, callsPatience, callsPatience, 1-x, group, list, tables)
 }
 
-func callsList(sw netip.AddrPort) registry.List {
+// callsExchangeList returns an exchange list with the switch as the only entry.
+func callsExchangeList(sw netip.AddrPort) registry.List {
 	return registry.List{Entries: []registry.Entry{{ID: "far", Number: 1, Phase: decide.Ready, Address: sw}}}
 }
 
-// heapInUse is what the heap holds after a collection.
+// heapInUse returns the allocated heap in bytes after a garbage collection.
 func heapInUse() float64 {
 	var m goruntime.MemStats
 	goruntime.GC()
@@ -309,23 +311,23 @@
 	return float64(m.HeapAlloc)
 }
 
-// bytesPerStanding measures the heap that a router holds for each standing call, without sockets.
-func bytesPerStanding(calls int) (float64, error) {
+// bytesPerStandingCall measures a router's heap use in bytes per standing call, without sockets.
+func bytesPerStandingCall(calls int) (float64, error) {
 	set, err := callsSettings(0, "circuits = 20000", "")
 	if err != nil {
 		return 0, err
 	}
-	caller, far, here := iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 1}, iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 2},
+	caller, dest, self := iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 1}, iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 2},
 		iax2.Addr{IP: [4]byte{127, 0, 0, 1}, Port: 3}
 	n := node.New(node.Settings{Core: set.CallSettings(1)})
-	n.SetList(0, time.Unix(0, 0), callsList(far.AddrPort()))
+	n.SetList(0, time.Unix(0, 0), callsExchangeList(dest.AddrPort()))
 	before := heapInUse()
-	ends := map[iax2.Addr]*iax2.Endpoint{caller: iax2.NewEndpoint(iax2.Config{}), far: iax2.NewEndpoint(iax2.Config{})}
+	endpoints := map[iax2.Addr]*iax2.Endpoint{caller: iax2.NewEndpoint(iax2.Config{}), dest: iax2.NewEndpoint(iax2.Config{})}
 	now := time.Second
-	carry := func() {
+	deliverAll := func() {
 		for again := true; again; {
 			again = false
-			for a, ep := range ends {
+			for addr, ep := range endpoints {
 				for _, e := range ep.Events {
 					if e.Kind == iax2.Offered {
 						e.Dialog.Answer(now)
@@ -335,7 +337,7 @@
 				ep.Flush(now)
 				for i := range ep.Out.Len() {
 					_, b := ep.Out.At(i)
-					n.Receive(now, a, b)
+					n.Receive(now, addr, b)
 					again = true
 				}
 				ep.Out.Reset()
@@ -344,29 +346,29 @@
 			out := &n.IAX().Out
 			for i := range out.Len() {
 				to, b := out.At(i)
-				ends[to].Receive(now, here, b)
+				endpoints[to].Receive(now, self, b)
 				again = true
 			}
 			out.Reset()
 		}
 	}
 	for range calls {
-		if _, err := ends[caller].Call(now, here, iax2.Request{Called: "1555", Calling: "77", Context: callsClass}); err != nil {
+		if _, err := endpoints[caller].Call(now, self, iax2.Request{Called: "1555", Calling: "77", Context: callsClass}); err != nil {
 			return 0, err
 		}
-		carry()
+		deliverAll()
 		now += time.Millisecond
 	}
 	if n.Core.Stats.Ends[call.Refused] > 0 || n.Core.OpenCalls() != calls {
-		return 0, fmt.Errorf("%d of %d calls stand", n.Core.OpenCalls(), calls)
+		return 0, fmt.Errorf("heap of standing calls: %d of %d calls were set up", n.Core.OpenCalls(), calls)
 	}
-	clear(ends)
-	held := heapInUse() - before
+	clear(endpoints)
+	used := heapInUse() - before
 	goruntime.KeepAlive(n)
-	return held / float64(calls), nil
+	return used / float64(calls), nil
 }
 
-// echoServer is the least that gnet can do with UDP.
+// echoServer is a minimal UDP echo server on gnet.
 type echoServer struct {
 	gnet.BuiltinEventEngine
 	eng   gnet.Engine
@@ -385,23 +387,24 @@
 	return gnet.None
 }
 
-// echo measures a bare gnet UDP echo on one loop: senders keep a window of datagrams of a call's usual size out.
-func echo(ctx context.Context, length time.Duration) (float64, error) {
-	probe, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// measureEcho measures a bare gnet UDP echo on one event loop, in datagrams per second, both directions together. The
+// senders keep a window of 64 datagrams in flight, each of 40 bytes, the usual size of a call's.
+func measureEcho(ctx context.Context, length time.Duration) (float64, error) {
+	reserved, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return 0, err
 	}
-	at := probe.LocalAddr().(*net.UDPAddr)
-	probe.Close()
+	addr := reserved.LocalAddr().(*net.UDPAddr)
+	reserved.Close()
 	srv := &echoServer{ready: make(chan struct{})}
-	ended := make(chan error, 1)
+	stopped := make(chan error, 1)
 	go func() {
-		ended <- gnet.Run(srv, "udp://"+at.String(), gnet.WithNumEventLoop(1),
+		stopped <- gnet.Run(srv, "udp://"+addr.String(), gnet.WithNumEventLoop(1),
 			gnet.WithSocketRecvBuffer(4<<20), gnet.WithLogLevel(logging.ErrorLevel))
 	}()
 	select {
 	case <-srv.ready:
-	case err := <-ended:
+	case err := <-stopped:
 		return 0, err
 	}
 	const window, size = 64, 40
@@ -409,7 +412,7 @@
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	for range generators {
-		conn, err := net.DialUDP("udp4", nil, at)
+		conn, err := net.DialUDP("udp4", nil, addr)
 		if err != nil {
 			return 0, err
 		}
@@ -440,5 +443,5 @@
 	close(stop)
 	wg.Wait()
 	err = srv.eng.Stop(context.Background())
-	return rate, errors.Join(err, <-ended)
+	return rate, errors.Join(err, <-stopped)
 }
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -19,28 +19,28 @@
 	"pipitring/internal/store"
 )
 
-// CrashOptions are how `lab crash` measures.
+// CrashOptions are the options of `lab crash`.
 type CrashOptions struct {
-	Calls          int // of the run whose every write and sync is a crash
-	NestedInterval int // at every so-manieth point the crashes within its recovery are played too; 0 is never
-	Kills          int // of a real process under load
-	Seed           uint64
-	Progress       io.Writer
-	early          bool // planted: answers go out before their record is durable
+	Calls          int       // calls of the run in which every write and sync is a crash point
+	NestedInterval int       // at every crash point that is a multiple of it, the recovery is crashed as well; 0 for none
+	Kills          int       // kills of a real process under load
+	Seed           uint64    // seed of calls and crashes
+	Progress       io.Writer // gets a line for every 1000 crash points; nil for none
+	answerEarly    bool      // planted bug: answers are sent before their record is durable
 }
 
-// CrashResult is what was found after the crashes. Counts of calls add up over all points: a call that was finished at
-// a thousand points was looked for a thousand times.
+// CrashResult is the result of auditing the disks after the crashes. The counts of calls are sums over all crash points:
+// a call that was finished at a thousand points was checked a thousand times.
 type CrashResult struct {
-	PointsTried       int            `json:"points_tried"` // of these so many within recoveries:
+	PointsTried       int            `json:"points_tried"` // includes those in recoveries
 	PointsNested      int            `json:"points_in_recovery"`
 	PointsByOp        map[string]int `json:"points_by_operation"`
-	Calls             int            `json:"calls"` // of the run itself
+	Calls             int            `json:"calls"` // calls of the run
 	CallsFinished     int            `json:"calls_finished"`
 	CallsStanding     int            `json:"calls_standing"`
 	RecordsMissing    int            `json:"records_missing"`
 	RecordsDuplicated int            `json:"records_doubled"`
-	RecordsUnknown    int            `json:"records_false"` // of calls that were never taken
+	RecordsUnknown    int            `json:"records_false"` // records of calls that were never offered
 	Recovered         int            `json:"records_by_recovery"`
 	ExportsWrong      int            `json:"exports_wrong"`
 	Problems          []string       `json:"broken,omitempty"`
@@ -49,45 +49,46 @@
 	Kills             *KillResult    `json:"kills,omitempty"`
 }
 
-// Good tells whether nothing was lost, doubled or made up.
+// Good reports whether no record was missing, duplicated or unknown, and nothing else was wrong.
 func (r *CrashResult) Good() bool {
 	return r.RecordsMissing+r.RecordsDuplicated+r.RecordsUnknown+r.ExportsWrong+len(r.Problems) == 0 && (r.Kills == nil || r.Kills.Good())
 }
 
-// crashRun is the run whose every point is a crash.
+// crashRun is a run of calls in which every write, sync, rename and removal is a crash point.
 type crashRun struct {
-	fs    *crashfs.FS
-	early bool
-	rec   *records.Recorder
-	rng   *rand.Rand
+	fs          *crashfs.FS
+	answerEarly bool
+	recorder    *records.Recorder
+	rng         *rand.Rand
 
 	mu       sync.Mutex
-	told     map[uint64]bool // calls whose final answer has gone out; true: it ended too
-	taken    uint64
-	waiting  []ticketed
-	durable  uint64
-	progress chan struct{}
+	answered map[uint64]bool // calls whose final answer was sent; true if the call has ended
+	offered  uint64          // number of the last call offered
+	pending  []pendingAnswer // in order of ticket
+	durable  uint64          // ticket of the last durable record
+	progress chan struct{}   // signalled when more records are durable
 }
 
-// ticketed is an answer that waits for its record.
-type ticketed struct {
+// pendingAnswer is a final answer that waits until its record is durable.
+type pendingAnswer struct {
 	ticket uint64
 	call   uint64
 	ended  bool
 }
 
 const (
-	crashDir   = "records"
-	crashOut   = "exported"
-	crashBatch = 40
-	crashKeep  = 64 // calls that stand at once
+	crashRecordsDir  = "records"
+	crashExportDir   = "exported"
+	crashExportBatch = 40
+	maxStandingCalls = 64 // upper limit of standing calls at a time
 )
 
-// crashOptions are a recorder's on such a disk: small memory, so that sorting and compacting happen often.
-func crashOptions(fs *crashfs.FS) records.Options {
+// crashRecorderOptions returns the options of a recorder on a simulated disk. The small memory table makes flushes and
+// compactions frequent.
+func crashRecorderOptions(fs *crashfs.FS) records.Options {
 	var wall time.Duration
 	var mu sync.Mutex
-	return records.Options{Dir: crashDir, FS: fs, Router: 7, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20},
+	return records.Options{Dir: crashRecordsDir, FS: fs, Router: 7, Gate: store.GateSettings{SlowAfter: time.Hour, MaxQueue: 1 << 20},
 		MaxBatch: 16, HeartbeatInterval: time.Hour, MemTableSize: 64 << 10, Rater: crashTariffs(),
 		Wall: func() time.Time {
 			mu.Lock()
@@ -97,8 +98,10 @@
 		}}
 }
 
+// crashEpoch is the wall-clock time at which the runs start.
 var crashEpoch = time.Date(2026, 12, 1, 14, 0, 0, 0, time.UTC)
 
+// crashTariffs returns the tariffs that the records are rated with.
 func crashTariffs() *cdr.Tariffs {
 	price, err := cdr.ParseAmount("0.12")
 	if err != nil {
@@ -108,53 +111,56 @@
 		Rates: []cdr.Rate{{PerMinute: price, Step: 6 * time.Second}}}}}
 }
 
-func crashExport() records.ExportOptions {
-	return records.ExportOptions{Dir: crashOut, ExportSettings: cdr.ExportSettings{Target: "out", Router: 7, Format: cdr.CSV,
-		MaxRecords: crashBatch, MinRecords: crashBatch, MaxWait: time.Hour}}
+// crashExportOptions returns the options of the export on the simulated disk.
+func crashExportOptions() records.ExportOptions {
+	return records.ExportOptions{Dir: crashExportDir, ExportSettings: cdr.ExportSettings{Target: "out", Router: 7, Format: cdr.CSV,
+		MaxRecords: crashExportBatch, MinRecords: crashExportBatch, MaxWait: time.Hour}}
 }
 
-// RunCrashes plays a run of calls and crashes its disk before every write, sync, rename and removal. Each disk is recovered
-// and audited: every call whose answer had gone out has one record, no call has two, and what is exported is whole.
+// RunCrashes runs calls on a simulated disk and crashes the disk before every write, sync, rename and removal. Each crashed
+// disk is recovered and audited: every call whose answer was sent has one record, no call has two, and the exported files
+// are complete.
 func RunCrashes(ctx context.Context, o CrashOptions) (*CrashResult, error) {
 	began := time.Now()
 	res := &CrashResult{PointsByOp: map[string]int{}, Calls: o.Calls}
-	run := &crashRun{fs: crashfs.New(), early: o.early, rng: rand.New(rand.NewPCG(o.Seed, 9)), told: map[uint64]bool{},
+	run := &crashRun{fs: crashfs.New(), answerEarly: o.answerEarly, rng: rand.New(rand.NewPCG(o.Seed, 9)), answered: map[uint64]bool{},
 		progress: make(chan struct{}, 1)}
 	var mu sync.Mutex
 	disks := make(chan crashedDisk, 2*goruntime.NumCPU())
-	var judges sync.WaitGroup
+	var checkers sync.WaitGroup
 	for range goruntime.NumCPU() {
-		judges.Go(func() {
+		checkers.Go(func() {
 			for d := range disks {
-				got := d.judge(o.NestedInterval)
+				found := d.check(o.NestedInterval)
 				mu.Lock()
-				res.add(got)
-				if res.PointsTried%1000 < got.PointsTried && o.Progress != nil {
-					fmt.Fprintf(o.Progress, "%d points\n", res.PointsTried)
+				res.add(found)
+				if res.PointsTried%1000 < found.PointsTried && o.Progress != nil {
+					fmt.Fprintf(o.Progress, "%d crash points checked\n", res.PointsTried)
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	run.fs.SetHook(func(p crashfs.Point) error {
-		// First what has been told, then the disk: what was told before is on it. What was taken, after.
+		// The order matters: the answers sent before the snapshot of the disk must be on it, and the calls offered are
+		// read after it, so that every record on the disk belongs to one of them.
 		run.mu.Lock()
-		told := make(map[uint64]bool, len(run.told))
-		for k, v := range run.told {
-			told[k] = v
+		answered := make(map[uint64]bool, len(run.answered))
+		for call, ended := range run.answered {
+			answered[call] = ended
 		}
 		run.mu.Unlock()
-		d := crashedDisk{point: p, told: told, seed: o.Seed + p.N, fs: run.fs.Crash(int(p.N%3)*50, o.Seed+p.N)}
+		d := crashedDisk{point: p, answered: answered, seed: o.Seed + p.N, fs: run.fs.Crash(int(p.N%3)*50, o.Seed+p.N)}
 		run.mu.Lock()
-		d.taken = run.taken
+		d.offered = run.offered
 		run.mu.Unlock()
 		disks <- d
 		return nil
 	})
-	err := run.play(ctx, o.Calls)
+	err := run.run(ctx, o.Calls)
 	run.fs.SetHook(nil)
 	close(disks)
-	judges.Wait()
+	checkers.Wait()
 	if err != nil {
 		return nil, err
 	}
@@ -167,6 +173,7 @@
 	return res, nil
 }
 
+// add adds the result of one crash point; at most 20 problems are kept.
 func (r *CrashResult) add(o *CrashResult) {
 	r.PointsTried += o.PointsTried
 	r.PointsNested += o.PointsNested
@@ -183,14 +190,14 @@
 	r.Problems = append(r.Problems, o.Problems[:min(len(o.Problems), 20-min(20, len(r.Problems)))]...)
 }
 
-// play takes calls: most stand for a while, some are refused, some callers leave. Answers and refusals count as told
-// only once their record is durable, as the router has it.
-func (c *crashRun) play(ctx context.Context, calls int) error {
-	opt := crashOptions(c.fs)
-	opt.OnDurable = c.done
-	opt.Exports = []records.ExportOptions{crashExport()}
+// run offers calls: most of them stand for a while, some are refused, and some are abandoned by the caller. Answers and
+// refusals count as sent only when their record is durable, as in the router.
+func (c *crashRun) run(ctx context.Context, calls int) error {
+	opt := crashRecorderOptions(c.fs)
+	opt.OnDurable = c.onDurable
+	opt.Exports = []records.ExportOptions{crashExportOptions()}
 	var err error
-	if c.rec, err = records.Open(opt); err != nil {
+	if c.recorder, err = records.Open(opt); err != nil {
 		return err
 	}
 	var standing []uint64
@@ -199,18 +206,18 @@
 		call := standing[i]
 		standing = slices.Delete(standing, i, i+1)
 		c.mu.Lock()
-		c.told[call] = true // a release is not held back: the mark is durable
+		c.answered[call] = true // a release does not wait for its record: the open-call entry is durable
 		c.mu.Unlock()
 		return c.submit(cdr.Item{Record: c.record(call, cdr.Answered)}, 0, false)
 	}
 	for call := uint64(1); call <= uint64(calls) && ctx.Err() == nil; call++ {
 		c.mu.Lock()
-		c.taken = call
+		c.offered = call
 		c.mu.Unlock()
 		switch x := c.rng.IntN(10); {
 		case x < 7:
 			if err = c.submit(cdr.Item{Open: true, Record: c.record(call, 0)}, call, false); err == nil {
-				err = c.await(call)
+				err = c.awaitAnswer(call)
 			}
 			standing = append(standing, call)
 		case x < 9:
@@ -218,21 +225,21 @@
 		default:
 			err = c.submit(cdr.Item{Record: c.record(call, cdr.Abandoned)}, call, true)
 		}
-		for err == nil && (len(standing) > crashKeep || len(standing) > 0 && c.rng.IntN(3) == 0) {
+		for err == nil && (len(standing) > maxStandingCalls || len(standing) > 0 && c.rng.IntN(3) == 0) {
 			err = end()
 		}
 		if err != nil {
 			return err
 		}
 	}
-	c.rec.Flush()
-	return cmp.Or(ctx.Err(), c.rec.Close())
+	c.recorder.Flush()
+	return cmp.Or(ctx.Err(), c.recorder.Close())
 }
 
-// record is one of call's; a standing one has no end yet.
+// record returns a record of a call; end is 0 for a standing call.
 func (c *crashRun) record(call uint64, end cdr.End) cdr.Record {
 	at := crashEpoch.Add(time.Duration(call) * time.Millisecond)
-	r := cdr.Record{ID: c.rec.ID(call), End: end, Class: "status", Called: fmt.Sprintf("1%06d", call), Calling: "9", Front: "iax2",
+	r := cdr.Record{ID: c.recorder.ID(call), End: end, Class: "status", Called: fmt.Sprintf("1%06d", call), Calling: "9", Front: "iax2",
 		Origin: -1, Dest: 1, Width: 1, Offered: at, Ended: at.Add(time.Second),
 		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
 	if end == 0 || end == cdr.Answered {
@@ -241,30 +248,33 @@
 	return r
 }
 
-func (c *crashRun) submit(it cdr.Item, tells uint64, ended bool) error {
+// submit passes a record to the recorder. When it is durable, the final answer of the call counts as sent; call 0 has no
+// answer that waits for this record.
+func (c *crashRun) submit(it cdr.Item, call uint64, ended bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ticket, ok := c.rec.Submit(it)
+	ticket, ok := c.recorder.Submit(it)
 	if !ok {
-		return errors.New("a record was not taken")
+		return errors.New("the recorder rejected a record")
 	}
-	if c.early && tells > 0 {
-		c.told[tells] = ended
-	} else if tells > 0 {
-		c.waiting = append(c.waiting, ticketed{ticket, tells, ended})
+	if c.answerEarly && call > 0 {
+		c.answered[call] = ended
+	} else if call > 0 {
+		c.pending = append(c.pending, pendingAnswer{ticket, call, ended})
 	}
 	return nil
 }
 
-func (c *crashRun) done(upTo uint64) {
+// onDurable counts the answers whose records are durable as sent; upTo is the ticket of the last durable record.
+func (c *crashRun) onDurable(upTo uint64) {
 	c.mu.Lock()
 	c.durable = upTo
 	n := 0
-	for n < len(c.waiting) && c.waiting[n].ticket <= upTo {
-		c.told[c.waiting[n].call] = c.waiting[n].ended
+	for n < len(c.pending) && c.pending[n].ticket <= upTo {
+		c.answered[c.pending[n].call] = c.pending[n].ended
 		n++
 	}
-	c.waiting = c.waiting[n:]
+	c.pending = c.pending[n:]
 	c.mu.Unlock()
 	select {
 	case c.progress <- struct{}{}:
@@ -272,11 +282,11 @@
 	}
 }
 
-// await waits until a call's answer has gone out.
-func (c *crashRun) await(call uint64) error {
+// awaitAnswer waits until a call's answer is sent, at most 30 s.
+func (c *crashRun) awaitAnswer(call uint64) error {
 	for {
 		c.mu.Lock()
-		_, ok := c.told[call]
+		_, ok := c.answered[call]
 		c.mu.Unlock()
 		if ok {
 			return nil
@@ -284,22 +294,23 @@
 		select {
 		case <-c.progress:
 		case <-time.After(30 * time.Second):
-			return fmt.Errorf("the record of call %d is not durable after 30 s", call)
+			return fmt.Errorf("record of call %d: not durable after 30 s", call)
 		}
 	}
 }
 
-// crashedDisk is a disk after a crash, and what had been told before.
+// crashedDisk is a disk after a crash, with the answers sent and the calls offered before it.
 type crashedDisk struct {
-	point crashfs.Point
-	told  map[uint64]bool
-	taken uint64
-	seed  uint64
-	fs    *crashfs.FS
+	point    crashfs.Point
+	answered map[uint64]bool
+	offered  uint64
+	seed     uint64
+	fs       *crashfs.FS
 }
 
-// judge recovers the disk, and after every crash within that recovery the disk that this leaves.
-func (d crashedDisk) judge(nested int) *CrashResult {
+// check recovers and audits the disk. At every nested-th crash point it also crashes that recovery at each of its own
+// crash points, and audits the resulting disks.
+func (d crashedDisk) check(nested int) *CrashResult {
 	res := &CrashResult{PointsTried: 1, PointsByOp: map[string]int{d.point.Op: 1}}
 	var inner []*crashfs.FS
 	if nested > 0 && d.point.N%uint64(nested) == 0 {
@@ -318,36 +329,36 @@
 	return res
 }
 
-// audit opens a disk, which recovers it, exports the rest and looks for every call.
+// audit opens a disk, which recovers it, checks the records of all calls and exports the remaining records.
 func (d *crashedDisk) audit(res *CrashResult, fs *crashfs.FS, recovered func()) {
-	broken := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		res.Problems = append(res.Problems, fmt.Sprintf("point %d (%s %s): ", d.point.N, d.point.Op, d.point.Name)+fmt.Sprintf(format, args...))
 	}
-	rec, err := records.Open(crashOptions(fs))
+	rec, err := records.Open(crashRecorderOptions(fs))
 	recovered()
 	if err != nil {
-		broken("opening: %v", err)
+		report("opening: %v", err)
 		return
 	}
 	defer func() { _ = rec.Close() }()
 	st := rec.Store()
 	found := map[uint64]int{}
 	var f cdr.Filter
-	err = f.Each(st, func(n uint64, err error) { broken("number %d: %v", n, err) }, func(_ uint64, r *cdr.Record) error {
+	err = f.Each(st, func(n uint64, err error) { report("record number %d: %v", n, err) }, func(_ uint64, r *cdr.Record) error {
 		found[r.ID.Call]++
 		if r.EndSource == cdr.EndedByRecovery {
 			res.Recovered++
 		}
-		if r.ID.Call == 0 || r.ID.Call > d.taken || r.ID.Incarnation != 1 {
+		if r.ID.Call == 0 || r.ID.Call > d.offered || r.ID.Incarnation != 1 {
 			res.RecordsUnknown++
-			broken("call %v was never taken", r.ID)
+			report("record of call %v, which was never offered", r.ID)
 		}
 		return nil
 	})
 	if err != nil {
-		broken("%v", err)
+		report("%v", err)
 	}
-	for call, ended := range d.told {
+	for call, ended := range d.answered {
 		if ended {
 			res.CallsFinished++
 		} else {
@@ -355,28 +366,28 @@
 		}
 		if found[call] == 0 {
 			res.RecordsMissing++
-			broken("call %d has no record", call)
+			report("call %d has no record", call)
 		}
 	}
 	for call, n := range found {
 		if n > 1 {
 			res.RecordsDuplicated++
-			broken("call %d has %d records", call, n)
+			report("call %d has %d records", call, n)
 		}
 	}
 	a, err := cdr.Verify(st)
 	if err != nil || !a.Good() || a.Open != 0 {
-		broken("verify: %+v, %v", a, err)
+		report("verify: %+v, %v", a, err)
 	}
-	if err := d.export(rec, fs); err != nil {
+	if err := d.verifyExport(rec, fs); err != nil {
 		res.ExportsWrong++
-		broken("export: %v", err)
+		report("export: %v", err)
 	}
 }
 
-// export sends all that is left and looks through the files.
-func (d *crashedDisk) export(rec *records.Recorder, fs *crashfs.FS) error {
-	o := crashExport()
+// verifyExport exports the remaining records and verifies all exported files.
+func (d *crashedDisk) verifyExport(rec *records.Recorder, fs *crashfs.FS) error {
+	o := crashExportOptions()
 	e, err := cdr.OpenExport(rec.Store(), o.ExportSettings)
 	if err != nil {
 		return err
@@ -394,11 +405,11 @@
 		}
 	}
 	a := &cdr.Audit{First: 1}
-	if err := a.VerifyFiles(rec.Store(), export.Files{FS: fs, Dir: crashOut}, o.Router); err != nil {
+	if err := a.VerifyFiles(rec.Store(), export.Files{FS: fs, Dir: crashExportDir}, o.Router); err != nil {
 		return err
 	}
 	if !a.Good() || a.Exported != last {
-		return fmt.Errorf("%d of %d records exported; %+v", a.Exported, last, a)
+		return fmt.Errorf("%d of %d records exported: %+v", a.Exported, last, a)
 	}
 	return nil
 }
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -15,15 +15,15 @@
 	"pipitring/internal/rules"
 )
 
-// DayOptions are how a day is played.
+// DayOptions are the options of `pipitring day`.
 type DayOptions struct {
-	Capture  string    // a file to keep the capture in; "" is none
-	Progress io.Writer // what happens, as it happens; nil is not told
-	Log      *zap.Logger
-	look     func(*fleet) // at the fleet when all calls are over
+	Capture  string       // file for the capture; "" keeps it in memory only
+	Progress io.Writer    // gets a line for each step of the script; nil for none
+	Log      *zap.Logger  // log of the routers; nil for none
+	inspect  func(*fleet) // if not nil, called when all calls have ended
 }
 
-// DayResult is what a day came to. Counts of tries are from the capture, by the callers' sockets.
+// DayResult is the result of a day. The counts of tries are from the capture, as seen at the callers' sockets.
 type DayResult struct {
 	Day             string                           `json:"day"`
 	Front           string                           `json:"front"`
@@ -49,23 +49,23 @@
 	SwitchCollapses int                              `json:"switches_fallen"`
 	Records         DayRecords                       `json:"records"`
 	WallSeconds     float64                          `json:"wall_seconds"`
-	kept            keptRecords
+	stored          storedRecords
 }
 
-// Good tells whether nothing was broken or left over.
+// Good reports whether no rule was violated, no resource remained held and no record was wrong.
 func (r *DayResult) Good() bool {
 	return r.ViolationCount == 0 && r.LeftOver == (HeldResources{}) && r.Overdue+r.ActionFaults == 0 && r.Malformed == 0 && r.Records.Good()
 }
 
-// RunDay plays a script on loopback and judges it from its capture.
+// RunDay runs a script on loopback and checks the rules on its capture.
 func RunDay(ctx context.Context, s *Script, o DayOptions) (*DayResult, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
 	began := time.Now()
 	var file io.ReadWriteSeeker
-	var held bytes.Buffer
-	var w io.Writer = &held
+	var buffer bytes.Buffer
+	var w io.Writer = &buffer
 	if o.Capture != "" {
 		f, err := os.Create(o.Capture)
 		if err != nil {
@@ -79,13 +79,13 @@
 		return nil, err
 	}
 	res := &DayResult{Day: s.Name, Front: s.Fleet.Front}
-	if err := play(ctx, s, tap, o, res); err != nil {
+	if err := runScript(ctx, s, tap, o, res); err != nil {
 		return nil, err
 	}
 	if err := tap.Close(); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	var r io.Reader = &held
+	var r io.Reader = &buffer
 	if file != nil {
 		if _, err := file.Seek(0, io.SeekStart); err != nil {
 			return nil, err
@@ -96,16 +96,16 @@
 	if err != nil {
 		return nil, err
 	}
-	res.take(report)
-	res.Records.match(report.TryDetails, res.kept, nil)
+	res.addReport(report)
+	res.Records.match(report.TryDetails, res.stored, nil)
 	res.WallSeconds = time.Since(began).Seconds()
 	return res, nil
 }
 
-// nopCloser keeps the capture from closing a file that is read afterwards.
+// nopCloser prevents the capture writer from closing a file that is read afterwards.
 type nopCloser struct{ io.Writer }
 
-// CheckCapture judges a capture.
+// CheckCapture checks the rules on a capture and returns the report.
 func CheckCapture(r io.Reader) (*rules.Report, error) {
 	c := rules.Checker{KeepTries: true}
 	if err := capture.Read(r, func(p capture.Packet) error { c.Packet(p); return nil }); err != nil {
@@ -114,24 +114,24 @@
 	return c.Report(), nil
 }
 
-// judged plays something under a tap and judges what it saw.
-func judged(play func(tap *capture.Writer) error) (*rules.Report, error) {
-	var held bytes.Buffer
-	tap, err := capture.NewWriter(&held)
+// runChecked calls run with a capture in memory and checks the rules on that capture.
+func runChecked(run func(tap *capture.Writer) error) (*rules.Report, error) {
+	var buffer bytes.Buffer
+	tap, err := capture.NewWriter(&buffer)
 	if err != nil {
 		return nil, err
 	}
-	if err := play(tap); err != nil {
+	if err := run(tap); err != nil {
 		return nil, err
 	}
 	if err := tap.Close(); err != nil {
 		return nil, err
 	}
-	return CheckCapture(&held)
+	return CheckCapture(&buffer)
 }
 
-// play runs the fleet through its day.
-func play(ctx context.Context, s *Script, tap *capture.Writer, o DayOptions, res *DayResult) error {
+// runScript starts a fleet, runs the script's steps and collects the result.
+func runScript(ctx context.Context, s *Script, tap *capture.Writer, o DayOptions, res *DayResult) error {
 	log := o.Log
 	if log == nil {
 		log = zap.NewNop()
@@ -145,20 +145,21 @@
 	for _, c := range f.callers {
 		c.Start()
 	}
-	for _, st := range append(f.steps(), step{s.Length, "the day ends", func() error { return nil }}) {
+	for _, st := range append(f.faultSteps(), step{s.Length, "the day ends", func() error { return nil }}) {
 		if !sleepUntil(ctx, start.Add(min(st.at, s.Length))) {
 			return ctx.Err()
 		}
-		fmt.Fprintf(o.Progress, "%6.2f s  %s\n", time.Since(start).Seconds(), st.what)
-		if err := st.do(); err != nil {
-			return fmt.Errorf("%s: %w", st.what, err)
+		fmt.Fprintf(o.Progress, "%6.2f s  %s\n", time.Since(start).Seconds(), st.description)
+		if err := st.action(); err != nil {
+			return fmt.Errorf("%s: %w", st.description, err)
 		}
 	}
-	return f.endDay(s, o.look, res)
+	return f.finish(s, o.inspect, res)
 }
 
-// endDay lets the calls out come to their ends, then looks for what is left.
-func (f *fleet) endDay(s *Script, look func(*fleet), res *DayResult) error {
+// finish stops the callers, waits until all calls have ended and collects what is still held, the statistics and the
+// records.
+func (f *fleet) finish(s *Script, inspect func(*fleet), res *DayResult) error {
 	for _, c := range f.callers {
 		c.Stop()
 	}
@@ -166,26 +167,26 @@
 	for _, c := range s.Classes {
 		longest = max(longest, c.Patience)
 	}
-	time.Sleep(longest + 200*time.Millisecond) // every try gets its answer, or shows that it got none
+	time.Sleep(longest + 200*time.Millisecond) // by then every try has its final answer or is unanswered
 	for _, c := range f.callers {
 		c.HangUp()
 	}
-	if look != nil {
-		look(f)
+	if inspect != nil {
+		inspect(f)
 	}
 	var err error
-	if res.LeftOver, err = f.settle(15 * time.Second); err != nil {
+	if res.LeftOver, err = f.awaitReleased(15 * time.Second); err != nil {
 		return err
 	}
-	if err := f.tally(res); err != nil {
+	if err := f.collectStats(res); err != nil {
 		return err
 	}
-	res.kept, err = f.ground.readRecords(&res.Records)
+	res.stored, err = f.env.readRecords(&res.Records)
 	return err
 }
 
-// tally adds up what routers and switches counted, and ends the routers.
-func (f *fleet) tally(res *DayResult) error {
+// collectStats sums the counters of routers and switches, and stops the routers.
+func (f *fleet) collectStats(res *DayResult) error {
 	for _, r := range f.routers {
 		if r == nil {
 			continue
@@ -203,6 +204,7 @@
 	return f.stopRouters()
 }
 
+// sleepUntil waits until a time and reports whether it was reached before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
@@ -214,8 +216,8 @@
 	}
 }
 
-// take puts a report in the result's terms.
-func (r *DayResult) take(rep *rules.Report) {
+// addReport fills in the fields that come from a report of the rules.
+func (r *DayResult) addReport(rep *rules.Report) {
 	r.ViolationCount, r.Calls, r.ByClass, r.Causes = len(rep.Violations), rep.Tries, rep.Outcomes, rep.Causes
 	for _, b := range rep.Violations {
 		r.Violations = append(r.Violations, b.String())
@@ -231,9 +233,9 @@
 	}
 }
 
-// Summarize is a report in the form of a day's result.
+// Summarize returns a report of the rules in the form of a day's result.
 func Summarize(rep *rules.Report) *DayResult {
 	var r DayResult
-	r.take(rep)
+	r.addReport(rep)
 	return &r
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// RunDemo runs three routers with their switches until ctx ends, and tells where they listen.
-func RunDemo(ctx context.Context, say func(string)) error {
+// RunDemo runs three routers with their switches on loopback until ctx ends. It passes lines for the operator to printLine.
+func RunDemo(ctx context.Context, printLine func(string)) error {
 	s, err := BuiltInScript()
 	if err != nil {
 		return err
@@ -19,10 +19,10 @@
 		return err
 	}
 	defer f.close()
-	for x, at := range f.at {
-		say(fmt.Sprintf("router of exchange %d listens on %v (IAX2); it serves numbers that begin with %s", x, at, prefix(x)))
+	for x, at := range f.routerAddrs {
+		printLine(fmt.Sprintf("exchange %d: router listens on %v (IAX2) and serves numbers that begin with %s", x, at, numberPrefix(x)))
 	}
-	say("calls are taken without registration; Ctrl-C ends")
+	printLine("calls are accepted without registration; press Ctrl-C to stop")
 	<-ctx.Done()
 	return nil
 }
--- a/internal/lab/failover.go
+++ b/internal/lab/failover.go
@@ -18,23 +18,24 @@
 	"pipitring/internal/standin"
 )
 
-// FailoverResult is what the loss of one of two associations costs calls in set-up.
+// FailoverResult is the effect of losing one of two associations on calls in set-up.
 type FailoverResult struct {
 	Rate      float64 `json:"calls_per_second"`
 	Calls     int     `json:"calls"`
 	Answered  int     `json:"stood"`
 	Refused   int     `json:"refused"`
 	Failed    int     `json:"failed"`
-	P99Before float64 `json:"p99_before_us"` // set-up delay until the cut
-	P50After  float64 `json:"p50_after_us"`  // and in the half second after it
+	P99Before float64 `json:"p99_before_us"` // set-up delays before the cut
+	P50After  float64 `json:"p50_after_us"`  // set-up delays in the half second after the cut
 	P99After  float64 `json:"p99_after_us"`
 	MaxAfter  float64 `json:"max_after_us"`
 }
 
-// newest is the link whose association is made last.
-const newest = 1
+// newestLink is the index of the link whose association is established last.
+const newestLink = 1
 
-// MeasureFailover plays calls between two routers with two associations, and resets the one that carries them in the middle.
+// MeasureFailover offers calls between two routers with two associations, and cuts the association that carries them halfway
+// through length.
 func MeasureFailover(ctx context.Context, rate float64, length time.Duration) (*FailoverResult, error) {
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}, 1, nil)
 	if err != nil {
@@ -53,8 +54,8 @@
 		defer links[i].Close()
 	}
 	var routers [2]*runtime.Server
-	for x := 1; x >= 0; x-- { // the one that listens first
-		group, tables := fmt.Sprintf("circuits = %d\nfront = \"isup\"", circuits), fmt.Sprintf("[m3ua]\nlisten = %q", m3ua)
+	for x := 1; x >= 0; x-- { // the listening router first
+		group, tables := fmt.Sprintf("circuits = %d\nfront = \"isup\"", groupCircuits), fmt.Sprintf("[m3ua]\nlisten = %q", m3ua)
 		if x == 0 {
 			group, tables = group+fmt.Sprintf("\nconnect = [%q, %q]", links[0].Addr(), links[1].Addr()), ""
 		}
@@ -73,53 +74,55 @@
 	for _, r := range routers {
 		r.SetList(list)
 	}
-	if err := awaitBoth(routers[0]); err != nil {
+	if err := awaitAssociations(routers[0]); err != nil {
 		return nil, err
 	}
-	// The newest association carries all. Which that is depends on which connected last, so it is made so.
-	links[newest].Set(standin.LinkFaults{Cut: true})
+	// The newest association carries all traffic. Which one that is depends on the order of connecting, so one is cut and
+	// connected again.
+	links[newestLink].Set(standin.LinkFaults{Cut: true})
 	time.Sleep(50 * time.Millisecond)
-	links[newest].Set(standin.LinkFaults{})
-	if err := awaitBoth(routers[0]); err != nil {
+	links[newestLink].Set(standin.LinkFaults{})
+	if err := awaitAssociations(routers[0]); err != nil {
 		return nil, err
 	}
 	return failoverCalls(ctx, rate, length, routers[0].Addr(), links)
 }
 
-// awaitBoth waits until two associations to exchange 1 are active.
-func awaitBoth(r *runtime.Server) error {
+// awaitAssociations waits until two associations to exchange 1 are active, at most 10 s.
+func awaitAssociations(r *runtime.Server) error {
 	up := 0
 	for limit := time.Now().Add(10 * time.Second); up < 2; time.Sleep(2 * time.Millisecond) {
 		if err := r.Do(func(n *node.Node, _ time.Duration) { up = n.ISUP().GroupStates()[0].Associations }); err != nil {
 			return err
 		}
 		if time.Now().After(limit) {
-			return errors.New("no two associations in 10 s")
+			return errors.New("exchange 1: fewer than 2 associations active after 10 s")
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // the groups' resets are answered
+	time.Sleep(100 * time.Millisecond) // time for the circuit group resets to be acknowledged
 	return nil
 }
 
+// failoverCalls offers calls, cuts the newest link halfway, and returns the set-up delays before and after the cut.
 func failoverCalls(ctx context.Context, rate float64, length time.Duration, router netip.AddrPort,
 	links [2]*standin.StreamLink) (*FailoverResult, error) {
 	before, after := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var cutAt time.Time
 	c, err := standin.NewCallers(anyPort, router, standin.CallersSpec{Rate: rate, FixedHold: true, Weights: []float64{0, 1},
-		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold, Patience: callsPatience, Deadline: callsPatience}},
+		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime, Patience: callsPatience, Deadline: callsPatience}},
 		Number:  func(int, *rand.Rand) string { return "1555" },
 		OnAnswer: func(d time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
-			h := before
+			hist := before
 			if began := time.Now().Add(-d); !cutAt.IsZero() && time.Now().After(cutAt) {
 				if began.After(cutAt.Add(500 * time.Millisecond)) {
 					return
 				}
-				h = after
+				hist = after
 			}
-			_ = h.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // within its range
+			_ = hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // clamped to the range of the histogram
 		}}, 1, nil)
 	if err != nil {
 		return nil, err
@@ -132,7 +135,7 @@
 	mu.Lock()
 	cutAt = time.Now()
 	mu.Unlock()
-	links[newest].Set(standin.LinkFaults{Cut: true})
+	links[newestLink].Set(standin.LinkFaults{Cut: true})
 	if !sleepUntil(ctx, time.Now().Add(length/2)) {
 		return nil, ctx.Err()
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -23,7 +23,7 @@
 	"pipitring/internal/standin"
 )
 
-// router is one router of a fleet: on sockets or on the virtual network.
+// router is a router of a fleet, on sockets or on the virtual network.
 type router interface {
 	Do(func(n *node.Node, now time.Duration)) error
 	Reload(*config.Settings) error
@@ -32,74 +32,74 @@
 	Addr() netip.AddrPort
 }
 
-// link is what lies between two routers.
+// link is the network path between two routers.
 type link interface {
 	Set(standin.LinkFaults)
 	Close()
 }
 
-// register tells routers the exchange list.
-type register interface {
-	Publish(routers int, lines []standin.ListEntry)
-	Lag(router int, d time.Duration)
-	Gone(on bool)
+// discoveryServer distributes the exchange list to the routers.
+type discoveryServer interface {
+	Publish(routers int, entries []standin.ListEntry) // sets the list for routers 0 to routers-1
+	Lag(router int, d time.Duration)                  // delays updates to a router
+	Gone(on bool)                                     // while on, all queries fail
 	Close()
 }
 
-// ground is where a fleet stands.
-type ground interface {
-	begin(x int, set *config.Settings) (router, error) // starts a router
-	wall() time.Time
-	listURL(x int) string               // where a router asks for the list
-	streamAddr(p [2]int) netip.AddrPort // where the lesser of two routers connects for M3UA
-	readRecords(res *DayRecords) (keptRecords, error)
-	each(at []int, do func(x int) error) error // several exchanges at one time
-	tapDelay() time.Duration                   // how much later one tap may record what crossed than another
-	isupSwitches() bool                        // switches speak ISUP where all routers do
+// environment is the network and clock that a fleet runs on.
+type environment interface {
+	startRouter(x int, set *config.Settings) (router, error)
+	wallTime() time.Time
+	listURL(x int) string                                // discovery URL of a router
+	streamAddr(p [2]int) netip.AddrPort                  // M3UA address that the lower-numbered router of a pair connects to
+	readRecords(res *DayRecords) (storedRecords, error)  // audits the records of all routers
+	forEach(exchanges []int, do func(x int) error) error // runs do for several exchanges, concurrently on sockets
+	tapDelay() time.Duration                             // upper limit of the difference between two taps' recording delays
+	isupSwitches() bool                                  // switches use ISUP if all routers do
 }
 
-// fleet is routers and their stand-ins.
+// fleet is a set of routers with their stand-ins.
 type fleet struct {
-	ground   ground
-	script   *Script
-	tap      *capture.Writer
-	log      *zap.Logger
-	rng      *rand.Rand
-	register register
-	routers  []router         // nil while killed
-	at       []netip.AddrPort // where each listens
-	switches []exchangeSwitch
-	callers  []*standin.Callers
-	links    map[[2]int]link
-	streams  map[[2]int]link  // of the pairs that signal by ISUP
-	m3ua     []netip.AddrPort // where each router takes associations
-	circuits map[[2]int]int   // of each group, by the lesser and the greater exchange
-	keep     map[[2]int]float64
-	lines    []standin.ListEntry
-	dir      string // of all that is kept on disk
+	env          environment
+	script       *Script
+	tap          *capture.Writer
+	log          *zap.Logger
+	rng          *rand.Rand
+	discovery    discoveryServer
+	routers      []router         // by exchange; nil while killed
+	routerAddrs  []netip.AddrPort // IAX2 address of each router
+	switches     []exchangeSwitch
+	callers      []*standin.Callers
+	links        map[[2]int]link
+	streams      map[[2]int]link     // M3UA links of the pairs that use ISUP
+	m3uaAddrs    []netip.AddrPort    // M3UA address of each router
+	circuits     map[[2]int]int      // size of each trunk group, by the pair of exchanges in ascending order
+	circuitShare map[[2]int]float64  // share of its circuits that each group has at present, 0 to 1
+	entries      []standin.ListEntry // exchange list
+	dataDir      string              // directory of all files
 }
 
-// sockets is a fleet's ground on loopback.
-type sockets struct {
-	f        *fleet
-	register *standin.DiscoveryServer
-	links    map[[2]int]*standin.Link
-	streams  map[[2]int]*standin.StreamLink
+// socketEnvironment runs a fleet on loopback sockets and the wall clock.
+type socketEnvironment struct {
+	fleet     *fleet
+	discovery *standin.DiscoveryServer
+	links     map[[2]int]*standin.Link
+	streams   map[[2]int]*standin.StreamLink
 }
 
-func (g *sockets) begin(x int, set *config.Settings) (router, error) {
-	return runtime.Start(set, g.f.log.With(zap.Int("exchange", x)))
+func (e *socketEnvironment) startRouter(x int, set *config.Settings) (router, error) {
+	return runtime.Start(set, e.fleet.log.With(zap.Int("exchange", x)))
 }
 
-func (g *sockets) wall() time.Time { return time.Now() }
+func (e *socketEnvironment) wallTime() time.Time { return time.Now() }
 
-func (g *sockets) tapDelay() time.Duration { return busyTap }
+func (e *socketEnvironment) tapDelay() time.Duration { return socketTapDelay }
 
-func (g *sockets) isupSwitches() bool { return true }
+func (e *socketEnvironment) isupSwitches() bool { return true }
 
-func (g *sockets) listURL(x int) string { return g.register.URL(x) }
+func (e *socketEnvironment) listURL(x int) string { return e.discovery.URL(x) }
 
-func (g *sockets) streamAddr(p [2]int) netip.AddrPort { return g.streams[p].Addr() }
+func (e *socketEnvironment) streamAddr(p [2]int) netip.AddrPort { return e.streams[p].Addr() }
 
 // exchangeSwitch is a stand-in switch of either protocol.
 type exchangeSwitch interface {
@@ -113,14 +113,14 @@
 	Close()
 }
 
-// switchPoint is the point code of an exchange's switch; its router's is the exchange's number plus one.
-func switchPoint(x int) uint32 { return uint32(1001 + x) }
+// switchPointCode returns the point code of an exchange's switch. The router's point code is the exchange number plus one.
+func switchPointCode(x int) uint32 { return uint32(1001 + x) }
 
-// startSwitch starts an exchange's switch: by ISUP where the whole fleet speaks it.
+// startSwitch starts an exchange's switch, with ISUP if the whole fleet uses it.
 func (f *fleet) startSwitch(x int, spec standin.SwitchSpec) error {
 	if f.script.Fleet.Front == "m3ua" {
-		f.switches = append(f.switches, standin.NewISUPSwitch(f.m3ua[x], spec, isup.Config{First: 1, Circuits: spec.Lines,
-			OwnPointCode: switchPoint(x), FarPointCode: uint32(x + 1), Timers: isup.Timers{T1: time.Second, T16: time.Second}}, f.script.Seed, f.tap))
+		f.switches = append(f.switches, standin.NewISUPSwitch(f.m3uaAddrs[x], spec, isup.Config{First: 1, Circuits: spec.Lines,
+			OwnPointCode: switchPointCode(x), FarPointCode: uint32(x + 1), Timers: isup.Timers{T1: time.Second, T16: time.Second}}, f.script.Seed, f.tap))
 		return nil
 	}
 	sw, err := standin.NewSwitch(anyPort, spec, f.script.Seed, f.tap)
@@ -130,29 +130,31 @@
 	return err
 }
 
-// longWarm is how long the processors of a fleet have run when it starts, as the list tells it.
-const longWarm = 5 * time.Hour
+// warmUptime is the uptime that the exchange list gives for the processors when the fleet starts, so that none is cold.
+const warmUptime = 5 * time.Hour
 
-// busyTap is how much later a busy machine may record one datagram than another.
-const busyTap = 40 * time.Millisecond
+// socketTapDelay is the upper limit of the difference between the recording delays of two datagrams on a busy machine.
+const socketTapDelay = 40 * time.Millisecond
 
+// anyPort is a loopback address whose port the system chooses.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// newFleet is a fleet that stands nowhere yet.
+// newFleet returns a fleet without an environment.
 func newFleet(s *Script, tap *capture.Writer, log *zap.Logger) *fleet {
 	n := s.Fleet.Exchanges
 	f := &fleet{script: s, tap: tap, log: log, rng: rand.New(rand.NewPCG(s.Seed, 3)), links: map[[2]int]link{},
-		streams: map[[2]int]link{}, m3ua: make([]netip.AddrPort, n), circuits: map[[2]int]int{}, keep: map[[2]int]float64{},
-		routers: make([]router, n), at: make([]netip.AddrPort, n)}
+		streams: map[[2]int]link{}, m3uaAddrs: make([]netip.AddrPort, n), circuits: map[[2]int]int{}, circuitShare: map[[2]int]float64{},
+		routers: make([]router, n), routerAddrs: make([]netip.AddrPort, n)}
 	return f
 }
 
-// startFleet starts everything but the calls, on loopback.
+// startFleet starts a fleet on loopback, without calls, and waits until all routers have the exchange list and all
+// signalling is up.
 func startFleet(s *Script, tap *capture.Writer, log *zap.Logger) (f *fleet, err error) {
 	n := s.Fleet.Exchanges
 	f = newFleet(s, tap, log)
-	g := &sockets{f: f, links: map[[2]int]*standin.Link{}, streams: map[[2]int]*standin.StreamLink{}}
-	f.ground = g
+	e := &socketEnvironment{fleet: f, links: map[[2]int]*standin.Link{}, streams: map[[2]int]*standin.StreamLink{}}
+	f.env = e
 	defer func() {
 		if err != nil {
 			f.close()
@@ -161,41 +163,41 @@
 	if err := f.openDir(); err != nil {
 		return f, err
 	}
-	f.notice(capture.Notice{Parameters: f.figures()})
+	f.notice(capture.Notice{Parameters: f.parameters()})
 	f.drawGroups()
-	if g.register, err = standin.NewDiscoveryServer(tap, g.addrOf); err != nil {
+	if e.discovery, err = standin.NewDiscoveryServer(tap, e.routerAddrFor); err != nil {
 		return f, err
 	}
-	f.register = g.register
-	if err := g.openStreams(); err != nil {
+	f.discovery = e.discovery
+	if err := e.openStreams(); err != nil {
 		return f, err
 	}
 	for x := range n {
 		if err := f.startSwitch(x, f.switchSpec(x)); err != nil {
 			return f, err
 		}
-		f.listSwitch(x)
-		if f.at[x], err = freePort(); err != nil {
+		f.addEntry(x)
+		if f.routerAddrs[x], err = freePort(); err != nil {
 			return f, err
 		}
 		if err := f.startRouter(x); err != nil {
 			return f, err
 		}
-		f.at[x] = f.routers[x].Addr()
+		f.routerAddrs[x] = f.routers[x].Addr()
 	}
 	for a := range n {
 		for b := a + 1; b < n; b++ {
-			l, err := standin.NewLink(a, b, f.at[a], f.at[b], s.Seed, tap)
+			l, err := standin.NewLink(a, b, f.routerAddrs[a], f.routerAddrs[b], s.Seed, tap)
 			if err != nil {
 				return f, err
 			}
-			g.links[[2]int{a, b}], f.links[[2]int{a, b}] = l, l
+			e.links[[2]int{a, b}], f.links[[2]int{a, b}] = l, l
 			l.Set(f.linkFaults(a, b))
 		}
 	}
 	for x := range n {
-		f.register.Lag(x, s.Fleet.ListLag)
-		c, err := standin.NewCallers(anyPort, f.at[x], f.callersSpec(x), s.Seed, tap)
+		f.discovery.Lag(x, s.Fleet.ListLag)
+		c, err := standin.NewCallers(anyPort, f.routerAddrs[x], f.callersSpec(x), s.Seed, tap)
 		if err != nil {
 			return f, err
 		}
@@ -208,73 +210,77 @@
 	return f, f.awaitSignalling()
 }
 
+// switchSpec returns the properties of an exchange's switch.
 func (f *fleet) switchSpec(x int) standin.SwitchSpec {
 	s := &f.script.Fleet
 	return standin.SwitchSpec{Exchange: x, Rate: s.SetUpRate, QueueWait: s.QueueWait, Lines: s.Lines, ColdCapacity: s.ColdCapacity,
 		ColdDuration: s.ColdDuration, OverloadMultiple: s.OverloadMultiple, OverloadWindow: s.OverloadWindow, RingTime: s.RingTime}
 }
 
-// listSwitch puts a switch that has long run on the list.
-func (f *fleet) listSwitch(x int) {
+// addEntry adds an exchange's switch to the exchange list, as one that has run for warmUptime.
+func (f *fleet) addEntry(x int) {
 	sw := f.switches[x]
-	f.lines = append(f.lines, standin.ListEntry{ID: sw.ID(), Exchange: x, Zone: f.region(x), Phase: "ready",
-		Started: f.ground.wall().Add(-longWarm), Switch: sw.Addr()})
+	f.entries = append(f.entries, standin.ListEntry{ID: sw.ID(), Exchange: x, Zone: f.region(x), Phase: "ready",
+		Started: f.env.wallTime().Add(-warmUptime), Switch: sw.Addr()})
 }
 
-// byISUP tells whether two routers signal by ISUP over M3UA.
-func (f *fleet) byISUP(a, b int) bool {
+// usesISUP reports whether two routers use ISUP over M3UA between them.
+func (f *fleet) usesISUP(a, b int) bool {
 	front := f.script.Fleet.Front
 	return front == "m3ua" || front == "mixed" && (a+b)%2 == 1
 }
 
-// openStreams opens the links of associations: routers are told their addresses when they start.
-func (g *sockets) openStreams() error {
-	f := g.f
+// openStreams opens the M3UA links. They come before the routers, whose settings contain the addresses.
+func (e *socketEnvironment) openStreams() error {
+	f := e.fleet
 	n := f.script.Fleet.Exchanges
 	for x := range n {
 		if f.script.Fleet.Front == "iax2" {
 			break
 		}
 		var err error
-		if f.m3ua[x], err = freePort(); err != nil {
+		if f.m3uaAddrs[x], err = freePort(); err != nil {
 			return err
 		}
 	}
 	for a := range n {
 		for b := a + 1; b < n; b++ {
-			if !f.byISUP(a, b) {
+			if !f.usesISUP(a, b) {
 				continue
 			}
-			l, err := standin.NewStreamLink(a, b, f.m3ua[b], f.script.Seed, f.tap)
+			l, err := standin.NewStreamLink(a, b, f.m3uaAddrs[b], f.script.Seed, f.tap)
 			if err != nil {
 				return err
 			}
-			g.streams[[2]int{a, b}], f.streams[[2]int{a, b}] = l, l
+			e.streams[[2]int{a, b}], f.streams[[2]int{a, b}] = l, l
 			l.Set(f.linkFaults(a, b))
 		}
 	}
 	return nil
 }
 
+// notice records a notice in the capture.
 func (f *fleet) notice(n capture.Notice) {
 	if f.tap != nil {
-		f.tap.Notice(f.ground.wall(), n)
+		f.tap.Notice(f.env.wallTime(), n)
 	}
 }
 
-func (f *fleet) figures() *capture.Parameters {
+// parameters returns the parameters of the rules for the capture.
+func (f *fleet) parameters() *capture.Parameters {
 	s := &f.script.Fleet
-	g := &capture.Parameters{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, OverloadMultiple: s.OverloadMultiple,
+	p := &capture.Parameters{DrainGrace: s.DrainGrace, ReleaseWait: s.ReleaseWait, OverloadMultiple: s.OverloadMultiple,
 		OverloadWindow: s.OverloadWindow, Patience: map[string]time.Duration{}}
 	for _, c := range f.script.Classes {
-		g.Patience[c.Name] = c.Patience
+		p.Patience[c.Name] = c.Patience
 	}
-	return g
+	return p
 }
 
+// region returns the region of an exchange: the regions take turns.
 func (f *fleet) region(x int) string { return f.script.Fleet.Regions[x%len(f.script.Fleet.Regions)] }
 
-// drawGroups draws the size of each pair's group; 0 is none.
+// drawGroups chooses the number of circuits of each pair's trunk group at random; 0 is no group.
 func (f *fleet) drawGroups() {
 	s := &f.script.Fleet
 	for a := range s.Exchanges {
@@ -284,19 +290,20 @@
 				size = 0
 			}
 			f.circuits[[2]int{a, b}] = int(size + 0.5)
-			f.keep[[2]int{a, b}] = 1
+			f.circuitShare[[2]int{a, b}] = 1
 		}
 	}
 }
 
-func pair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
+// orderedPair returns two exchanges in ascending order, the key of links and groups.
+func orderedPair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
-// addrOf is the address by which one router knows another: an end of their link.
-func (g *sockets) addrOf(viewer, exchange int) netip.AddrPort {
+// routerAddrFor returns the address at which the router viewer reaches the router of an exchange: an end of their link.
+func (e *socketEnvironment) routerAddrFor(viewer, exchange int) netip.AddrPort {
 	if viewer == exchange {
-		return g.f.at[exchange]
+		return e.fleet.routerAddrs[exchange]
 	}
-	l := g.links[pair(viewer, exchange)]
+	l := e.links[orderedPair(viewer, exchange)]
 	atA, atB := l.Ends()
 	if viewer < exchange {
 		return atA
@@ -304,6 +311,7 @@
 	return atB
 }
 
+// linkFaults returns the faults that the link between two exchanges has all day.
 func (f *fleet) linkFaults(a, b int) standin.LinkFaults {
 	s := &f.script.Fleet
 	delay := s.RegionDelay
@@ -313,14 +321,17 @@
 	return standin.LinkFaults{Delay: delay, Jitter: s.Jitter, LossRate: s.LossRate, DuplicateRate: s.DuplicateRate}
 }
 
-// prefix is the beginning of the numbers that an exchange serves.
-func prefix(x int) string { return fmt.Sprintf("%02d", x) }
+// numberPrefix returns the prefix of the numbers that an exchange serves.
+func numberPrefix(x int) string { return fmt.Sprintf("%02d", x) }
 
+// callersSpec returns the properties of an exchange's callers.
 func (f *fleet) callersSpec(x int) standin.CallersSpec {
 	s := f.script
 	c := standin.CallersSpec{Exchange: x, Rate: s.Load.Rate / float64(s.Fleet.Exchanges), MaxRedials: s.Load.MaxRedials,
 		Backoff: s.Load.Backoff, User: fmt.Sprintf("handheld-%d", x), Secret: "let me in",
-		Number: func(dest int, rng *rand.Rand) string { return fmt.Sprintf("%s%05d", prefix(dest), rng.IntN(100000)) }}
+		Number: func(dest int, rng *rand.Rand) string {
+			return fmt.Sprintf("%s%05d", numberPrefix(dest), rng.IntN(100000))
+		}}
 	for _, cl := range s.Classes {
 		c.Classes = append(c.Classes, standin.CallerClass{Name: cl.Name, Share: cl.Share, Hold: cl.HoldTime, Patience: cl.Patience,
 			Deadline: cl.Deadline})
@@ -336,59 +347,60 @@
 	return c
 }
 
-// settings writes a router's settings as an operator would, and reads them.
+// settings formats a router's settings as TOML and parses them, as for an operator's file.
 func (f *fleet) settings(x int) (*config.Settings, error) {
 	s := f.script
 	var b strings.Builder
-	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	p("[router]\nexchange = %d\nlisten = %q\ndefault_class = %q\nanswer_margin = \"120ms\"\nseed = %d", x, f.at[x], s.Classes[0].Name,
+	add := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	add("[router]\nexchange = %d\nlisten = %q\ndefault_class = %q\nanswer_margin = \"120ms\"\nseed = %d", x, f.routerAddrs[x], s.Classes[0].Name,
 		s.Seed*1000+uint64(x)+1)
-	// The wait is set over the figure that is judged by: the far end counts from when it hears of the release, and so
-	// does the tap.
-	p("[rules]\nrelease_wait = %q\ndrain_grace = %q\ncold_from = %v\ncold_for = %q\nfall_multiple = %v", s.Fleet.ReleaseWait+f.ground.tapDelay(),
+	// The wait is longer than the one that the rules check: the far end and the tap count it from the arrival of the
+	// release, which the tap may record late.
+	add("[rules]\nrelease_wait = %q\ndrain_grace = %q\ncold_from = %v\ncold_for = %q\nfall_multiple = %v", s.Fleet.ReleaseWait+f.env.tapDelay(),
 		s.Fleet.DrainGrace, s.Fleet.ColdCapacity, s.Fleet.ColdDuration, s.Fleet.OverloadMultiple)
-	p("[list]\nregister = %q\nwait = \"10s\"", f.ground.listURL(x))
-	p("[iax]\nmax_per_host = 0\ncall_tokens = true\nretry_first = \"300ms\"\naccept_delay = %q\nping_every = \"2s\"\nlinger = \"2s\"", s.Fleet.AcceptDelay)
-	p("[records]\ndir = %q\ntariffs = %q", f.recordsDir(x), filepath.Join(f.dir, "tariffs.toml"))
-	p("[[user]]\nname = \"handheld-%d\"\nsecret = \"let me in\"", x)
-	if f.m3ua[x].IsValid() {
-		p("[m3ua]\nlisten = %q\n[isup]\nt1 = \"1s\"\nt5 = \"20s\"\nt16 = \"1s\"\nt17 = \"20s\"", f.m3ua[x])
+	add("[list]\nregister = %q\nwait = \"10s\"", f.env.listURL(x))
+	add("[iax]\nmax_per_host = 0\ncall_tokens = true\nretry_first = \"300ms\"\naccept_delay = %q\nping_every = \"2s\"\nlinger = \"2s\"", s.Fleet.AcceptDelay)
+	add("[records]\ndir = %q\ntariffs = %q", f.recordsDir(x), filepath.Join(f.dataDir, "tariffs.toml"))
+	add("[[user]]\nname = \"handheld-%d\"\nsecret = \"let me in\"", x)
+	if f.m3uaAddrs[x].IsValid() {
+		add("[m3ua]\nlisten = %q\n[isup]\nt1 = \"1s\"\nt5 = \"20s\"\nt16 = \"1s\"\nt17 = \"20s\"", f.m3uaAddrs[x])
 	}
-	p("[switch]\ncircuits = %d", s.Fleet.Lines)
-	if s.Fleet.Front == "m3ua" && f.ground.isupSwitches() {
-		p("front = \"isup\"\npoint_code = %d", switchPoint(x))
+	add("[switch]\ncircuits = %d", s.Fleet.Lines)
+	if s.Fleet.Front == "m3ua" && f.env.isupSwitches() {
+		add("front = \"isup\"\npoint_code = %d", switchPointCode(x))
 	}
 	for _, c := range s.Classes {
-		p("[[class]]\nname = %q\nhold = %q\naim = %q\ndeadline = %q\npatience = %q\nworth = %v\nlate_worth = %v\ncontexts = [%q]",
+		add("[[class]]\nname = %q\nhold = %q\naim = %q\ndeadline = %q\npatience = %q\nworth = %v\nlate_worth = %v\ncontexts = [%q]",
 			c.Name, c.HoldTime, c.SetupTarget, c.Deadline, c.Patience, c.Value, c.LateValue, c.Name)
 	}
 	for y := range s.Fleet.Exchanges {
-		p("[[exchange]]\nnumber = %d\nzone = %q\nprefixes = [%q]", y, f.region(y), prefix(y))
-		if y == x || f.circuits[pair(x, y)] == 0 {
+		add("[[exchange]]\nnumber = %d\nzone = %q\nprefixes = [%q]", y, f.region(y), numberPrefix(y))
+		if y == x || f.circuits[orderedPair(x, y)] == 0 {
 			continue
 		}
-		if !f.byISUP(x, y) {
-			if size := int(float64(f.circuits[pair(x, y)]) * f.keep[pair(x, y)]); size > 0 {
-				p("[[group]]\nto = %d\ncircuits = %d", y, size)
+		if !f.usesISUP(x, y) {
+			if size := int(float64(f.circuits[orderedPair(x, y)]) * f.circuitShare[orderedPair(x, y)]); size > 0 {
+				add("[[group]]\nto = %d\ncircuits = %d", y, size)
 			}
 			continue
 		}
-		p("[[group]]\nto = %d\ncircuits = %d\nfront = \"isup\"", y, f.circuits[pair(x, y)])
+		add("[[group]]\nto = %d\ncircuits = %d\nfront = \"isup\"", y, f.circuits[orderedPair(x, y)])
 		if x < y {
-			p("connect = [%q]", f.ground.streamAddr(pair(x, y)))
+			add("connect = [%q]", f.env.streamAddr(orderedPair(x, y)))
 		}
 	}
 	return config.Parse(fmt.Sprintf("router-%d.toml", x), []byte(b.String()))
 }
 
+// startRouter starts the router of an exchange and records that it is up.
 func (f *fleet) startRouter(x int) error {
 	set, err := f.settings(x)
 	if err != nil {
 		return err
 	}
-	r, err := f.ground.begin(x, set)
+	r, err := f.env.startRouter(x, set)
 	if err != nil {
-		return fmt.Errorf("router %d: %w", x, err)
+		return fmt.Errorf("start of router %d: %w", x, err)
 	}
 	f.routers[x] = r
 	f.notice(capture.Notice{Router: &capture.RouterState{Exchange: x, Up: true}})
@@ -398,7 +410,7 @@
 	return nil
 }
 
-// kill ends a router without a word to anybody.
+// kill stops a router abruptly, without notice to its neighbours.
 func (f *fleet) kill(x int) error {
 	r := f.routers[x]
 	if r == nil {
@@ -409,21 +421,21 @@
 	return r.Kill()
 }
 
-// killAll ends routers at the same time: one after the other would take seconds.
-func (f *fleet) killAll(at []int) error { return f.ground.each(at, f.kill) }
+// killAll kills routers concurrently, because one after another would take seconds.
+func (f *fleet) killAll(exchanges []int) error { return f.env.forEach(exchanges, f.kill) }
 
-// each does something to several exchanges at the same time.
-func (g *sockets) each(at []int, do func(x int) error) error {
-	errs := make([]error, len(at))
+// forEach runs do for several exchanges concurrently and returns their errors joined.
+func (e *socketEnvironment) forEach(exchanges []int, do func(x int) error) error {
+	errs := make([]error, len(exchanges))
 	var wg sync.WaitGroup
-	for i, x := range at {
+	for i, x := range exchanges {
 		wg.Go(func() { errs[i] = do(x) })
 	}
 	wg.Wait()
 	return errors.Join(errs...)
 }
 
-// reload gives both ends of every group its present size.
+// reload reloads all routers, so that both ends of every group have its present number of circuits.
 func (f *fleet) reload() error {
 	var errs []error
 	for x, r := range f.routers {
@@ -439,34 +451,35 @@
 	return errors.Join(errs...)
 }
 
-func (f *fleet) publish() { f.register.Publish(f.script.Fleet.Exchanges, slices.Clone(f.lines)) }
+// publish distributes the current exchange list.
+func (f *fleet) publish() { f.discovery.Publish(f.script.Fleet.Exchanges, slices.Clone(f.entries)) }
 
-// line finds the newest line of an exchange.
-func (f *fleet) line(x int) *standin.ListEntry {
-	for i := len(f.lines) - 1; i >= 0; i-- {
-		if f.lines[i].Exchange == x {
-			return &f.lines[i]
+// entry returns the newest list entry of an exchange, nil if there is none.
+func (f *fleet) entry(x int) *standin.ListEntry {
+	for i := len(f.entries) - 1; i >= 0; i-- {
+		if f.entries[i].Exchange == x {
+			return &f.entries[i]
 		}
 	}
 	return nil
 }
 
-// phase lists an exchange's processor in a phase.
-func (f *fleet) phase(x int, p string) {
-	f.line(x).Phase = p
+// setPhase changes the phase of an exchange's processor in the list and publishes it.
+func (f *fleet) setPhase(x int, p string) {
+	f.entry(x).Phase = p
 	f.publish()
 }
 
-// replace starts another processor, cold, and lists it in place of the old one.
-func (f *fleet) replace(x int) {
+// replaceSwitch starts a cold processor in place of the old one, and publishes the list with it.
+func (f *fleet) replaceSwitch(x int) {
 	id := f.switches[x].Restart()
-	f.lines = slices.DeleteFunc(f.lines, func(l standin.ListEntry) bool { return l.Exchange == x })
-	f.lines = append(f.lines, standin.ListEntry{ID: id, Exchange: x, Zone: f.region(x), Phase: "ready", Started: f.ground.wall(),
+	f.entries = slices.DeleteFunc(f.entries, func(l standin.ListEntry) bool { return l.Exchange == x })
+	f.entries = append(f.entries, standin.ListEntry{ID: id, Exchange: x, Zone: f.region(x), Phase: "ready", Started: f.env.wallTime(),
 		Switch: f.switches[x].Addr()})
 	f.publish()
 }
 
-// awaitLists waits until every router has learnt the list.
+// awaitLists waits until every router has the exchange list, at most 20 s.
 func (f *fleet) awaitLists() error {
 	limit := time.Now().Add(20 * time.Second)
 	for _, r := range f.routers {
@@ -476,14 +489,14 @@
 				return err
 			}
 			if time.Now().After(limit) {
-				return errors.New("a router did not learn the exchange list in 20 s")
+				return errors.New("a router has no complete exchange list after 20 s")
 			}
 		}
 	}
 	return nil
 }
 
-// HeldResources is what is held when all should be over.
+// HeldResources counts the resources that routers still hold after all calls have ended.
 type HeldResources struct {
 	Calls    int `json:"Calls"`
 	Legs     int `json:"Legs"`
@@ -491,8 +504,8 @@
 	Circuits int `json:"Circuits"`
 }
 
-// left adds up what routers that run hold.
-func (f *fleet) left() (l HeldResources, err error) {
+// heldResources sums the resources that the running routers hold.
+func (f *fleet) heldResources() (l HeldResources, err error) {
 	for _, r := range f.routers {
 		if r == nil {
 			continue
@@ -511,13 +524,13 @@
 	return l, err
 }
 
-// awaitSignalling waits until every association is up.
+// awaitSignalling waits until every association is active, at most 20 s.
 func (f *fleet) awaitSignalling() error {
 	limit := time.Now().Add(20 * time.Second)
 	pairs := slices.Collect(maps.Keys(f.streams))
 	if f.script.Fleet.Front == "m3ua" {
 		for x := range f.routers {
-			pairs = append(pairs, [2]int{x, x}) // its own switch
+			pairs = append(pairs, [2]int{x, x}) // association to its own switch
 		}
 	}
 	for _, p := range pairs {
@@ -531,7 +544,7 @@
 					return err
 				}
 				if time.Now().After(limit) {
-					return fmt.Errorf("no signalling between exchanges %d and %d in 20 s", end[0], end[1])
+					return fmt.Errorf("no active association from exchange %d to %d after 20 s", end[0], end[1])
 				}
 			}
 		}
@@ -539,20 +552,21 @@
 	return nil
 }
 
-// settle waits until nothing is held any more, or until the limit.
-func (f *fleet) settle(limit time.Duration) (l HeldResources, err error) {
+// awaitReleased waits until no resources are held, at most for limit, and returns those still held.
+func (f *fleet) awaitReleased(limit time.Duration) (l HeldResources, err error) {
 	for end := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
-		if l, err = f.left(); err != nil || l == (HeldResources{}) || time.Now().After(end) {
+		if l, err = f.heldResources(); err != nil || l == (HeldResources{}) || time.Now().After(end) {
 			return l, err
 		}
 	}
 }
 
+// close stops all parts of the fleet and removes its files.
 func (f *fleet) close() {
 	for _, c := range f.callers {
 		c.Close()
 	}
-	_ = f.stopRouters() // the day is judged; what fails now changes nothing
+	_ = f.stopRouters() // the result is complete: a failure here does not change it
 	for _, l := range f.links {
 		l.Close()
 	}
@@ -562,14 +576,15 @@
 	for _, s := range f.switches {
 		s.Close()
 	}
-	if f.register != nil {
-		f.register.Close()
+	if f.discovery != nil {
+		f.discovery.Close()
 	}
 	f.closeDir()
 }
 
+// closeDir removes the fleet's directory.
 func (f *fleet) closeDir() {
-	if f.dir != "" {
-		_ = os.RemoveAll(f.dir) // of the system's temporary files: it cleans up what stays
+	if f.dataDir != "" {
+		_ = os.RemoveAll(f.dataDir) // a temporary directory: the system removes what remains
 	}
 }
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -19,39 +19,39 @@
 	"pipitring/internal/standin"
 )
 
-// FrontsOptions are how `lab fronts` measures.
+// FrontsOptions are the options of `lab fronts`.
 type FrontsOptions struct {
-	StepDuration time.Duration
-	MaxRate      float64
-	Progress     io.Writer
+	StepDuration time.Duration // duration of each rate
+	MaxRate      float64       // highest rate tried, in calls per second
+	Progress     io.Writer     // gets a line for each rate
 }
 
-// FrontsResult is what one router carries by each pair of protocols, in one run.
+// FrontsResult is the capacity of one router for each pair of protocols, measured in one run.
 type FrontsResult struct {
-	CallsPerSecond  map[string]float64 `json:"calls_per_second"`  // by "in to out"
-	P99             map[string]float64 `json:"p99_us"`            // set-up delay at half of that
-	ISUPOverIAX2    float64            `json:"iax2_over_isup"`    // calls a second, IAX2 to IAX2 over ISUP to ISUP
-	BytesPerCircuit float64            `json:"bytes_per_circuit"` // idle, at one end
+	CallsPerSecond  map[string]float64 `json:"calls_per_second"`  // highest rate without a missed deadline, by "in to out"
+	P99             map[string]float64 `json:"p99_us"`            // set-up delay at half of that rate
+	ISUPOverIAX2    float64            `json:"iax2_over_isup"`    // calls per second of IAX2 to IAX2 divided by those of ISUP to ISUP
+	BytesPerCircuit float64            `json:"bytes_per_circuit"` // heap per idle circuit, at one end
 	Calls           int                `json:"calls"`
 }
 
-// point codes of the measurement: the router, its own switch, the far exchange.
+// Point codes of the measurement and the size of its trunk groups.
 const (
-	routerPC = 1
-	switchPC = 2
-	farPC    = 3
-	circuits = 4000
+	routerPointCode    = 1
+	ownSwitchPointCode = 2
+	farPointCode       = 3
+	groupCircuits      = 4000
 )
 
-// MeasureFronts measures whole calls a second of one router for IAX2 and ISUP on either side. Calls by ISUP come from the
-// own switch and go to a far exchange over one association each.
+// MeasureFronts measures the complete calls per second of one router with IAX2 and ISUP on either side. Incoming ISUP calls
+// come from the router's own switch, outgoing ones go to the far exchange, each over one association.
 func MeasureFronts(ctx context.Context, o FrontsOptions) (*FrontsResult, error) {
 	res := &FrontsResult{CallsPerSecond: map[string]float64{}, P99: map[string]float64{}}
 	for _, in := range []string{"iax2", "isup"} {
 		for _, out := range []string{"iax2", "isup"} {
 			name := in + " to " + out
-			at := func(rate float64) (pass, error) {
-				p, err := frontsAt(ctx, rate, o.StepDuration, in, out)
+			measureAt := func(rate float64) (passResult, error) {
+				p, err := frontsAtRate(ctx, rate, o.StepDuration, in, out)
 				res.Calls += p.calls
 				fmt.Fprintf(o.Progress, "%s: %6.0f calls/s: %d calls, %d missed, p50 %d us, p99 %d us\n", name, rate, p.calls, p.missed,
 					p.hist.ValueAtQuantile(50), p.hist.ValueAtQuantile(99))
@@ -59,7 +59,7 @@
 			}
 			best := 0.0
 			for rate := 980.0; rate <= o.MaxRate; rate *= 1.5 {
-				p, err := at(rate)
+				p, err := measureAt(rate)
 				if err != nil {
 					return nil, err
 				}
@@ -72,7 +72,7 @@
 			if best == 0 {
 				continue
 			}
-			p, err := at(best / 2)
+			p, err := measureAt(best / 2)
 			if err != nil {
 				return nil, err
 			}
@@ -80,8 +80,8 @@
 		}
 	}
 	before := heapInUse()
-	group := isup.NewGroup(isup.Config{First: 1, Circuits: circuits, OwnPointCode: routerPC, FarPointCode: farPC})
-	res.BytesPerCircuit = (heapInUse() - before) / circuits
+	group := isup.NewGroup(isup.Config{First: 1, Circuits: groupCircuits, OwnPointCode: routerPointCode, FarPointCode: farPointCode})
+	res.BytesPerCircuit = (heapInUse() - before) / groupCircuits
 	goruntime.KeepAlive(group)
 	if isup := res.CallsPerSecond["isup to isup"]; isup > 0 {
 		res.ISUPOverIAX2 = res.CallsPerSecond["iax2 to iax2"] / isup
@@ -89,18 +89,19 @@
 	return res, nil
 }
 
-// frontsRouter starts a router with the far exchange and the own switch by the given fronts.
-func frontsRouter(in, out string, far netip.AddrPort) (r *runtime.Server, m3ua netip.AddrPort, err error) {
+// startFrontsRouter starts a router that uses the protocol in towards its own switch and out towards the far exchange. It
+// returns the router and its M3UA address.
+func startFrontsRouter(in, out string, far netip.AddrPort) (r *runtime.Server, m3ua netip.AddrPort, err error) {
 	if m3ua, err = freePort(); err != nil {
 		return nil, m3ua, err
 	}
-	group := fmt.Sprintf("circuits = %d", circuits)
+	group := fmt.Sprintf("circuits = %d", groupCircuits)
 	if out == "isup" {
-		group += fmt.Sprintf("\nfront = \"isup\"\npoint_code = %d", farPC)
+		group += fmt.Sprintf("\nfront = \"isup\"\npoint_code = %d", farPointCode)
 	}
 	tables := fmt.Sprintf("[m3ua]\nlisten = %q\nmax_out = 4194304", m3ua)
 	if in == "isup" {
-		tables += fmt.Sprintf("\n[switch]\nfront = \"isup\"\npoint_code = %d\ncircuits = %d", switchPC, circuits)
+		tables += fmt.Sprintf("\n[switch]\nfront = \"isup\"\npoint_code = %d\ncircuits = %d", ownSwitchPointCode, groupCircuits)
 	}
 	set, err := callsSettings(0, group, tables)
 	if err != nil {
@@ -109,15 +110,15 @@
 	if r, err = runtime.Start(set, nil); err != nil {
 		return nil, m3ua, err
 	}
-	r.SetList(callsList(far))
+	r.SetList(callsExchangeList(far))
 	return r, m3ua, nil
 }
 
-// frontsAt offers whole calls at a rate by the given fronts.
-func frontsAt(ctx context.Context, rate float64, length time.Duration, in, out string) (p pass, err error) {
-	p = pass{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
+// frontsAtRate offers complete calls at a rate with the given protocols on either side.
+func frontsAtRate(ctx context.Context, rate float64, length time.Duration, in, out string) (p passResult, err error) {
+	p = passResult{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
 	spec := standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}
-	farAddr := netip.MustParseAddrPort("127.0.0.1:9") // of no use where the far exchange speaks ISUP
+	farAddr := netip.MustParseAddrPort("127.0.0.1:9") // unused if the far exchange uses ISUP
 	if out == "iax2" {
 		sw, err := standin.NewSwitch(anyPort, spec, 1, nil)
 		if err != nil {
@@ -126,13 +127,13 @@
 		defer sw.Close()
 		farAddr = sw.Addr()
 	}
-	r, m3ua, err := frontsRouter(in, out, farAddr)
+	r, m3ua, err := startFrontsRouter(in, out, farAddr)
 	if err != nil {
 		return p, err
 	}
 	defer func() { err = errors.Join(err, r.Stop()) }()
 	if out == "isup" {
-		far := standin.NewISUPSwitch(m3ua, spec, isup.Config{First: 1, Circuits: circuits, OwnPointCode: farPC, FarPointCode: routerPC}, 1, nil)
+		far := standin.NewISUPSwitch(m3ua, spec, isup.Config{First: 1, Circuits: groupCircuits, OwnPointCode: farPointCode, FarPointCode: routerPointCode}, 1, nil)
 		defer far.Close()
 		if err := far.Await(); err != nil {
 			return p, err
@@ -142,26 +143,26 @@
 	late := 0
 	answered := func(d time.Duration) {
 		mu.Lock()
-		_ = p.hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // within its range
-		if d > callsAim {
+		_ = p.hist.RecordValue(min(max(d.Microseconds(), 1), 10_000_000)) // clamped to the range of the histogram
+		if d > callsSetupTarget {
 			late++
 		}
 		mu.Unlock()
 	}
 	var start, stop func()
-	var count func() (tries, stood int)
+	var count func() (tries, answeredTries int)
 	if in == "isup" {
-		c := standin.NewISUPCallers(m3ua, isup.Config{First: 1, Circuits: circuits, OwnPointCode: switchPC, FarPointCode: routerPC}, rate, callsHold, "1555",
+		c := standin.NewISUPCallers(m3ua, isup.Config{First: 1, Circuits: groupCircuits, OwnPointCode: ownSwitchPointCode, FarPointCode: routerPointCode}, rate, callsHoldTime, "1555",
 			callsClass, answered)
 		defer c.Close()
 		if err := c.Await(); err != nil {
 			return p, err
 		}
 		start, stop = c.Start, c.Stop
-		count = func() (int, int) { tries, stood, _ := c.Count(); return tries, stood }
+		count = func() (int, int) { tries, answeredTries, _ := c.Count(); return tries, answeredTries }
 	} else {
 		c, err := standin.NewCallers(anyPort, r.Addr(), standin.CallersSpec{Rate: rate, FixedHold: true, Weights: []float64{0, 1},
-			Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold, Patience: callsPatience, Deadline: callsPatience}},
+			Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime, Patience: callsPatience, Deadline: callsPatience}},
 			Number:  func(int, *rand.Rand) string { return "1555" }, OnAnswer: answered}, 1, nil)
 		if err != nil {
 			return p, err
@@ -173,7 +174,7 @@
 	if err := awaitActive(r, out); err != nil {
 		return p, err
 	}
-	if !sleepUntil(ctx, time.Now().Add(100*time.Millisecond)) { // the groups' resets are answered
+	if !sleepUntil(ctx, time.Now().Add(100*time.Millisecond)) { // time for the circuit group resets to be acknowledged
 		return p, ctx.Err()
 	}
 	start()
@@ -184,17 +185,18 @@
 	if !sleepUntil(ctx, time.Now().Add(callsPatience+200*time.Millisecond)) {
 		return p, ctx.Err()
 	}
-	tries, stood := count()
+	tries, answeredTries := count()
 	mu.Lock()
 	defer mu.Unlock()
-	p.calls, p.missed = tries, tries-stood+late
+	p.calls, p.missed = tries, tries-answeredTries+late
 	if offered := int(0.9 * rate * length.Seconds()); tries < offered {
-		p.missed += offered - tries // callers without an idle circuit could not even try
+		p.missed += offered - tries // callers that found no idle circuit could not make a try
 	}
 	return p, nil
 }
 
-// awaitActive waits until the router's signalling to the far exchange is up.
+// awaitActive waits until the router's association to the far exchange is active, at most 10 s; without ISUP it returns
+// at once.
 func awaitActive(r *runtime.Server, out string) error {
 	up := out != "isup"
 	for limit := time.Now().Add(10 * time.Second); !up; time.Sleep(2 * time.Millisecond) {
@@ -202,7 +204,7 @@
 			return err
 		}
 		if time.Now().After(limit) {
-			return errors.New("no signalling to the far exchange in 10 s")
+			return errors.New("no active association to the far exchange after 10 s")
 		}
 	}
 	return nil
--- a/internal/lab/keys_test.go
+++ b/internal/lab/keys_test.go
@@ -11,6 +11,6 @@
 	const want = `"left_over":{"Calls":1,"Legs":2,"Dialogs":3,"Circuits":4}`
 	got, err := json.Marshal(DayResult{LeftOver: HeldResources{1, 2, 3, 4}})
 	if err != nil || !strings.Contains(string(got), want) {
-		t.Errorf("got %s, %v, want it to hold %s", got, err, want)
+		t.Errorf("got %s, %v, want it to contain %s", got, err, want)
 	}
 }
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -20,38 +20,38 @@
 	"pipitring/internal/standin"
 )
 
-// KillOptions are how a real router process is killed under load.
+// KillOptions are the options of killing a real router process under load.
 type KillOptions struct {
 	Kills        int
-	Rate         float64 // calls a second; 0 is 400
+	Rate         float64 // calls per second; 0 is 400
 	Seed         uint64
 	Progress     io.Writer
-	ServeCommand []string // the command that serves the settings file named after it; empty is this program
+	ServeCommand []string // command that runs a router with the settings file appended to it; empty is this program
 }
 
-// KillResult is what was found after the kills.
+// KillResult is the result of auditing the records after the kills.
 type KillResult struct {
 	Kills          int     `json:"kills"`
 	Calls          int     `json:"calls"`
-	Answered       int     `json:"answered"` // final answers that callers saw
+	Answered       int     `json:"answered"` // final answers that callers received
 	Recovered      int     `json:"recovered"`
 	Records        int     `json:"records"`
 	Missing        int     `json:"records_missing"`
 	Duplicated     int     `json:"records_doubled"`
 	Wrong          int     `json:"records_wrong"`
 	ViolationCount int     `json:"rules_broken"`
-	LongestStartMS float64 `json:"longest_start_ms"` // from the process's start until it serves
+	LongestStartMS float64 `json:"longest_start_ms"` // from the start of the process until it serves
 
 	Problems []string `json:"found,omitempty"`
 }
 
-// Good tells whether nothing was lost, doubled or broken.
+// Good reports whether no record was missing, duplicated or wrong, and no rule was violated.
 func (r *KillResult) Good() bool {
 	return r.Missing+r.Duplicated+r.Wrong+r.ViolationCount+len(r.Problems) == 0
 }
 
-// RunKills starts a router as a process of its own, calls through it, kills it at random moments with SIGKILL and starts
-// it again on the same records. The callers' capture tells which call must have its record.
+// RunKills runs a router as a separate process, offers calls through it, kills it at random times with SIGKILL and restarts
+// it with the same records. The callers' capture shows which calls must have a record.
 func RunKills(ctx context.Context, o KillOptions) (*KillResult, error) {
 	if o.Rate == 0 {
 		o.Rate = 400
@@ -63,9 +63,9 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // of the system's temporary files: it cleans up what stays
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory: the system removes what remains
 	res := &KillResult{Kills: o.Kills}
-	rep, err := judged(func(tap *capture.Writer) error { return kills(ctx, o, dir, tap, res) })
+	rep, err := runChecked(func(tap *capture.Writer) error { return killRepeatedly(ctx, o, dir, tap, res) })
 	if err != nil {
 		return nil, err
 	}
@@ -77,14 +77,15 @@
 	return res, res.audit(filepath.Join(dir, "records"), rep)
 }
 
-// audit opens the records once more, which closes what the last kill left open, and looks for every call.
+// audit opens the records once more, which closes the calls that the last kill left open, and checks the record of every
+// call.
 func (r *KillResult) audit(dir string, rep *rules.Report) error {
 	rec, err := records.Open(records.Options{Dir: dir, Router: 0, MaxBatch: 1, HeartbeatInterval: time.Second})
 	if err != nil {
 		return err
 	}
 	d := DayRecords{}
-	have, err := readKept(rec.Store(), 0, &d)
+	have, err := readStoredRecords(rec.Store(), 0, &d)
 	if err == nil {
 		err = rec.Close()
 	} else {
@@ -93,15 +94,15 @@
 	if err != nil {
 		return err
 	}
-	d.match(rep.TryDetails, keptRecords{0: have}, nil)
+	d.match(rep.TryDetails, storedRecords{0: have}, nil)
 	r.Records, r.Recovered, r.Missing, r.Duplicated, r.Wrong = d.Records, d.Recovered, d.Missing, d.Duplicated, d.Wrong
 	r.Problems = append(r.Problems, d.Problems...)
 	return nil
 }
 
-// kills runs the process, its switch and its callers.
-func kills(ctx context.Context, o KillOptions, dir string, tap *capture.Writer, res *KillResult) error {
-	tap.Notice(time.Now(), callsFigures())
+// killRepeatedly runs the switch, the callers and the router's process, and kills and restarts the process.
+func killRepeatedly(ctx context.Context, o KillOptions, dir string, tap *capture.Writer, res *KillResult) error {
+	tap.Notice(time.Now(), callsParameters())
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6,
 		RingTime: 5 * time.Millisecond}, o.Seed, tap)
 	if err != nil {
@@ -116,12 +117,12 @@
 	if err != nil {
 		return err
 	}
-	file, err := killSettings(dir, at, web, sw.Addr())
+	file, err := writeKillSettings(dir, at, web, sw.Addr())
 	if err != nil {
 		return err
 	}
 	c, err := standin.NewCallers(anyPort, at, standin.CallersSpec{Exchange: 0, Rate: o.Rate, Weights: []float64{0, 1},
-		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHold, Patience: callsPatience, Deadline: callsPatience}},
+		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime, Patience: callsPatience, Deadline: callsPatience}},
 		Number:  func(_ int, rng *rand.Rand) string { return fmt.Sprintf("1%05d", rng.IntN(100000)) }}, o.Seed, tap)
 	if err != nil {
 		return err
@@ -133,47 +134,47 @@
 		if err != nil {
 			return fmt.Errorf("start %d: %w", i+1, err)
 		}
-		lifeOf(tap, true)
+		recordRouterState(tap, true)
 		if i == 0 {
 			c.Start()
 		}
-		lives := 150*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
-		if i == o.Kills { // the last life lets all calls come to their ends
+		uptime := 150*time.Millisecond + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
+		if i == o.Kills { // the last incarnation runs until all calls have ended
 			c.Stop()
-			lives = callsPatience + 500*time.Millisecond
+			uptime = callsPatience + 500*time.Millisecond
 		}
-		ok := sleepUntil(ctx, time.Now().Add(lives))
+		ok := sleepUntil(ctx, time.Now().Add(uptime))
 		if i == o.Kills {
 			c.HangUp()
 			ok = ok && sleepUntil(ctx, time.Now().Add(300*time.Millisecond))
 		}
-		lifeOf(tap, false)
+		recordRouterState(tap, false)
 		err = p.Process.Kill()
-		_ = p.Wait() // it says that it was killed
+		_ = p.Wait() // the error is that it was killed
 		if err != nil || !ok {
 			return errors.Join(err, ctx.Err())
 		}
 		if i%20 == 0 {
-			fmt.Fprintf(o.Progress, "%d kills\n", i)
+			fmt.Fprintf(o.Progress, "%d kills done\n", i)
 		}
 	}
 	return nil
 }
 
-// lifeOf notes that the process runs or was killed: the stand-ins at its two sides each know it as the router of their
-// own exchange.
-func lifeOf(tap *capture.Writer, up bool) {
+// recordRouterState records in the capture that the process is up or was killed. It does so for both exchanges, because each
+// of the stand-ins on the two sides treats the process as the router of its own exchange.
+func recordRouterState(tap *capture.Writer, up bool) {
 	for x := range 2 {
 		tap.Notice(time.Now(), capture.Notice{Router: &capture.RouterState{Exchange: x, Up: up}})
 	}
 }
 
-// killSettings writes the router's settings, its list and its tariffs.
-func killSettings(dir string, at, web, sw netip.AddrPort) (string, error) {
+// writeKillSettings writes the router's settings, exchange list and tariffs to dir and returns the settings file.
+func writeKillSettings(dir string, at, web, sw netip.AddrPort) (string, error) {
 	files := map[string]string{
 		"tariffs.toml": dayTariffs,
 		"list.toml":    fmt.Sprintf("[[exchange]]\nid = \"far\"\nnumber = 1\naddress = %q\n", sw),
-		"router.toml": string(callsText(0, fmt.Sprintf("listen = %q\nanswer_margin = \"120ms\"", at), "circuits = 5000",
+		"router.toml": string(callsSettingsText(0, fmt.Sprintf("listen = %q\nanswer_margin = \"120ms\"", at), "circuits = 5000",
 			fmt.Sprintf("file = %q", filepath.Join(dir, "list.toml")), fmt.Sprintf("[http]\nlisten = %q\n[records]\ndir = %q\n"+
 				"tariffs = \"tariffs.toml\"\nanswer_wait = \"100ms\"\n[log]\nlevel = \"error\"\n", web, filepath.Join(dir, "records")))),
 	}
@@ -185,7 +186,7 @@
 	return filepath.Join(dir, "router.toml"), nil
 }
 
-// startProcess starts the router's process and waits until it serves.
+// startProcess starts the router's process and waits until its health check succeeds, at most 20 s.
 func startProcess(ctx context.Context, serve []string, file string, web netip.AddrPort, res *KillResult) (*exec.Cmd, error) {
 	if len(serve) == 0 {
 		exe, err := os.Executable()
@@ -194,9 +195,9 @@
 		}
 		serve = []string{exe, "serve", "-c"}
 	}
-	var said bytes.Buffer
+	var stderr bytes.Buffer
 	p := exec.CommandContext(ctx, serve[0], append(append([]string(nil), serve[1:]...), file)...)
-	p.Stderr = &said
+	p.Stderr = &stderr
 	began := time.Now()
 	if err := p.Start(); err != nil {
 		return nil, err
@@ -216,5 +217,5 @@
 	}
 	_ = p.Process.Kill()
 	_ = p.Wait()
-	return nil, fmt.Errorf("it does not serve after 20 s: %s", said.String())
+	return nil, fmt.Errorf("router process does not serve after 20 s: %s", stderr.String())
 }
--- a/internal/lab/kill_test.go
+++ b/internal/lab/kill_test.go
@@ -11,10 +11,10 @@
 	"pipitring/internal/runtime"
 )
 
-// serveEnv makes this test binary a router, for tests that kill one.
+// serveEnv is the environment variable that makes this test binary run a router with the settings file that it names.
 const serveEnv = "PIPITRING_TEST_SERVE"
 
-// serveForTest serves a settings file until it is killed.
+// serveForTest runs a router with a settings file until it is killed.
 func serveForTest(file string) {
 	set, err := config.Load(file)
 	if err == nil {
@@ -27,13 +27,14 @@
 	os.Exit(1)
 }
 
-// A router's process is killed again and again under load: each call whose answer a caller saw has one record.
+// TestKilledProcess guards against records that are lost or duplicated when a router's process is killed under load: each
+// call whose answer the caller received has exactly one record.
 func TestKilledProcess(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The settings file's name is appended by the lab: the shell hands it over as the router's.
+	// RunKills appends the name of the settings file, and the script passes it on in the environment.
 	script := filepath.Join(t.TempDir(), "serve")
 	if err := os.WriteFile(script, fmt.Appendf(nil, "#!/bin/sh\n%s=\"$1\" exec %q\n", serveEnv, exe), 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// gnet starts a pool of workers at its import, which stays.
+// TestMain checks for leaked goroutines, except those of the worker pool that gnet starts when it is imported.
 func TestMain(m *testing.M) {
 	if file := os.Getenv(serveEnv); file != "" {
 		serveForTest(file)
@@ -21,7 +21,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreCurrent(), goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*goWorker).run.func1"))
 }
 
-func play1(t *testing.T, script string) *DayResult {
+// runDayChecked runs a script on loopback and fails the test if anything is wrong with the day.
+func runDayChecked(t *testing.T, script string) *DayResult {
 	t.Helper()
 	s, err := ParseScript("test.toml", []byte(script))
 	if err != nil {
@@ -32,13 +33,14 @@
 		t.Fatal(err)
 	}
 	if !res.Good() {
-		t.Errorf("%d rules broken, left %+v, %d overdue, %d faults, %d malformed:\n%s", res.ViolationCount, res.LeftOver, res.Overdue,
+		t.Errorf("%d rule violations, still held %+v, %d overdue answers, %d failed actions, %d malformed messages:\n%s",
+			res.ViolationCount, res.LeftOver, res.Overdue,
 			res.ActionFaults, res.Malformed, strings.Join(res.Violations, "\n"))
 	}
 	return res
 }
 
-const class = `
+const classTable = `
 [[class]]
 name = "alarm"
 share = 1
@@ -49,10 +51,11 @@
 worth = 1
 `
 
-// More than a thousand calls over three routers, with loss, repeats and reordering on every link, lost and
-// repeated answers, impatient callers, a killed router and a drain: one final answer each, and nothing left.
+// TestThousandCallsWithFaults guards against calls without exactly one final answer, and against resources that remain held.
+// It makes over a thousand calls through three routers, with loss, duplicates and reordering on every link, lost and
+// duplicated answers, callers that abandon their tries, a killed router and a drain.
 func TestThousandCallsWithFaults(t *testing.T) {
-	res := play1(t, `
+	res := runDayChecked(t, `
 length = "6s"
 [fleet]
 exchanges = 3
@@ -65,7 +68,7 @@
 [load]
 rate = 200
 local = 0.1
-`+class+`
+`+classTable+`
 [[trouble]]
 kind = "answer_lost"
 at = "1s"
@@ -95,14 +98,14 @@
 exchanges = [1]
 `)
 	if res.Calls < 1000 || res.Answered < 300 || res.Abandoned == 0 {
-		t.Errorf("%d calls, %d stood, %d left early", res.Calls, res.Answered, res.Abandoned)
+		t.Errorf("%d calls, %d answered, %d abandoned", res.Calls, res.Answered, res.Abandoned)
 	}
 }
 
-// A switch silent in mid set-up: calls to it get one failure answer, and go out again no sooner than 300 ms later,
-// which the rules checker looks at.
-func TestSilentSwitch(t *testing.T) {
-	res := play1(t, `
+// TestUnresponsiveSwitch guards against calls without a final answer when a switch stops responding during set-up. Each gets
+// one failure answer; the rules check that it is not attempted again within 300 ms.
+func TestUnresponsiveSwitch(t *testing.T) {
+	res := runDayChecked(t, `
 length = "4s"
 [fleet]
 exchanges = 2
@@ -110,7 +113,7 @@
 [load]
 rate = 40
 redials = 0
-`+class+`
+`+classTable+`
 [[trouble]]
 kind = "hang"
 at = "0s"
@@ -118,13 +121,14 @@
 exchanges = [1]
 `)
 	if res.Failed == 0 || res.Answered == 0 || res.Unanswered > 0 {
-		t.Errorf("%d failed, %d stood, %d unanswered", res.Failed, res.Answered, res.Unanswered)
+		t.Errorf("%d failed, %d answered, %d unanswered", res.Failed, res.Answered, res.Unanswered)
 	}
 }
 
-// A processor restarted cold under a surge is not pushed over by all routers together.
+// TestColdSwitchSurvivesSurge guards against a cold processor that collapses because all routers together overload it during
+// a surge.
 func TestColdSwitchSurvivesSurge(t *testing.T) {
-	res := play1(t, `
+	res := runDayChecked(t, `
 length = "6s"
 [fleet]
 exchanges = 4
@@ -133,7 +137,7 @@
 cold_for = "4s"
 [load]
 rate = 120
-`+class+`
+`+classTable+`
 [[trouble]]
 kind = "burst"
 at = "1s"
@@ -145,14 +149,14 @@
 exchanges = [0, 1]
 `)
 	if res.SwitchCollapses != 0 {
-		t.Errorf("%d switches fell", res.SwitchCollapses)
+		t.Errorf("%d switches collapsed", res.SwitchCollapses)
 	}
 }
 
-// The same troubles where every other pair of routers signals by ISUP over M3UA, with a region cut off and a router
-// killed under its associations.
+// TestMixedFronts runs faults in a fleet where every other pair of routers uses ISUP over M3UA: a region is cut off, a router
+// with associations is killed, and a switch rejects set-ups.
 func TestMixedFronts(t *testing.T) {
-	res := play1(t, `
+	res := runDayChecked(t, `
 length = "6s"
 [fleet]
 exchanges = 4
@@ -164,7 +168,7 @@
 lose = 0.03
 [load]
 rate = 120
-`+class+`
+`+classTable+`
 [[trouble]]
 kind = "zone_cut"
 at = "1s"
@@ -181,20 +185,20 @@
 exchanges = [2]
 `)
 	if res.Answered < 200 || res.Failed+res.Refused == 0 {
-		t.Errorf("%d stood, %d refused, %d failed", res.Answered, res.Refused, res.Failed)
+		t.Errorf("%d answered, %d refused, %d failed", res.Answered, res.Refused, res.Failed)
 	}
 }
 
 func TestScriptErrors(t *testing.T) {
 	for _, c := range []struct{ script, want string }{
-		{"length = \"0s\"" + class, "test.toml:1: length"},
-		{"[fleet]\nexchanges = 0" + class, "test.toml:2: fleet.exchanges"},
-		{class + "[[trouble]]\nkind = \"flood\"", "trouble[1].kind: \"flood\" is none of answer_lost"},
-		{class + "[[trouble]]\nkind = \"hang\"\nat = \"5h\"", "trouble[1].at"},
-		{class + "[[trouble]]\nkind = \"hang\"\nexchanges = [9]", "trouble[1].exchanges: there is no exchange 9"},
-		{class + "[[trouble]]\nkind = \"answer_lost\"\nsize = 3", "trouble[1].size: 3 is not from 0 to 1"},
+		{"length = \"0s\"" + classTable, "test.toml:1: length"},
+		{"[fleet]\nexchanges = 0" + classTable, "test.toml:2: fleet.exchanges"},
+		{classTable + "[[trouble]]\nkind = \"flood\"", "trouble[1].kind: \"flood\" is not one of answer_lost"},
+		{classTable + "[[trouble]]\nkind = \"hang\"\nat = \"5h\"", "trouble[1].at"},
+		{classTable + "[[trouble]]\nkind = \"hang\"\nexchanges = [9]", "trouble[1].exchanges: there is no exchange 9"},
+		{classTable + "[[trouble]]\nkind = \"answer_lost\"\nsize = 3", "trouble[1].size: 3 must be from 0 to 1"},
 		{"[load]\nrate = 10", "class: at least one"},
-		{class + class, "the shares add up to 2"},
+		{classTable + classTable, "the shares add up to 2"},
 	} {
 		if _, err := ParseScript("test.toml", []byte(c.script)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v, want %q", c.script, err, c.want)
@@ -205,19 +209,19 @@
 	}
 }
 
-// Every kind of trouble can begin and end, on sockets and on the virtual clock.
-func TestEveryKindOfTrouble(t *testing.T) {
-	const head = "length = \"3s\"\n[fleet]\nexchanges = 3\nregions = [\"a\", \"b\"]\n[load]\nrate = 60\n" + class
+// TestEveryFaultKind checks that every kind of fault can begin and end, on sockets and on the virtual clock.
+func TestEveryFaultKind(t *testing.T) {
+	const head = "length = \"3s\"\n[fleet]\nexchanges = 3\nregions = [\"a\", \"b\"]\n[load]\nrate = 60\n" + classTable
 	var onSockets, all strings.Builder
-	for _, k := range slices.Sorted(maps.Keys(kinds)) {
+	for _, k := range slices.Sorted(maps.Keys(faultKinds)) {
 		text := "[[trouble]]\nkind = \"" + k + "\"\nat = \"500ms\"\nfor = \"1s\"\npart = 0.4\n"
 		all.WriteString(text)
-		if !kinds[k].only {
+		if !faultKinds[k].virtualOnly {
 			onSockets.WriteString(text)
 		}
 	}
-	if res := play1(t, head+onSockets.String()); res.Calls == 0 {
-		t.Error("no calls")
+	if res := runDayChecked(t, head+onSockets.String()); res.Calls == 0 {
+		t.Error("on sockets: no calls")
 	}
 	s, err := ParseScript("test.toml", []byte("virtual = true\n"+head+all.String()))
 	if err != nil {
@@ -229,9 +233,9 @@
 	}
 }
 
-// Callers register and stay registered.
+// TestCallersRegister checks that callers register with their router.
 func TestCallersRegister(t *testing.T) {
-	s, err := ParseScript("test.toml", []byte("[fleet]\nexchanges = 2\n"+class))
+	s, err := ParseScript("test.toml", []byte("[fleet]\nexchanges = 2\n"+classTable))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,22 +247,23 @@
 	f.callers[0].Start()
 	for limit := time.Now().Add(20 * time.Second); !f.callers[0].Registered(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("not registered in 20 s")
+			t.Fatal("callers not registered after 20 s")
 		}
 	}
 }
 
 func TestBytesPerStandingCall(t *testing.T) {
-	n, err := bytesPerStanding(500)
+	n, err := bytesPerStandingCall(500)
 	if err != nil || n < 200 || n > 20000 {
 		t.Errorf("%v bytes, %v", n, err)
 	}
 }
 
-// A network without trouble, whose processors have long run, answers every call from its first second, on each front.
+// TestQuietNetworkAnswersEveryCall checks that a network without faults and with warm processors answers every call from the
+// first second on, with each front.
 func TestQuietNetworkAnswersEveryCall(t *testing.T) {
 	for _, front := range FrontNames {
-		res := play1(t, `
+		res := runDayChecked(t, `
 length = "2s"
 [fleet]
 exchanges = 3
@@ -268,9 +273,9 @@
 rate = 60
 local = 0.3
 redials = 0
-`+class)
+`+classTable)
 		if res.Answered != res.Calls || res.Calls < 60 {
-			t.Errorf("%s: %d of %d calls stood: causes %v", front, res.Answered, res.Calls, res.Causes)
+			t.Errorf("%s: %d of %d calls answered: causes %v", front, res.Answered, res.Calls, res.Causes)
 		}
 	}
 }
--- a/internal/lab/ports.go
+++ b/internal/lab/ports.go
@@ -7,14 +7,14 @@
 	"net/netip"
 )
 
-// Routers that are killed and start again need their port back: theirs lie under the range from which systems give
-// other sockets theirs (32768 and up, or 49152).
+// Range of the routers' ports. A router that is killed and restarted needs the same port again, so the range is below the
+// systems' ephemeral ports (from 32768, or from 49152), which other sockets get.
 const (
 	lowestPort  = 20000
 	highestPort = 32000
 )
 
-// freePort finds a port of loopback that neither TCP nor UDP uses.
+// freePort returns a loopback address with a port that is free for both TCP and UDP.
 func freePort() (netip.AddrPort, error) {
 	loopback := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	for range 200 {
@@ -31,5 +31,5 @@
 		udp.Close()
 		return at, nil
 	}
-	return netip.AddrPort{}, errors.New("no free port of 200 tried")
+	return netip.AddrPort{}, errors.New("no free port from 20000 to 31999 in 200 tries")
 }
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -18,33 +18,33 @@
 	"pipitring/internal/store"
 )
 
-// RecordsOptions are how `lab records` measures.
+// RecordsOptions are the options of `lab records`.
 type RecordsOptions struct {
-	Rate         float64       // calls a second of the delays
-	PassDuration time.Duration // of each pass
-	Records      int           // that are made durable
-	Dir          string        // on the disk that is measured; "" is the system's for temporary files
-	Progress     io.Writer
+	Rate         float64       // calls per second while delays are measured
+	PassDuration time.Duration // duration of each pass
+	Records      int           // number of records made durable
+	Dir          string        // directory on the disk to measure; "" is the system's temporary directory
+	Progress     io.Writer     // gets a line for each measurement; nil for none
 }
 
-// RecordsResult is what records cost. Delays are from NEW to ANSWER at the callers' sockets.
+// RecordsResult is the cost of call detail records. Set-up delays are from NEW to ANSWER at the callers' sockets.
 type RecordsResult struct {
-	DurablePerSecond float64            `json:"records_durable_per_second"` // one writer, one core
+	DurablePerSecond float64            `json:"records_durable_per_second"` // with one writer on one core
 	RecordsPerCommit float64            `json:"records_per_commit"`
-	BytesPerRecord   float64            `json:"bytes_per_record"` // on disk, after they are sorted
+	BytesPerRecord   float64            `json:"bytes_per_record"` // on disk, after compaction
 	EncodedBytes     float64            `json:"encoded_bytes"`
 	ExportPerSecond  map[string]float64 `json:"export_records_per_second"` // by format, to a directory
-	SetUpP50         map[string]float64 `json:"setup_p50_us"`              // none, at_once, durable: in one run
+	SetUpP50         map[string]float64 `json:"setup_p50_us"`              // by mode: none, at_once, durable; measured in one run
 	SetUpP99         map[string]float64 `json:"setup_p99_us"`
 	Missed           map[string]int     `json:"missed"`
 	Rate             float64            `json:"at_calls_per_second"`
-	RecoveryMS       map[string]float64 `json:"recovery_ms"` // by calls that stood at the kill
+	RecoveryMS       map[string]float64 `json:"recovery_ms"` // by number of open calls at the kill
 	Calls            int                `json:"calls"`
-	ViolationCount   int                `json:"rules_broken"` // no pass of this lab is captured: lab calls and days are
+	ViolationCount   int                `json:"rules_broken"` // always 0: these passes have no capture; `lab calls` and days do
 	Cores            int                `json:"cores"`
 }
 
-// MeasureRecords measures what keeping records costs, and how fast they come back after a kill.
+// MeasureRecords measures the cost of storing records, and the time of their recovery after a kill.
 func MeasureRecords(ctx context.Context, o RecordsOptions) (*RecordsResult, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -53,25 +53,25 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // of temporary files: the system cleans up what stays
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary directory: the system removes what remains
 	r := &RecordsResult{Cores: goruntime.NumCPU(), Rate: o.Rate, SetUpP50: map[string]float64{}, SetUpP99: map[string]float64{},
 		Missed: map[string]int{}, RecoveryMS: map[string]float64{}, ExportPerSecond: map[string]float64{}}
-	if err := r.durable(filepath.Join(dir, "durable"), o.Records); err != nil {
+	if err := r.measureDurable(filepath.Join(dir, "durable"), o.Records); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(o.Progress, "%.0f records a second durable, %.0f a commit\n", r.DurablePerSecond, r.RecordsPerCommit)
+	fmt.Fprintf(o.Progress, "%.0f records/s durable, %.0f per commit\n", r.DurablePerSecond, r.RecordsPerCommit)
 	for _, open := range []int{1000, 10_000, 100_000} {
-		if err := r.recovery(filepath.Join(dir, fmt.Sprint("open-", open)), open); err != nil {
+		if err := r.measureRecovery(filepath.Join(dir, fmt.Sprint("open-", open)), open); err != nil {
 			return nil, err
 		}
 	}
-	fmt.Fprintf(o.Progress, "recovery, ms by open calls: %v\n", r.RecoveryMS)
+	fmt.Fprintf(o.Progress, "recovery time in ms by open calls: %v\n", r.RecoveryMS)
 	for _, mode := range []string{"none", "at_once", "durable"} {
 		tables := ""
 		if mode != "none" {
 			tables = fmt.Sprintf("[records]\ndir = %q\nanswer = %q\n", filepath.Join(dir, "calls-"+mode), mode)
 		}
-		p, err := callsThrough(ctx, callsPass{rate: o.Rate, length: o.PassDuration, tables: tables})
+		p, err := runCallsPass(ctx, passOptions{rate: o.Rate, length: o.PassDuration, tables: tables})
 		if err != nil {
 			return nil, err
 		}
@@ -83,8 +83,8 @@
 	return r, nil
 }
 
-// costRecord is an ordinary call's record.
-func costRecord(id cdr.ID) cdr.Record {
+// sampleRecord returns a typical record of an answered call.
+func sampleRecord(id cdr.ID) cdr.Record {
 	at := crashEpoch.Add(time.Duration(id.Call) * time.Millisecond)
 	return cdr.Record{ID: id, End: cdr.Answered, Cause: 16, EndSource: cdr.EndedByCaller, Class: "status-check", Called: fmt.Sprintf("21%07d", id.Call%1e7),
 		Calling: fmt.Sprintf("10%07d", id.Call%1e7), Context: "status-check", Front: "iax2", Origin: -1, Dest: 1, Width: 1, Offered: at,
@@ -92,20 +92,21 @@
 		Attempts: []cdr.Attempt{{Exchange: 1, Front: "iax2", Outcome: "completed", Took: 20 * time.Millisecond}}}
 }
 
-func costOptions(dir string, done func(uint64)) records.Options {
-	return records.Options{Dir: dir, Router: 1, Rater: crashTariffs(), MaxBatch: 4096, HeartbeatInterval: time.Second, OnDurable: done,
+// recorderOptions returns the options of the measured recorder; onDurable gets the ticket of the last durable record.
+func recorderOptions(dir string, onDurable func(uint64)) records.Options {
+	return records.Options{Dir: dir, Router: 1, Rater: crashTariffs(), MaxBatch: 4096, HeartbeatInterval: time.Second, OnDurable: onDurable,
 		Gate: store.GateSettings{SlowAfter: time.Minute, MaxQueue: 1 << 16}}
 }
 
-// durable writes records as fast as they become durable, on one core.
-func (r *RecordsResult) durable(dir string, n int) error {
-	more := make(chan uint64, 1)
-	rec, err := records.Open(costOptions(dir, func(upTo uint64) {
+// measureDurable writes n records as fast as they become durable, on one core, and measures their size and export.
+func (r *RecordsResult) measureDurable(dir string, n int) error {
+	durable := make(chan uint64, 1)
+	rec, err := records.Open(recorderOptions(dir, func(upTo uint64) {
 		select {
-		case <-more:
+		case <-durable:
 		default:
 		}
-		more <- upTo
+		durable <- upTo
 	}))
 	if err != nil {
 		return err
@@ -114,25 +115,25 @@
 	began := time.Now()
 	ticket := uint64(0)
 	for call := uint64(1); call <= uint64(n); {
-		t, ok := rec.Submit(cdr.Item{Record: costRecord(rec.ID(call))})
+		t, ok := rec.Submit(cdr.Item{Record: sampleRecord(rec.ID(call))})
 		if ok {
 			ticket = t
 			call++
 		} else {
-			<-more
+			<-durable
 		}
 	}
-	for upTo := range more {
+	for upTo := range durable {
 		if upTo >= ticket {
 			break
 		}
 	}
 	r.DurablePerSecond = float64(n) / time.Since(began).Seconds()
 	r.RecordsPerCommit = float64(n) / float64(rec.Status().Commits)
-	one := costRecord(rec.ID(1))
-	one.Charge = crashTariffs().Rate(&one)
-	r.EncodedBytes = float64(len(one.Encode(nil)))
-	if err := r.export(rec, dir); err != nil {
+	sample := sampleRecord(rec.ID(1))
+	sample.Charge = crashTariffs().Rate(&sample)
+	r.EncodedBytes = float64(len(sample.Encode(nil)))
+	if err := r.measureExport(rec, dir); err != nil {
 		return errors.Join(err, rec.Close())
 	}
 	if err := rec.Store().Compact(cdr.RecordKey(0), []byte{255}); err != nil {
@@ -141,7 +142,7 @@
 	if err := rec.Close(); err != nil {
 		return err
 	}
-	// The log that is left would count twice: a store that is opened again has none.
+	// The remaining write-ahead log would count the records twice. A reopened store has none.
 	s, err := store.Open(store.Options{Dir: dir, Schema: records.Schema()})
 	if err != nil {
 		return err
@@ -150,8 +151,8 @@
 	return s.Close()
 }
 
-// export sends all records to a directory, in each format.
-func (r *RecordsResult) export(rec *records.Recorder, dir string) error {
+// measureExport exports all records to a directory, in each format.
+func (r *RecordsResult) measureExport(rec *records.Recorder, dir string) error {
 	last := rec.Status().Last
 	for _, f := range []cdr.Format{cdr.CSV, cdr.Parquet} {
 		o := records.ExportOptions{Dir: dir + "-" + string(f), ExportSettings: cdr.ExportSettings{Target: string(f), Router: 1, Format: f,
@@ -176,10 +177,10 @@
 	return nil
 }
 
-// recovery kills a router's records while calls stand and opens them again.
-func (r *RecordsResult) recovery(dir string, open int) error {
+// measureRecovery aborts a recorder with open calls, opens its records again and measures the recovery time.
+func (r *RecordsResult) measureRecovery(dir string, open int) error {
 	done := make(chan uint64, 1)
-	rec, err := records.Open(costOptions(dir, func(upTo uint64) {
+	rec, err := records.Open(recorderOptions(dir, func(upTo uint64) {
 		if upTo == uint64(open) {
 			done <- upTo
 		}
@@ -188,7 +189,7 @@
 		return err
 	}
 	for call := uint64(1); call <= uint64(open); {
-		if _, ok := rec.Submit(cdr.Item{Open: true, Record: costRecord(rec.ID(call))}); ok {
+		if _, ok := rec.Submit(cdr.Item{Open: true, Record: sampleRecord(rec.ID(call))}); ok {
 			call++
 		} else {
 			time.Sleep(time.Millisecond)
@@ -196,12 +197,12 @@
 	}
 	<-done
 	rec.Abort()
-	if rec, err = records.Open(costOptions(dir, nil)); err != nil {
+	if rec, err = records.Open(recorderOptions(dir, nil)); err != nil {
 		return err
 	}
 	st := rec.Status()
 	if st.RecoveredCalls != open {
-		err = fmt.Errorf("%d of %d calls closed by recovery", st.RecoveredCalls, open)
+		err = fmt.Errorf("recovery closed %d of %d open calls", st.RecoveredCalls, open)
 	}
 	r.RecoveryMS[fmt.Sprint(open)] = float64(st.RecoveryTime.Microseconds()) / 1000
 	return errors.Join(err, rec.Close())
--- a/internal/lab/seeds.go
+++ b/internal/lab/seeds.go
@@ -17,22 +17,22 @@
 	"pipitring/internal/vnet"
 )
 
-// SeedsOptions are how `lab seeds` explores.
+// SeedsOptions are the options of `lab seeds`.
 type SeedsOptions struct {
 	Count          int
 	FirstSeed      uint64
 	Exchanges      int
-	Drift          float64 // routers' clocks differ by up to this part
-	Mutation       string  // a planted bug in every seed's router 0
-	SeedsPerMutant int     // seeds that may be spent on each planted bug; 0 leaves them out
+	Drift          float64 // upper limit of the relative drift of routers' clocks
+	Mutation       string  // name of a bug planted in router 0 of every seed; "" for none
+	SeedsPerMutant int     // limit of seeds to find each planted bug; 0 plants none
 	Shrink         bool
-	Jobs           int // days at once; 0 is one a core
+	Jobs           int // number of days run in parallel; 0 is one per core
 	Progress       io.Writer
 }
 
-// SeedsResult is what was explored and found.
+// SeedsResult is the coverage and the findings of an exploration.
 type SeedsResult struct {
-	Seeds                 int            `json:"seeds"` // fewer than were asked for where it was stopped
+	Seeds                 int            `json:"seeds"` // fewer than requested if it was stopped
 	Failed                int            `json:"failed"`
 	Failures              []SeedFailure  `json:"failures,omitempty"`
 	ViolationCount        int            `json:"rules_broken"`
@@ -43,36 +43,36 @@
 	VirtualSecondsPerCore float64        `json:"virtual_seconds_per_second_per_core"`
 	StepsPerSecond        float64        `json:"steps_per_second_per_core"`
 	Outcomes              map[string]int `json:"outcomes"`
-	SeedsByKind           map[string]int `json:"kinds"` // seeds in which each was met
+	SeedsByKind           map[string]int `json:"kinds"` // number of seeds with each kind of fault
 	PairsCovered          int            `json:"pairs_met"`
 	PairsTotal            int            `json:"pairs_in_all"`
 	PairsUncovered        []string       `json:"pairs_missing,omitempty"`
-	Messages              map[string]int `json:"messages"` // frames and messages by name
+	Messages              map[string]int `json:"messages"` // number of frames and messages, by name
 	Mutants               int            `json:"mutants"`
 	MutantsFound          int            `json:"mutants_found"`
 	MutantResults         []MutantResult `json:"mutants_found_after,omitempty"`
 	Cores                 int            `json:"cores"`
-	met                   map[[2]string]bool
+	covered               map[[2]string]bool
 }
 
-// SeedFailure is one seed that failed.
+// SeedFailure is a seed whose day failed.
 type SeedFailure struct {
 	Seed     uint64   `json:"seed"`
 	Problems []string `json:"what"`
-	Events   []string `json:"events,omitempty"` // the last of the call concerned
+	Events   []string `json:"events,omitempty"` // last messages of the call concerned
 	Replay   string   `json:"replay"`
-	Script   string   `json:"script,omitempty"` // cut down
+	Script   string   `json:"script,omitempty"` // the script, reduced by ShrinkScript
 }
 
-// MutantResult tells after how many seeds a planted bug was found.
+// MutantResult is the result of exploring seeds with one planted bug.
 type MutantResult struct {
 	Name       string `json:"name"`
 	Violates   string `json:"breaks"`
-	Seeds      int    `json:"seeds"` // 0: not found
+	Seeds      int    `json:"seeds"` // number of seeds until it was found; 0 if it was not
 	DetectedBy string `json:"by,omitempty"`
 }
 
-// problems are all that is wrong with a day.
+// problems returns a text for everything that is wrong with a day.
 func (r *VirtualResult) problems() (out []string) {
 	out = append(out, r.Violations...)
 	if r.LeftOver != (HeldResources{}) {
@@ -90,10 +90,10 @@
 	return append(out, r.Records.Problems...)
 }
 
-// messages counts what crossed the network, by name.
-type messages map[string]int
+// messageCounts counts the frames and messages on the network, by name.
+type messageCounts map[string]int
 
-func (m messages) see(p capture.Packet) {
+func (m messageCounts) add(p capture.Packet) {
 	switch {
 	case p.Notice != nil || p.Reset:
 	case p.M3UA:
@@ -109,23 +109,25 @@
 	}
 }
 
-// explored is one seed's day.
-type explored struct {
-	seed   uint64
-	script *Script
-	res    *VirtualResult
-	msgs   messages
-	err    error
+// seedResult is the result of one seed's day.
+type seedResult struct {
+	seed     uint64
+	script   *Script
+	res      *VirtualResult
+	messages messageCounts
+	err      error
 }
 
-func explore(ctx context.Context, seed uint64, s *Script, o VirtualOptions) explored {
-	e := explored{seed: seed, script: s, msgs: messages{}}
-	o.OnPacket = e.msgs.see
+// runSeed runs the script of a seed on the virtual clock and counts its messages.
+func runSeed(ctx context.Context, seed uint64, s *Script, o VirtualOptions) seedResult {
+	e := seedResult{seed: seed, script: s, messages: messageCounts{}}
+	o.OnPacket = e.messages.add
 	e.res, e.err = RunVirtual(ctx, s, o)
 	return e
 }
 
-// ExploreSeeds plays days drawn from seeds on all cores, checks every step, and finds planted bugs.
+// ExploreSeeds runs scripts generated from seeds on all cores and checks the rules after every step. If requested, it also
+// counts the seeds that it takes to find each planted bug.
 func ExploreSeeds(ctx context.Context, o SeedsOptions) (*SeedsResult, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -133,26 +135,26 @@
 	if o.Jobs == 0 {
 		o.Jobs = goruntime.GOMAXPROCS(0)
 	}
-	res := &SeedsResult{Outcomes: map[string]int{}, SeedsByKind: map[string]int{}, Messages: map[string]int{}, met: map[[2]string]bool{},
+	res := &SeedsResult{Outcomes: map[string]int{}, SeedsByKind: map[string]int{}, Messages: map[string]int{}, covered: map[[2]string]bool{},
 		Cores: o.Jobs}
 	began := time.Now()
-	const round = 50 // scripts that are held at once
+	const round = 50 // scripts kept in memory at a time
 	for done := 0; done < o.Count && ctx.Err() == nil; done += round {
 		var scripts []*Script
 		for i := done; i < min(done+round, o.Count); i++ {
 			scripts = append(scripts, DrawScript(o.FirstSeed+uint64(i), DrawOptions{Exchanges: o.Exchanges}))
 		}
-		for _, e := range parallel(ctx, o, o.FirstSeed+uint64(done), scripts) {
+		for _, e := range runParallel(ctx, o, o.FirstSeed+uint64(done), scripts) {
 			if ctx.Err() != nil {
-				break // what was explored until then counts
+				break // the seeds completed so far count
 			}
 			if e.err != nil {
 				return nil, fmt.Errorf("seed %d: %w", e.seed, e.err)
 			}
-			res.take(ctx, e, o)
+			res.add(ctx, e, o)
 		}
 		if (done/round)%4 == 3 {
-			fmt.Fprintf(o.Progress, "%d seeds, %d failed, %d of %d pairs of kinds met\n", res.Seeds, res.Failed, len(res.met), pairsInAll())
+			fmt.Fprintf(o.Progress, "%d seeds, %d failed, %d of %d pairs of fault kinds covered\n", res.Seeds, res.Failed, len(res.covered), pairCount())
 		}
 	}
 	res.WallSeconds = time.Since(began).Seconds()
@@ -160,24 +162,24 @@
 		res.VirtualSecondsPerCore = res.VirtualSeconds / res.WallSeconds / float64(o.Jobs)
 		res.StepsPerSecond = float64(res.Steps) / res.WallSeconds / float64(o.Jobs)
 	}
-	res.pairs()
+	res.findUncovered()
 	if o.SeedsPerMutant > 0 {
-		if err := res.mutants(ctx, o); err != nil {
+		if err := res.runMutants(ctx, o); err != nil {
 			return nil, err
 		}
 	}
 	return res, nil
 }
 
-// parallel plays scripts on all cores; results come in the scripts' order.
-func parallel(ctx context.Context, o SeedsOptions, from uint64, scripts []*Script) []explored {
-	out := make([]explored, len(scripts))
+// runParallel runs scripts on all cores and returns the results in the order of the scripts. from is the first one's seed.
+func runParallel(ctx context.Context, o SeedsOptions, from uint64, scripts []*Script) []seedResult {
+	out := make([]seedResult, len(scripts))
 	next := make(chan int)
 	var wg sync.WaitGroup
 	for range o.Jobs {
 		wg.Go(func() {
 			for i := range next {
-				out[i] = explore(ctx, from+uint64(i), scripts[i], VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
+				out[i] = runSeed(ctx, from+uint64(i), scripts[i], VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
 			}
 		})
 	}
@@ -189,7 +191,8 @@
 	return out
 }
 
-func (r *SeedsResult) take(ctx context.Context, e explored, o SeedsOptions) {
+// add adds the result of one seed, and for a failed one its problems and how to reproduce them.
+func (r *SeedsResult) add(ctx context.Context, e seedResult, o SeedsOptions) {
 	r.Seeds++
 	r.Calls += e.res.Calls
 	r.Steps += e.res.Steps
@@ -200,7 +203,7 @@
 			r.Outcomes[string(k)] += n
 		}
 	}
-	for name, n := range e.msgs {
+	for name, n := range e.messages {
 		r.Messages[name] += n
 	}
 	seen := map[string]bool{}
@@ -210,49 +213,49 @@
 	for k := range seen {
 		r.SeedsByKind[k]++
 	}
-	for _, p := range pairsOf(e.script) {
-		r.met[p] = true
+	for _, p := range overlappingPairs(e.script) {
+		r.covered[p] = true
 	}
-	what := e.res.problems()
-	if len(what) == 0 {
+	problems := e.res.problems()
+	if len(problems) == 0 {
 		return
 	}
 	r.Failed++
 	if len(r.Failures) >= 20 {
 		return
 	}
-	fail := SeedFailure{Seed: e.seed, Problems: what[:min(len(what), 10)],
+	fail := SeedFailure{Seed: e.seed, Problems: problems[:min(len(problems), 10)],
 		Replay: fmt.Sprintf("pipitring lab seeds --count 1 --from %d --exchanges %d --drift %v", e.seed, o.Exchanges, o.Drift)}
 	if o.Shrink {
-		small := ShrinkScript(ctx, e.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
-		fail.Script = string(FormatScript(small))
+		shrunk := ShrinkScript(ctx, e.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
+		fail.Script = string(FormatScript(shrunk))
 		fail.Replay = "pipitring day --virtual SCRIPT, with the script below"
 	}
 	fail.Events = lastEvents(ctx, e.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation}, e.res)
 	r.Failures = append(r.Failures, fail)
 }
 
-// lastEvents plays a day again and keeps the last messages of the first call that a rule was broken for.
+// lastEvents runs a day again and returns the last messages of the first call that violated a rule.
 func lastEvents(ctx context.Context, s *Script, o VirtualOptions, res *VirtualResult) []string {
-	call := res.firstCall
+	call := res.firstViolatedCall
 	if call == "" {
 		return nil
 	}
-	var w tail
+	var w lineTail
 	l := &rules.Ladder{Call: call, W: &w}
-	o.OnPacket, o.StopAtViolation = l.Packet, true // the day ends at the step that broke it
+	o.OnPacket, o.StopAtViolation = l.Packet, true // the day ends at the step with the violation
 	if _, err := RunVirtual(ctx, s, o); err != nil {
 		return []string{err.Error()}
 	}
 	return w.lines
 }
 
-// tail keeps the last lines written to it.
-type tail struct{ lines []string }
+// lineTail is a writer that keeps the last lines written to it.
+type lineTail struct{ lines []string }
 
 const tailLines = 30
 
-func (t *tail) Write(b []byte) (int, error) {
+func (t *lineTail) Write(b []byte) (int, error) {
 	t.lines = append(t.lines, string(b))
 	if len(t.lines) > tailLines {
 		t.lines = t.lines[1:]
@@ -260,23 +263,24 @@
 	return len(b), nil
 }
 
-func pairsInAll() int { n := len(kinds); return n * (n + 1) / 2 }
+// pairCount returns the number of pairs of fault kinds, pairs of a kind with itself included.
+func pairCount() int { n := len(faultKinds); return n * (n + 1) / 2 }
 
-// pairs tells which pairs of kinds were not met.
-func (r *SeedsResult) pairs() {
-	names := slices.Sorted(maps.Keys(kinds))
-	r.PairsTotal, r.PairsCovered = pairsInAll(), len(r.met)
+// findUncovered fills in the counts of pairs of fault kinds and lists the pairs that no seed covered.
+func (r *SeedsResult) findUncovered() {
+	names := slices.Sorted(maps.Keys(faultKinds))
+	r.PairsTotal, r.PairsCovered = pairCount(), len(r.covered)
 	for i, a := range names {
 		for _, b := range names[i:] {
-			if !r.met[kindPair(a, b)] {
+			if !r.covered[kindPair(a, b)] {
 				r.PairsUncovered = append(r.PairsUncovered, a+" + "+b)
 			}
 		}
 	}
 }
 
-// mutants plants each bug in turn and counts the seeds until it is found.
-func (r *SeedsResult) mutants(ctx context.Context, o SeedsOptions) error {
+// runMutants plants each bug in turn and counts the seeds until a day with it fails.
+func (r *SeedsResult) runMutants(ctx context.Context, o SeedsOptions) error {
 	for _, m := range vnet.Mutations() {
 		r.Mutants++
 		found := MutantResult{Name: m.Name, Violates: m.Violates}
@@ -285,14 +289,14 @@
 			for i := range o.Jobs {
 				scripts = append(scripts, DrawScript(o.FirstSeed+uint64(n+i), DrawOptions{Exchanges: o.Exchanges}))
 			}
-			with := o
-			with.Mutation = m.Name
-			for i, e := range parallel(ctx, with, o.FirstSeed+uint64(n), scripts) {
+			mutated := o
+			mutated.Mutation = m.Name
+			for i, e := range runParallel(ctx, mutated, o.FirstSeed+uint64(n), scripts) {
 				if e.err != nil {
 					return fmt.Errorf("planted bug %q, seed %d: %w", m.Name, e.seed, e.err)
 				}
-				if what := e.res.problems(); len(what) > 0 && found.Seeds == 0 {
-					found.Seeds, found.DetectedBy = n+i+1, what[0]
+				if problems := e.res.problems(); len(problems) > 0 && found.Seeds == 0 {
+					found.Seeds, found.DetectedBy = n+i+1, problems[0]
 				}
 			}
 		}
@@ -300,7 +304,7 @@
 			r.MutantsFound++
 		}
 		r.MutantResults = append(r.MutantResults, found)
-		fmt.Fprintf(o.Progress, "planted: %s: found after %d seeds: %s\n", m.Name, found.Seeds, found.DetectedBy)
+		fmt.Fprintf(o.Progress, "planted bug %q: found after %d seeds: %s\n", m.Name, found.Seeds, found.DetectedBy)
 	}
 	return nil
 }
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -8,15 +8,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ShrinkScript cuts a failing day down to the fewest troubles, exchanges and calls that still fail.
+// ShrinkScript reduces the faults, exchanges and calls of a failing script for as long as it still fails. It returns the
+// smallest failing script that it found.
 func ShrinkScript(ctx context.Context, s *Script, o VirtualOptions) *Script {
 	fails := func(c *Script) bool {
 		res, err := RunVirtual(ctx, c, o)
 		return err == nil && len(res.problems()) > 0
 	}
-	best := clone(s)
+	best := cloneScript(s)
 	try := func(change func(c *Script)) bool {
-		c := clone(best)
+		c := cloneScript(best)
 		change(c)
 		if ctx.Err() != nil || !fails(c) {
 			return false
@@ -46,7 +47,7 @@
 			before := string(FormatScript(best))
 			if try(func(c *Script) {
 				change(c)
-				c.fit()
+				c.dropOutOfRange()
 			}) && string(FormatScript(best)) != before {
 				again = true
 			}
@@ -55,7 +56,8 @@
 	return best
 }
 
-func clone(s *Script) *Script {
+// cloneScript returns a deep copy of a script.
+func cloneScript(s *Script) *Script {
 	c := *s
 	c.Faults = slices.Clone(s.Faults)
 	for i := range c.Faults {
@@ -65,8 +67,8 @@
 	return &c
 }
 
-// fit drops what a smaller fleet or a shorter day has no place for.
-func (s *Script) fit() {
+// dropOutOfRange drops faults, and exchanges of faults, that a smaller fleet or a shorter day does not have.
+func (s *Script) dropOutOfRange() {
 	s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool {
 		return t.At >= s.Length || t.Region != "" && !slices.Contains(s.Fleet.Regions, t.Region)
 	})
@@ -75,17 +77,17 @@
 	}
 }
 
-// FormatScript writes a script as ParseScript reads it.
+// FormatScript formats a script as TOML that ParseScript reads.
 func FormatScript(s *Script) []byte {
-	b, err := toml.Marshal(durations(s))
+	b, err := toml.Marshal(scriptTables(s))
 	if err != nil {
-		panic(err) // strings, numbers and lists only
+		panic(err) // cannot happen: strings, numbers and lists only
 	}
 	return b
 }
 
-// durations puts a script into maps with durations as text.
-func durations(s *Script) map[string]any {
+// scriptTables returns a script as TOML tables, with durations as text.
+func scriptTables(s *Script) map[string]any {
 	f, l := &s.Fleet, &s.Load
 	out := map[string]any{"name": s.Name, "length": s.Length.String(), "seed": int64(s.Seed), "virtual": s.Virtual,
 		"fleet": map[string]any{"exchanges": f.Exchanges, "regions": f.Regions, "circuits": f.Circuits, "spread": f.CircuitSpread,
@@ -95,7 +97,7 @@
 			"same_delay": f.RegionDelay.String(), "cross_delay": f.CrossRegionDelay.String(), "jitter": f.Jitter.String(), "lose": f.LossRate,
 			"repeat": f.DuplicateRate, "list_lag": f.ListLag.String(), "accept_delay": f.AcceptDelay.String(), "front": f.Front},
 		"load": map[string]any{"rate": l.Rate, "local": l.LocalShare, "redials": l.MaxRedials, "backoff": l.Backoff.String()}}
-	var classes, troubles []map[string]any
+	var classes, faults []map[string]any
 	for _, c := range s.Classes {
 		classes = append(classes, map[string]any{"name": c.Name, "share": c.Share, "hold": c.HoldTime.String(), "aim": c.SetupTarget.String(),
 			"patience": c.Patience.String(), "deadline": c.Deadline.String(), "worth": c.Value, "late_worth": c.LateValue})
@@ -108,11 +110,11 @@
 		if t.Region != "" {
 			m["region"] = t.Region
 		}
-		troubles = append(troubles, m)
+		faults = append(faults, m)
 	}
 	out["class"] = classes
-	if len(troubles) > 0 {
-		out["trouble"] = troubles
+	if len(faults) > 0 {
+		out["trouble"] = faults
 	}
 	return out
 }
--- a/internal/lab/start.go
+++ b/internal/lab/start.go
@@ -11,21 +11,21 @@
 	"pipitring/internal/standin"
 )
 
-// startWatch is how long after a start calls are watched, second by second.
-const startWatch = 20
+// watchedSeconds is the number of seconds after a start in which tries are counted, each second by itself.
+const watchedSeconds = 20
 
-// StartOptions are how `lab start` measures.
+// StartOptions are the options of `lab start`.
 type StartOptions struct {
-	Front    string
-	Progress io.Writer
+	Front    string    // protocol between routers, one of FrontNames
+	Progress io.Writer // gets a line for each case
 }
 
-// StartCase is what callers met in the first seconds of one kind of start.
+// StartCase is the result for callers in the first seconds after one kind of start.
 type StartCase struct {
 	Case            string    `json:"case"`
 	Share           float64   `json:"answered_share_first_20s"`
-	BySecond        []float64 `json:"answered_share_by_second"` // of the tries dialled in each; -1 where none was
-	FirstAnswer     float64   `json:"seconds_to_first_answer"`  // the first second with a try that stood; -1 is none
+	BySecond        []float64 `json:"answered_share_by_second"` // share of the tries dialled in each second; -1 if there were none
+	FirstAnswer     float64   `json:"seconds_to_first_answer"`  // first second with an answered try; -1 if there is none
 	Calls           int       `json:"calls"`
 	Answered        int       `json:"stood"`
 	ViolationCount  int       `json:"rules_broken"`
@@ -33,7 +33,7 @@
 	Violations      []string  `json:"broken,omitempty"`
 }
 
-// StartResult is what `lab start` came to; the counts add up all cases.
+// StartResult is the result of `lab start`; the counts are sums over all cases.
 type StartResult struct {
 	Front          string      `json:"front"`
 	Cases          []StartCase `json:"cases"`
@@ -42,28 +42,28 @@
 	Answered       int         `json:"stood"`
 }
 
-// startCase is one kind of start: a fleet, and what starts when.
-type startCase struct {
+// startSpec describes one kind of start: a fleet, and which of its exchanges start when.
+type startSpec struct {
 	name      string
 	exchanges int
-	local     float64
-	rate      float64
-	trouble   string // of the exchange that is watched; empty is the fleet's own start
-	watched   []int
-	from      time.Duration // when the start is due
-	struck    string
+	local     float64       // share of calls within an exchange
+	rate      float64       // calls per second
+	fault     string        // kind of fault that ends with the start; "" measures the start of the fleet itself
+	watched   []int         // exchanges whose callers are counted
+	from      time.Duration // time of the start
+	affected  string        // TOML list of the exchanges that the fault affects
 }
 
-// startCases are a router alone, one that starts among warm ones, and a whole site that starts with its processors.
-var startCases = []startCase{
+// startSpecs are a single router, a router that starts among warm ones, and a whole site that starts with its processors.
+var startSpecs = []startSpec{
 	{name: "alone", exchanges: 1, local: 1, rate: 8, watched: []int{0}},
-	{name: "among warm ones", exchanges: 8, local: 0.05, rate: 100, trouble: "peer_down", struck: "[3]", watched: []int{3}, from: 3 * time.Second},
-	{name: "whole site cold", exchanges: 8, local: 0.05, rate: 100, trouble: "cold_site", struck: "[0, 1, 2, 3, 4, 5, 6, 7]",
+	{name: "among warm ones", exchanges: 8, local: 0.05, rate: 100, fault: "peer_down", affected: "[3]", watched: []int{3}, from: 3 * time.Second},
+	{name: "whole site cold", exchanges: 8, local: 0.05, rate: 100, fault: "cold_site", affected: "[0, 1, 2, 3, 4, 5, 6, 7]",
 		watched: []int{0, 1, 2, 3, 4, 5, 6, 7}, from: 3 * time.Second},
 }
 
-// startScript is the day of a case: nothing else goes wrong in it, and circuits and processors have room.
-func startScript(c startCase, front string) (*Script, error) {
+// startScript returns the script of a case. It has no other faults, and enough free circuits and processor capacity.
+func startScript(c startSpec, front string) (*Script, error) {
 	text := fmt.Sprintf(`name = %q
 length = %q
 seed = 11
@@ -89,40 +89,41 @@
 patience = "2s"
 deadline = "6s"
 worth = 1
-`, c.name, c.from+(startWatch+2)*time.Second, c.exchanges, front, c.rate, c.local)
-	if c.trouble != "" {
-		text += fmt.Sprintf("[[trouble]]\nkind = %q\nat = %q\nfor = %q\nexchanges = %s\n", c.trouble, c.from/2, c.from-c.from/2, c.struck)
+`, c.name, c.from+(watchedSeconds+2)*time.Second, c.exchanges, front, c.rate, c.local)
+	if c.fault != "" {
+		text += fmt.Sprintf("[[trouble]]\nkind = %q\nat = %q\nfor = %q\nexchanges = %s\n", c.fault, c.from/2, c.from-c.from/2, c.affected)
 	}
 	return ParseScript("start.toml", []byte(text))
 }
 
-// MeasureStart plays each kind of start on loopback and tells the share of calls answered in the first 20 s.
+// MeasureStart runs each kind of start on loopback and measures the share of tries answered in the first 20 s.
 func MeasureStart(ctx context.Context, o StartOptions) (*StartResult, error) {
 	res := &StartResult{Front: o.Front}
-	for _, c := range startCases {
-		got, err := startOne(ctx, c, o)
+	for _, c := range startSpecs {
+		outcome, err := runStartCase(ctx, c, o)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", c.name, err)
 		}
-		fmt.Fprintf(o.Progress, "%s: %.3f of %d tries in the first %d s answered\n", c.name, got.Share, got.Calls, startWatch)
-		res.Cases = append(res.Cases, *got)
-		res.ViolationCount += got.ViolationCount
-		res.Calls += got.Calls
-		res.Answered += got.Answered
+		fmt.Fprintf(o.Progress, "%s: %.3f of %d tries answered in the first %d s\n", c.name, outcome.Share, outcome.Calls, watchedSeconds)
+		res.Cases = append(res.Cases, *outcome)
+		res.ViolationCount += outcome.ViolationCount
+		res.Calls += outcome.Calls
+		res.Answered += outcome.Answered
 	}
 	return res, nil
 }
 
-func startOne(ctx context.Context, c startCase, o StartOptions) (*StartCase, error) {
+// runStartCase runs the script of one kind of start and counts the tries of the watched exchanges by second.
+func runStartCase(ctx context.Context, c startSpec, o StartOptions) (*StartCase, error) {
 	s, err := startScript(c, o.Front)
 	if err != nil {
 		return nil, err
 	}
-	seconds := make([]standin.Tally, startWatch)
-	look := func(f *fleet) {
+	seconds := make([]standin.Tally, watchedSeconds)
+	countTries := func(f *fleet) {
 		for _, x := range c.watched {
 			for i, t := range f.callers[x].Seconds() {
-				if i < startWatch {
+				if i < watchedSeconds {
 					seconds[i].Tries += t.Tries
 					seconds[i].Answered += t.Answered
 				}
@@ -130,13 +131,13 @@
 		}
 	}
 	var day DayResult
-	rep, err := judged(func(tap *capture.Writer) error {
-		return play(ctx, s, tap, DayOptions{Progress: io.Discard, look: look}, &day)
+	rep, err := runChecked(func(tap *capture.Writer) error {
+		return runScript(ctx, s, tap, DayOptions{Progress: io.Discard, inspect: countTries}, &day)
 	})
 	if err != nil {
 		return nil, err
 	}
-	day.take(rep)
+	day.addReport(rep)
 	out := &StartCase{Case: c.name, ViolationCount: day.ViolationCount, Violations: day.Violations, SwitchCollapses: day.SwitchCollapses, FirstAnswer: -1}
 	for _, t := range seconds {
 		share := -1.0
--- a/internal/lab/trouble.go
+++ b/internal/lab/trouble.go
@@ -10,25 +10,25 @@
 	"pipitring/internal/standin"
 )
 
-// step is one thing that happens to a fleet.
+// step is one scheduled action on a fleet.
 type step struct {
-	at   time.Duration
-	what string
-	do   func() error
+	at          time.Duration
+	description string
+	action      func() error
 }
 
-// steps turns the script's troubles into what happens when, in order.
-func (f *fleet) steps() []step {
+// faultSteps returns the steps of all faults of the script, in order of time.
+func (f *fleet) faultSteps() []step {
 	var all []step
 	for i := range f.script.Faults {
-		all = append(all, f.trouble(&f.script.Faults[i])...)
+		all = append(all, f.stepsOf(&f.script.Faults[i])...)
 	}
 	slices.SortStableFunc(all, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
-// struck are the exchanges that a trouble names, or draws.
-func (f *fleet) struck(t *Fault) []int {
+// affected returns the exchanges of a fault: those it names, or a random share of all.
+func (f *fleet) affected(t *Fault) []int {
 	if len(t.Exchanges) > 0 {
 		return t.Exchanges
 	}
@@ -42,8 +42,9 @@
 	return out
 }
 
-func (f *fleet) trouble(t *Fault) []step {
-	at := f.struck(t)
+// stepsOf returns the steps that begin and end a fault.
+func (f *fleet) stepsOf(t *Fault) []step {
+	exchanges := f.affected(t)
 	begin := func(do func() error) step { return step{t.At, t.Kind + " begins", do} }
 	end := func(do func() error) step { return step{t.At + t.For, t.Kind + " ends", do} }
 	both := func(do func(on bool) error) []step {
@@ -51,7 +52,7 @@
 	}
 	callers := func(do func(c *standin.Callers, on bool)) []step {
 		return both(func(on bool) error {
-			for _, x := range at {
+			for _, x := range exchanges {
 				do(f.callers[x], on)
 			}
 			return nil
@@ -59,12 +60,12 @@
 	}
 	faults := func(set standin.Faults) []step {
 		return both(func(on bool) error {
-			now := set
+			current := set
 			if !on {
-				now = standin.Faults{}
+				current = standin.Faults{}
 			}
-			for _, x := range at {
-				f.switches[x].Set(now)
+			for _, x := range exchanges {
+				f.switches[x].Set(current)
 			}
 			return nil
 		})
@@ -97,44 +98,44 @@
 	case "hang_up":
 		return faults(standin.Faults{HangUpRate: t.Size})
 	case "deploy":
-		return f.deploy(t, at)
+		return f.deploySteps(t, exchanges)
 	case "crash", "mass_restart", "reconnect":
-		return f.processors(t, at, begin, end)
+		return f.processorSteps(t, exchanges, begin, end)
 	case "zone_cut", "lost_messages", "origin_slow":
-		return f.strikeRegion(t, both)
+		return f.regionSteps(t, both)
 	case "discovery_stale":
 		return both(func(on bool) error {
 			lag := f.script.Fleet.ListLag
 			if on {
 				lag += time.Duration(t.Size * float64(time.Second))
 			}
-			for _, x := range at {
-				f.register.Lag(x, lag)
+			for _, x := range exchanges {
+				f.discovery.Lag(x, lag)
 			}
 			return nil
 		})
 	case "register_gone":
-		return both(func(on bool) error { f.register.Gone(on); return nil })
+		return both(func(on bool) error { f.discovery.Gone(on); return nil })
 	case "reorder", "stall", "half_cut", "disk_full", "disk_slow", "clock_set":
-		v, ok := f.ground.(*virtual)
+		v, ok := f.env.(*virtualEnvironment)
 		if !ok {
-			panic("lab: a trouble of the virtual clock on sockets: the script's check lets none through")
+			panic("lab: fault of the virtual clock on sockets: the script check must reject it")
 		}
-		return both(func(on bool) error { v.strike(t, at, on); return nil })
+		return both(func(on bool) error { v.applyFault(t, exchanges, on); return nil })
 	case "cold_site":
 		return both(func(on bool) error {
 			if on {
-				for _, x := range at {
+				for _, x := range exchanges {
 					f.switches[x].Stop()
-					f.phase(x, "gone")
+					f.setPhase(x, "gone")
 				}
-				return f.killAll(at)
+				return f.killAll(exchanges)
 			}
 			var errs []error
-			for _, x := range at {
-				f.replace(x)
+			for _, x := range exchanges {
+				f.replaceSwitch(x)
 			}
-			for _, x := range at {
+			for _, x := range exchanges {
 				if f.routers[x] == nil {
 					errs = append(errs, f.startRouter(x))
 				}
@@ -144,7 +145,7 @@
 	case "peer_down":
 		return both(func(on bool) error {
 			var errs []error
-			for _, x := range at {
+			for _, x := range exchanges {
 				if on {
 					errs = append(errs, f.kill(x))
 				} else if f.routers[x] == nil {
@@ -154,28 +155,29 @@
 			return errors.Join(errs...)
 		})
 	}
-	panic(fmt.Sprintf("lab: trouble %q is checked and not known", t.Kind))
+	panic(fmt.Sprintf("lab: fault kind %q passed the script check but is not implemented", t.Kind))
 }
 
-// deploy drains, stops and replaces the struck processors one after another.
-func (f *fleet) deploy(t *Fault, at []int) (out []step) {
+// deploySteps returns the steps that drain, stop and replace the processors of the exchanges one after another.
+func (f *fleet) deploySteps(t *Fault, exchanges []int) (out []step) {
 	drain := time.Duration(t.Size * float64(time.Second))
-	for i, x := range at {
-		from := t.At + t.For*time.Duration(i)/time.Duration(len(at))
-		out = append(out, step{from, fmt.Sprintf("exchange %d drains", x), func() error { f.phase(x, "draining"); return nil }},
-			step{from + drain, fmt.Sprintf("exchange %d is replaced", x), func() error {
+	for i, x := range exchanges {
+		from := t.At + t.For*time.Duration(i)/time.Duration(len(exchanges))
+		out = append(out, step{from, fmt.Sprintf("exchange %d: processor drains", x), func() error { f.setPhase(x, "draining"); return nil }},
+			step{from + drain, fmt.Sprintf("exchange %d: processor is replaced", x), func() error {
 				f.switches[x].Stop()
-				f.replace(x)
+				f.replaceSwitch(x)
 				return nil
 			}})
 	}
 	return out
 }
 
-func (f *fleet) processors(t *Fault, at []int, begin, end func(func() error) step) []step {
-	each := func(do func(x int)) func() error {
+// processorSteps returns the steps of faults that stop or restart processors, or cut their calls.
+func (f *fleet) processorSteps(t *Fault, exchanges []int, begin, end func(func() error) step) []step {
+	forEach := func(do func(x int)) func() error {
 		return func() error {
-			for _, x := range at {
+			for _, x := range exchanges {
 				do(x)
 			}
 			return nil
@@ -183,9 +185,9 @@
 	}
 	switch t.Kind {
 	case "mass_restart":
-		return []step{begin(each(func(x int) { f.switches[x].Stop(); f.replace(x) }))}
+		return []step{begin(forEach(func(x int) { f.switches[x].Stop(); f.replaceSwitch(x) }))}
 	case "reconnect":
-		return []step{begin(each(func(x int) {
+		return []step{begin(forEach(func(x int) {
 			for _, c := range f.callers {
 				c.RedialWhenCut(true)
 			}
@@ -197,13 +199,13 @@
 			return nil
 		})}
 	}
-	return []step{begin(each(func(x int) { f.switches[x].Stop(); f.phase(x, "gone") })), end(each(f.replace))}
+	return []step{begin(forEach(func(x int) { f.switches[x].Stop(); f.setPhase(x, "gone") })), end(forEach(f.replaceSwitch))}
 }
 
-// strikeRegion strikes the links or groups between a region and the others.
-func (f *fleet) strikeRegion(t *Fault, both func(func(bool) error) []step) []step {
+// regionSteps returns the steps of faults on the links of a region, or on its trunk groups to the others.
+func (f *fleet) regionSteps(t *Fault, both func(func(bool) error) []step) []step {
 	return both(func(on bool) error {
-		for _, p := range f.pairs() {
+		for _, p := range f.linkedPairs() {
 			l := f.links[p]
 			inside := f.region(p[0]) == t.Region || f.region(p[1]) == t.Region
 			across := (f.region(p[0]) == t.Region) != (f.region(p[1]) == t.Region)
@@ -221,9 +223,9 @@
 				}
 				l.Set(faults)
 			case t.Kind == "origin_slow" && across:
-				f.keep[p] = 1
+				f.circuitShare[p] = 1
 				if on {
-					f.keep[p] = t.Size
+					f.circuitShare[p] = t.Size
 				}
 			}
 		}
@@ -234,8 +236,8 @@
 	})
 }
 
-// pairs are the pairs of exchanges that a link joins, in order: two runs strike them alike.
-func (f *fleet) pairs() (out [][2]int) {
+// linkedPairs returns the pairs of exchanges with a link. The order is fixed, so that two runs are identical.
+func (f *fleet) linkedPairs() (out [][2]int) {
 	for a := range f.script.Fleet.Exchanges {
 		for b := a + 1; b < f.script.Fleet.Exchanges; b++ {
 			if f.links[[2]int{a, b}] != nil {
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -21,225 +21,231 @@
 )
 
 const (
-	diskSync = 700 * time.Microsecond // of a commit on a virtual disk
-	askAfter = 5 * time.Millisecond   // a router asks for the list so long after its start
+	diskSyncTime    = 700 * time.Microsecond // duration of a commit on a virtual disk
+	firstQueryDelay = 5 * time.Millisecond   // time from a router's start to its first query for the exchange list
 )
 
-// VirtualOptions are how a day is played on the virtual clock.
+// VirtualOptions are the options of a day on the virtual clock.
 type VirtualOptions struct {
-	Mutation        string  // the name of a planted bug in one router, "" is none
-	Drift           float64 // clocks of routers differ by up to this part
-	StopAtViolation bool    // stop at the first rule that is broken
-	OnPacket        func(capture.Packet)
+	Mutation        string               // name of a bug planted in router 0; "" for none
+	Drift           float64              // upper limit of the relative drift of routers' clocks
+	StopAtViolation bool                 // end the day at the first violation of a rule
+	OnPacket        func(capture.Packet) // if not nil, called for each captured packet
 }
 
-// VirtualResult is a day's result with what the world did.
+// VirtualResult is the result of a day on the virtual clock.
 type VirtualResult struct {
 	DayResult
-	Trace       uint64        `json:"trace"` // hash of all that was delivered
+	Trace       uint64        `json:"trace"` // hash over all deliveries and their times
 	Steps       uint64        `json:"steps"`
 	VirtualTime time.Duration `json:"virtual_ns"`
 
-	firstCall string // that a rule was broken for
+	firstViolatedCall string // call of the first violation; "" for none
 }
 
-// virtual is a fleet's ground on the virtual clock.
-type virtual struct {
-	f        *fleet
-	w        *vnet.World
-	o        VirtualOptions
-	register *vregister
-	disks    []*vnet.Disk
-	lives    []int
-	drifts   []float64
-	mutation *vnet.Mutation // of router 0
-	unproven map[int]bool   // routers whose disk was struck
+// virtualEnvironment runs a fleet on a virtual network and clock.
+type virtualEnvironment struct {
+	fleet        *fleet
+	world        *vnet.World
+	options      VirtualOptions
+	discovery    *virtualDiscovery
+	disks        []*vnet.Disk
+	incarnations []int
+	drifts       []float64
+	mutation     *vnet.Mutation // planted in router 0; nil for none
+	notDurable   map[int]bool   // routers that may have answered before records were durable, because of a disk fault
 }
 
-func (g *virtual) wall() time.Time { return g.w.Wall() }
+func (e *virtualEnvironment) wallTime() time.Time { return e.world.Wall() }
 
-// each does something to several exchanges while the clock stands still: what it plays is one goroutine's.
-func (g *virtual) each(at []int, do func(x int) error) error {
+// forEach runs do for several exchanges in turn, at the same virtual time: the world runs on one goroutine.
+func (e *virtualEnvironment) forEach(exchanges []int, do func(x int) error) error {
 	var errs []error
-	for _, x := range at {
+	for _, x := range exchanges {
 		errs = append(errs, do(x))
 	}
 	return errors.Join(errs...)
 }
 
-func (g *virtual) tapDelay() time.Duration { return 0 }
+func (e *virtualEnvironment) tapDelay() time.Duration { return 0 }
 
-func (g *virtual) isupSwitches() bool { return false }
+func (e *virtualEnvironment) isupSwitches() bool { return false }
 
-func (g *virtual) listURL(int) string { return "http://127.0.0.1:9" } // nobody asks there
+func (e *virtualEnvironment) listURL(int) string { return "http://127.0.0.1:9" } // unused: routers query virtualDiscovery
 
-func (g *virtual) streamAddr(p [2]int) netip.AddrPort { return vnet.RouterAddr(p[1]) }
+func (e *virtualEnvironment) streamAddr(p [2]int) netip.AddrPort { return vnet.RouterAddr(p[1]) }
 
-func (g *virtual) begin(x int, set *config.Settings) (router, error) {
-	o := vnet.RouterOptions{Disk: g.disks[x], Incarnation: g.lives[x], Drift: g.drifts[x]}
+func (e *virtualEnvironment) startRouter(x int, set *config.Settings) (router, error) {
+	o := vnet.RouterOptions{Disk: e.disks[x], Incarnation: e.incarnations[x], Drift: e.drifts[x]}
 	if x == 0 {
-		o.Mutation = g.mutation
+		o.Mutation = e.mutation
 	}
-	g.lives[x]++
-	r, err := g.w.Start(x, set, o)
+	e.incarnations[x]++
+	r, err := e.world.Start(x, set, o)
 	if err != nil {
 		return nil, err
 	}
-	g.w.After(askAfter, func() {
-		if g.f.routers[x] == router(r) {
-			g.register.poll(x, r)
+	e.world.After(firstQueryDelay, func() {
+		if e.fleet.routers[x] == router(r) {
+			e.discovery.poll(x, r)
 		}
 	})
 	return r, nil
 }
 
-func (g *virtual) readRecords(res *DayRecords) (keptRecords, error) {
-	out := keptRecords{}
-	for x, d := range g.disks {
+func (e *virtualEnvironment) readRecords(res *DayRecords) (storedRecords, error) {
+	out := storedRecords{}
+	for x, d := range e.disks {
 		var err error
-		if out[x], err = readKept(d, x, res); err != nil {
+		if out[x], err = readStoredRecords(d, x, res); err != nil {
 			return nil, fmt.Errorf("records of router %d: %w", x, err)
 		}
 	}
 	return out, nil
 }
 
-// vregister is the register on the virtual clock: each router asks it by blocking queries, as in service.
-type vregister struct {
-	g     *virtual
-	index uint64
-	gone  bool
-	views []view
+// virtualDiscovery is the discovery server on the virtual clock. Routers poll it with blocking queries, as in service.
+type virtualDiscovery struct {
+	env         *virtualEnvironment
+	index       uint64
+	unavailable bool
+	views       []routerView
 }
 
-// view is the list as one router may know it, and the router's query.
-type view struct {
-	index   uint64
-	lines   []standin.ListEntry
-	lag     time.Duration
-	last    time.Duration // when the newest list becomes known, so that none overtakes another
-	asks    uint64        // queries of all lives
-	waiting func()        // answers the query that blocks; nil is none
+// routerView is the version of the exchange list that one router can see, and the state of its query.
+type routerView struct {
+	index      uint64
+	entries    []standin.ListEntry
+	lag        time.Duration
+	lastUpdate time.Duration // time at which the newest version becomes visible; keeps versions in order
+	queries    uint64        // number of queries, of all incarnations
+	blocked    func()        // answers the blocked query; nil if there is none
 }
 
 const (
-	askTrip = 2 * time.Millisecond // there, and the same back
-	askWait = 10 * time.Second     // of one query
+	queryDelay   = 2 * time.Millisecond // one way to the discovery server
+	queryTimeout = 10 * time.Second     // longest time that a query blocks
 )
 
-func (r *vregister) Lag(x int, d time.Duration) { r.views[x].lag = d }
+// Lag delays list updates to a router.
+func (r *virtualDiscovery) Lag(x int, d time.Duration) { r.views[x].lag = d }
 
-func (r *vregister) Close() {}
+// Close does nothing: the discovery server lasts as long as the world.
+func (r *virtualDiscovery) Close() {}
 
-// Gone makes the register answer nothing but errors, queries that wait included, or serve again.
-func (r *vregister) Gone(on bool) {
-	r.gone = on
+// Gone makes all queries fail while on, including blocked ones.
+func (r *virtualDiscovery) Gone(on bool) {
+	r.unavailable = on
 	for x := range r.views {
-		r.wake(x)
+		r.answerBlocked(x)
 	}
 }
 
-func (r *vregister) wake(x int) {
-	if f := r.views[x].waiting; f != nil {
-		r.views[x].waiting = nil
+// answerBlocked answers a router's blocked query, if there is one.
+func (r *virtualDiscovery) answerBlocked(x int) {
+	if f := r.views[x].blocked; f != nil {
+		r.views[x].blocked = nil
 		f()
 	}
 }
 
-func (r *vregister) Publish(n int, lines []standin.ListEntry) {
+// Publish makes a new version of the list visible to routers 0 to n-1, to each after its lag.
+func (r *virtualDiscovery) Publish(n int, entries []standin.ListEntry) {
 	r.index++
 	index := r.index
-	lines = slices.Clone(lines)
+	entries = slices.Clone(entries)
 	for x := range n {
 		v := &r.views[x]
-		v.last = max(v.last, r.g.w.Now()+v.lag)
-		r.g.w.At(v.last, func() {
+		v.lastUpdate = max(v.lastUpdate, r.env.world.Now()+v.lag)
+		r.env.world.At(v.lastUpdate, func() {
 			if index > v.index {
-				v.index, v.lines = index, lines
-				r.wake(x)
+				v.index, v.entries = index, entries
+				r.answerBlocked(x)
 			}
 		})
 	}
 }
 
-var errGone = errors.New("lab: the register is gone")
+// errDiscoveryUnavailable answers queries while the discovery server fails them or has no list yet.
+var errDiscoveryUnavailable = errors.New("lab: discovery server is unavailable")
 
-// poll runs a router's queries for as long as it lives, by the decisions that the client in service goes by.
-func (r *vregister) poll(x int, up *vnet.Router) {
+// poll runs the queries of a router until it stops, with the decisions of the discovery client in service.
+func (r *virtualDiscovery) poll(x int, running *vnet.Router) {
 	p := &registry.Poller{}
-	rng := r.g.w.Rand(fmt.Sprintf("register client %d %d", x, r.g.lives[x]))
-	var ask func()
+	rng := r.env.world.Rand(fmt.Sprintf("register client %d %d", x, r.env.incarnations[x]))
+	var query func()
 	answer := func(l registry.List, err error) {
-		r.g.w.After(askTrip, func() {
-			if r.g.f.routers[x] != router(up) {
+		r.env.world.After(queryDelay, func() {
+			if r.env.fleet.routers[x] != router(running) {
 				return // it was killed
 			}
-			tell, wait := p.HandleAnswer(l, err, func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(d, 1)))) })
-			if tell {
-				r.note(x, &l)
-				up.SetList(l)
+			changed, wait := p.HandleAnswer(l, err, func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(d, 1)))) })
+			if changed {
+				r.recordUpdate(x, &l)
+				running.SetList(l)
 			}
-			r.g.w.After(wait, ask)
+			r.env.world.After(wait, query)
 		})
 	}
-	ask = func() {
-		r.g.w.After(askTrip, func() { r.serve(x, p.Index(), answer) })
+	query = func() {
+		r.env.world.After(queryDelay, func() { r.serve(x, p.Index(), answer) })
 	}
-	ask()
+	query()
 }
 
-// serve answers a query at once, or when there is news, or when its wait has run out.
-func (r *vregister) serve(x int, after uint64, answer func(registry.List, error)) {
+// serve answers a query for a version newer than after: at once if there is one or the server fails queries, otherwise
+// when one becomes visible, at the latest after queryTimeout.
+func (r *virtualDiscovery) serve(x int, after uint64, answer func(registry.List, error)) {
 	v := &r.views[x]
-	v.asks++
-	ask := v.asks
-	now := func() {
-		if r.gone || v.index == 0 {
-			answer(registry.List{}, errGone)
+	v.queries++
+	query := v.queries
+	answerNow := func() {
+		if r.unavailable || v.index == 0 {
+			answer(registry.List{}, errDiscoveryUnavailable)
 			return
 		}
-		answer(r.list(v), nil)
+		answer(r.exchangeList(v), nil)
 	}
-	if r.gone || v.index > after {
-		now()
+	if r.unavailable || v.index > after {
+		answerNow()
 		return
 	}
-	v.waiting = now
-	r.g.w.After(askWait, func() {
-		if v.asks == ask {
-			r.wake(x)
+	v.blocked = answerNow
+	r.env.world.After(queryTimeout, func() {
+		if v.queries == query {
+			r.answerBlocked(x)
 		}
 	})
 }
 
-// list is a view as a list.
-func (r *vregister) list(v *view) registry.List {
+// exchangeList returns a router's view as an exchange list, sorted by ID.
+func (r *virtualDiscovery) exchangeList(v *routerView) registry.List {
 	l := registry.List{Index: v.index}
 	phases := map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
-	for _, line := range v.lines {
-		l.Entries = append(l.Entries, registry.Entry{ID: line.ID, Number: line.Exchange, Zone: line.Zone, Phase: phases[line.Phase],
-			Started: line.Started, Address: vnet.RouterAddr(line.Exchange), Switch: line.Switch})
+	for _, entry := range v.entries {
+		l.Entries = append(l.Entries, registry.Entry{ID: entry.ID, Number: entry.Exchange, Zone: entry.Zone, Phase: phases[entry.Phase],
+			Started: entry.Started, Address: vnet.RouterAddr(entry.Exchange), Switch: entry.Switch})
 	}
 	slices.SortFunc(l.Entries, func(a, b registry.Entry) int { return cmp.Compare(a.ID, b.ID) })
 	return l
 }
 
-// note tells the capture what a router is told.
-func (r *vregister) note(x int, l *registry.List) {
-	told := capture.List{Router: x}
+// recordUpdate records in the capture a list update that a router gets.
+func (r *virtualDiscovery) recordUpdate(x int, l *registry.List) {
+	update := capture.List{Router: x}
 	for _, e := range l.Entries {
-		told.Phases = append(told.Phases, capture.Phase{ID: e.ID, Exchange: e.Number, Phase: registry.PhaseName(e.Phase)})
+		update.Phases = append(update.Phases, capture.Phase{ID: e.ID, Exchange: e.Number, Phase: registry.PhaseName(e.Phase)})
 	}
-	r.g.f.notice(capture.Notice{List: &told})
+	r.env.fleet.notice(capture.Notice{List: &update})
 }
 
-// strike begins or ends a trouble that only this ground knows.
-func (g *virtual) strike(t *Fault, at []int, on bool) {
-	for _, p := range g.f.pairs() {
-		l := g.w.Link(p[0], p[1])
+// applyFault begins a fault that only the virtual clock has if on is true, and ends it otherwise.
+func (e *virtualEnvironment) applyFault(t *Fault, exchanges []int, on bool) {
+	for _, p := range e.fleet.linkedPairs() {
+		l := e.world.Link(p[0], p[1])
 		faults := l.Faults()
-		inside := g.f.region(p[0]) == t.Region || g.f.region(p[1]) == t.Region
-		across := (g.f.region(p[0]) == t.Region) != (g.f.region(p[1]) == t.Region)
+		inside := e.fleet.region(p[0]) == t.Region || e.fleet.region(p[1]) == t.Region
+		across := (e.fleet.region(p[0]) == t.Region) != (e.fleet.region(p[1]) == t.Region)
 		switch {
 		case t.Kind == "reorder" && inside:
 			faults.ReorderRate, faults.MaxReorderDelay = 0, 0
@@ -255,39 +261,41 @@
 		}
 		l.SetFaults(faults)
 	}
-	for _, x := range at {
+	for _, x := range exchanges {
 		switch t.Kind {
 		case "disk_full":
-			g.disks[x].Full, g.unproven[x] = on, true
+			e.disks[x].Full, e.notDurable[x] = on, true
 		case "disk_slow":
-			g.unproven[x] = true
-			g.disks[x].SyncTime = diskSync
+			e.notDurable[x] = true
+			e.disks[x].SyncTime = diskSyncTime
 			if on {
-				g.disks[x].SyncTime = time.Duration(t.Size * float64(diskSync))
+				e.disks[x].SyncTime = time.Duration(t.Size * float64(diskSyncTime))
 			}
 		case "clock_set":
-			if r, ok := g.f.routers[x].(*vnet.Router); ok && on {
+			if r, ok := e.fleet.routers[x].(*vnet.Router); ok && on {
 				r.AdjustClock(time.Duration(t.Size * float64(time.Second)))
 			}
 		}
 	}
 }
 
-// startVirtual starts a fleet on the virtual clock.
-func startVirtual(s *Script, tap *capture.Writer, o VirtualOptions) (g *virtual, err error) {
+// startVirtualFleet starts a fleet on the virtual clock, without calls, and runs two seconds so that all routers have the
+// exchange list and all associations are active.
+func startVirtualFleet(s *Script, tap *capture.Writer, o VirtualOptions) (e *virtualEnvironment, err error) {
 	n := s.Fleet.Exchanges
 	f := newFleet(s, tap, zap.NewNop())
 	w := vnet.New(s.Seed, tap)
-	g = &virtual{f: f, w: w, o: o, unproven: map[int]bool{}, disks: make([]*vnet.Disk, n), lives: make([]int, n), drifts: make([]float64, n)}
-	g.register = &vregister{g: g, views: make([]view, n)}
-	f.ground, f.register = g, g.register
+	e = &virtualEnvironment{fleet: f, world: w, options: o, notDurable: map[int]bool{}, disks: make([]*vnet.Disk, n),
+		incarnations: make([]int, n), drifts: make([]float64, n)}
+	e.discovery = &virtualDiscovery{env: e, views: make([]routerView, n)}
+	f.env, f.discovery = e, e.discovery
 	if o.Mutation != "" {
 		all := vnet.Mutations()
 		i := slices.IndexFunc(all, func(m *vnet.Mutation) bool { return m.Name == o.Mutation })
 		if i < 0 {
-			return nil, fmt.Errorf("no planted bug is named %q", o.Mutation)
+			return nil, fmt.Errorf("no planted bug has the name %q", o.Mutation)
 		}
-		g.mutation = all[i]
+		e.mutation = all[i]
 	}
 	if err := f.openDir(); err != nil {
 		return nil, err
@@ -297,34 +305,34 @@
 			f.closeDir()
 		}
 	}()
-	f.notice(capture.Notice{Parameters: f.figures()})
+	f.notice(capture.Notice{Parameters: f.parameters()})
 	f.drawGroups()
 	drift := w.Rand("drift")
 	for x := range n {
 		if s.Fleet.Front != "iax2" {
-			f.m3ua[x] = vnet.RouterAddr(x)
+			f.m3uaAddrs[x] = vnet.RouterAddr(x)
 		}
 		for y := x + 1; y < n; y++ {
 			l := w.Link(x, y)
 			l.Set(f.linkFaults(x, y))
 			f.links[[2]int{x, y}] = l
-			if f.byISUP(x, y) {
+			if f.usesISUP(x, y) {
 				f.streams[[2]int{x, y}] = l
 			}
 		}
-		g.disks[x] = w.NewDisk(diskSync)
-		g.drifts[x] = o.Drift * (2*drift.Float64() - 1)
-		f.at[x] = vnet.RouterAddr(x)
+		e.disks[x] = w.NewDisk(diskSyncTime)
+		e.drifts[x] = o.Drift * (2*drift.Float64() - 1)
+		f.routerAddrs[x] = vnet.RouterAddr(x)
 		sw, err := standin.NewSwitchOn(w, vnet.SwitchAddr(x), f.switchSpec(x), s.Seed, tap)
 		if err != nil {
 			return nil, err
 		}
 		f.switches = append(f.switches, sw)
-		f.listSwitch(x)
+		f.addEntry(x)
 		if err := f.startRouter(x); err != nil {
 			return nil, err
 		}
-		c, err := standin.NewCallersOn(w, vnet.CallersAddr(x), f.at[x], f.callersSpec(x), s.Seed, tap)
+		c, err := standin.NewCallersOn(w, vnet.CallersAddr(x), f.routerAddrs[x], f.callersSpec(x), s.Seed, tap)
 		if err != nil {
 			return nil, err
 		}
@@ -332,29 +340,30 @@
 	}
 	f.publish()
 	for x := range n {
-		f.register.Lag(x, s.Fleet.ListLag)
+		f.discovery.Lag(x, s.Fleet.ListLag)
 	}
-	// Lists come and associations are made before the first call: two seconds of nothing else.
+	// Time for the lists and the associations before the first call.
 	w.Run(2 * time.Second)
-	return g, nil
+	return e, nil
 }
 
-// errBrokenRule ends a day at the first rule that is broken.
-var errBrokenRule = errors.New("a rule is broken")
+// errRuleViolated ends a day at the first violation, with VirtualOptions.StopAtViolation.
+var errRuleViolated = errors.New("a rule was violated")
 
-// run plays until a time, and stops at a broken rule if that is asked for.
-func (g *virtual) run(until time.Duration, c *rules.Checker) error {
-	for g.w.Step(until) {
-		if g.o.StopAtViolation && len(c.Violations()) > 0 {
-			return errBrokenRule
+// runUntil runs the world until a time. With StopAtViolation it returns errRuleViolated after the first step that violates
+// a rule.
+func (e *virtualEnvironment) runUntil(until time.Duration, c *rules.Checker) error {
+	for e.world.Step(until) {
+		if e.options.StopAtViolation && len(c.Violations()) > 0 {
+			return errRuleViolated
 		}
 	}
 	return nil
 }
 
-// RunVirtual plays a script on the virtual clock, with the rules checked after every step from what crossed the network.
+// RunVirtual runs a script on the virtual clock and checks the rules on the captured packets as they are sent.
 func RunVirtual(ctx context.Context, s *Script, o VirtualOptions) (*VirtualResult, error) {
-	copied := *s // troubles fill in what they leave open
+	copied := *s // running fills in defaults of its faults
 	copied.Faults = slices.Clone(s.Faults)
 	s = &copied
 	began := time.Now()
@@ -366,43 +375,43 @@
 		}
 		c.Packet(p)
 	})
-	g, err := startVirtual(s, tap, o)
+	e, err := startVirtualFleet(s, tap, o)
 	if err != nil {
 		return nil, err
 	}
-	defer g.f.closeDir()
-	err = g.play(ctx, s, c, res)
-	if err != nil && !errors.Is(err, errBrokenRule) {
+	defer e.fleet.closeDir()
+	err = e.runScript(ctx, s, c, res)
+	if err != nil && !errors.Is(err, errRuleViolated) {
 		return nil, err
 	}
 	report := c.Report()
-	res.take(report)
+	res.addReport(report)
 	if len(report.Violations) > 0 {
-		res.firstCall = report.Violations[0].Call
+		res.firstViolatedCall = report.Violations[0].Call
 	}
 	if err == nil {
-		res.Records.match(report.TryDetails, res.kept, g.unproven)
+		res.Records.match(report.TryDetails, res.stored, e.notDurable)
 	}
-	res.Trace, res.Steps, res.VirtualTime = g.w.Trace(), g.w.Steps, g.w.Now()
+	res.Trace, res.Steps, res.VirtualTime = e.world.Trace(), e.world.Steps, e.world.Now()
 	res.WallSeconds = time.Since(began).Seconds()
 	return res, nil
 }
 
-// play runs the fleet through its day and lets all come to its end.
-func (g *virtual) play(ctx context.Context, s *Script, c *rules.Checker, res *VirtualResult) error {
-	f, base := g.f, g.w.Now()
+// runScript runs the script's steps, lets all calls end and collects the result.
+func (e *virtualEnvironment) runScript(ctx context.Context, s *Script, c *rules.Checker, res *VirtualResult) error {
+	f, base := e.fleet, e.world.Now()
 	for _, caller := range f.callers {
 		caller.Start()
 	}
-	for _, st := range append(f.steps(), step{s.Length, "the day ends", func() error { return nil }}) {
+	for _, st := range append(f.faultSteps(), step{s.Length, "the day ends", func() error { return nil }}) {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := g.run(base+min(st.at, s.Length), c); err != nil {
+		if err := e.runUntil(base+min(st.at, s.Length), c); err != nil {
 			return err
 		}
-		if err := st.do(); err != nil {
-			return fmt.Errorf("%s: %w", st.what, err)
+		if err := st.action(); err != nil {
+			return fmt.Errorf("%s: %w", st.description, err)
 		}
 	}
 	for _, caller := range f.callers {
@@ -412,31 +421,31 @@
 	for _, class := range s.Classes {
 		longest = max(longest, class.Patience)
 	}
-	if err := g.run(g.w.Now()+longest+200*time.Millisecond, c); err != nil {
+	if err := e.runUntil(e.world.Now()+longest+200*time.Millisecond, c); err != nil {
 		return err
 	}
 	for _, caller := range f.callers {
 		caller.HangUp()
 	}
-	if err := g.settle(c, res); err != nil {
+	if err := e.awaitReleased(c, res); err != nil {
 		return err
 	}
-	if err := f.tally(&res.DayResult); err != nil {
+	if err := f.collectStats(&res.DayResult); err != nil {
 		return err
 	}
-	g.w.Run(g.w.Now() + time.Second) // disks write what they have
+	e.world.Run(e.world.Now() + time.Second) // time for the disks to complete their commits
 	var err error
-	res.kept, err = g.readRecords(&res.Records)
+	res.stored, err = e.readRecords(&res.Records)
 	return err
 }
 
-// settle plays until nothing is held any more, or for a minute.
-func (g *virtual) settle(c *rules.Checker, res *VirtualResult) (err error) {
+// awaitReleased runs the world until no resources are held, at most for a minute.
+func (e *virtualEnvironment) awaitReleased(c *rules.Checker, res *VirtualResult) (err error) {
 	for range 60 {
-		if err := g.run(g.w.Now()+time.Second, c); err != nil {
+		if err := e.runUntil(e.world.Now()+time.Second, c); err != nil {
 			return err
 		}
-		if res.LeftOver, err = g.f.left(); err != nil || res.LeftOver == (HeldResources{}) {
+		if res.LeftOver, err = e.fleet.heldResources(); err != nil || res.LeftOver == (HeldResources{}) {
 			return err
 		}
 	}
--- a/internal/lab/virtual_test.go
+++ b/internal/lab/virtual_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// TestVirtualBadDay guards against rule violations and nondeterminism: the built-in script runs twice on the virtual
+// clock with each front, the second time on one processor, and both runs must be identical.
 func TestVirtualBadDay(t *testing.T) {
 	for _, front := range FrontNames {
 		s, err := BuiltInScript()
@@ -22,22 +24,22 @@
 		again, err := RunVirtual(context.Background(), s, VirtualOptions{Drift: 0.01})
 		goruntime.GOMAXPROCS(goruntime.NumCPU())
 		if err != nil || again.Trace != res.Trace || again.Steps != res.Steps {
-			t.Errorf("%s: again %x after %d steps, at first %x after %d: %v", front, again.Trace, again.Steps, res.Trace, res.Steps, err)
+			t.Errorf("%s: second run has trace %x after %d steps, first run %x after %d: %v", front, again.Trace, again.Steps, res.Trace, res.Steps, err)
 		}
-		t.Logf("%s: %.2f s, %d steps, %d calls, %d stood, records %d, trace %x", front, res.WallSeconds, res.Steps, res.Calls, res.Answered, res.Records.Records, res.Trace)
+		t.Logf("%s: %.2f s, %d steps, %d calls, %d answered, records %d, trace %x", front, res.WallSeconds, res.Steps, res.Calls, res.Answered, res.Records.Records, res.Trace)
 		if !res.Good() {
 			for i, b := range res.Violations {
 				if i < 10 {
 					t.Log(b)
 				}
 			}
-			t.Errorf("%s: %d broken, left %+v, overdue %d, faults %d, records %+v", front, res.ViolationCount, res.LeftOver, res.Overdue, res.ActionFaults, res.Records)
+			t.Errorf("%s: %d rule violations, still held %+v, overdue answers %d, failed actions %d, records %+v", front, res.ViolationCount, res.LeftOver, res.Overdue, res.ActionFaults, res.Records)
 		}
 	}
 }
 
-// Fixed seeds: no rule broken, nothing left over, every record there; each pair of kinds of trouble is met as the seeds
-// go round.
+// TestSeeds guards against rule violations, resources that remain held and missing records, on a fixed range of seeds. Each
+// seed covers the next pair of fault kinds.
 func TestSeeds(t *testing.T) {
 	res, err := ExploreSeeds(context.Background(), SeedsOptions{Count: 60, FirstSeed: 1, Drift: 0.01})
 	if err != nil {
@@ -48,7 +50,7 @@
 	}
 }
 
-// The checks can fail: each planted bug is found.
+// TestPlantedBugsAreFound checks the checks: each planted bug must be found.
 func TestPlantedBugsAreFound(t *testing.T) {
 	res, err := ExploreSeeds(context.Background(), SeedsOptions{Count: 1, FirstSeed: 1, SeedsPerMutant: 60})
 	if err != nil {
@@ -59,7 +61,7 @@
 	}
 }
 
-// Scripts that failed once, cut down: they stay good.
+// TestCorpus runs shrunk scripts that once failed, and guards against the return of those failures.
 func TestCorpus(t *testing.T) {
 	files, err := filepath.Glob("corpus/*.toml")
 	if err != nil || len(files) == 0 {
@@ -74,16 +76,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if what := res.problems(); len(what) > 0 {
-			t.Errorf("%s: %v", file, what)
+		if problems := res.problems(); len(problems) > 0 {
+			t.Errorf("%s: %v", file, problems)
 		}
 	}
 }
 
-// A script that is written and read again plays the same day; cut down, it still fails and is smaller.
+// TestShrink checks that a script that is formatted and parsed again gives the same day, and that the shrunk script of a
+// failing day is smaller and still fails.
 func TestShrink(t *testing.T) {
 	s := DrawScript(3, DrawOptions{Exchanges: 4})
-	back, err := ParseScript("again.toml", FormatScript(s))
+	reparsed, err := ParseScript("again.toml", FormatScript(s))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,14 +95,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := RunVirtual(context.Background(), back, o)
+	again, err := RunVirtual(context.Background(), reparsed, o)
 	if err != nil || first.Trace != again.Trace {
-		t.Errorf("read again it plays %x, not %x: %v", again.Trace, first.Trace, err)
+		t.Errorf("trace of the reparsed script is %x, want %x: %v", again.Trace, first.Trace, err)
 	}
-	small := ShrinkScript(context.Background(), s, o)
-	res, err := RunVirtual(context.Background(), small, o)
-	if err != nil || len(res.problems()) == 0 || res.Calls >= first.Calls || len(small.Faults) >= len(s.Faults) {
-		t.Errorf("cut down from %d calls and %d troubles to %d and %d, problems %v, %v", first.Calls, len(s.Faults), res.Calls,
-			len(small.Faults), res.problems(), err)
+	shrunk := ShrinkScript(context.Background(), s, o)
+	res, err := RunVirtual(context.Background(), shrunk, o)
+	if err != nil || len(res.problems()) == 0 || res.Calls >= first.Calls || len(shrunk.Faults) >= len(s.Faults) {
+		t.Errorf("shrunk from %d calls and %d faults to %d and %d, problems %v, %v", first.Calls, len(s.Faults), res.Calls,
+			len(shrunk.Faults), res.problems(), err)
 	}
 }
