--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -10,97 +10,97 @@
 	"pipitring/internal/registry"
 )
 
-// Mutation is a planted bug at one edge of a router: a setting that does not reach it, a message or record that goes
-// missing or comes twice. The explorer must find each; a nil one plants nothing.
+// Mutation is a bug planted at the boundary of a router: a setting that is not applied, or a message or record that is
+// lost or duplicated. The seed exploration must detect each of them. A nil *Mutation plants nothing.
 type Mutation struct {
-	Name     string
-	Breaks   string // the rule or invariant that it breaks
-	Settings func(*node.Settings)
-	Twice    func(f *iax2.Frame, n int) bool // of outgoing full frames: sent once more as a frame of its own
-	Drop     func(f *iax2.Frame, n int) bool // of outgoing full frames; n counts those of its kind
-	Told     func(*registry.List)
-	Kept     func(items []cdr.Item, n int) []cdr.Item // n counts the items before
+	Name         string
+	Violates     string // the rule or invariant that it violates
+	Settings     func(*node.Settings)
+	Duplicate    func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are sent again with the next sequence number; n as for Drop
+	Drop         func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are dropped; n counts frames of the same type and subclass
+	AlterList    func(*registry.List)                     // changes an exchange list before the router gets it
+	AlterRecords func(items []cdr.Item, n int) []cdr.Item // returns the items to store instead; n counts the items before them
 
-	frames  map[[2]uint32]int
-	records int
+	frameCounts map[[2]uint32]int
+	recordCount int
 }
 
-func (m *Mutation) settings(s *node.Settings) {
+func (m *Mutation) applySettings(s *node.Settings) {
 	if m != nil && m.Settings != nil {
 		m.Settings(s)
 	}
 }
 
-func (m *Mutation) list(l *registry.List) {
-	if m != nil && m.Told != nil {
+func (m *Mutation) applyList(l *registry.List) {
+	if m != nil && m.AlterList != nil {
 		l.Entries = append([]registry.Entry(nil), l.Entries...)
-		m.Told(l)
+		m.AlterList(l)
 	}
 }
 
-func (m *Mutation) items(items []cdr.Item) []cdr.Item {
-	if m == nil || m.Kept == nil {
+func (m *Mutation) applyItems(items []cdr.Item) []cdr.Item {
+	if m == nil || m.AlterRecords == nil {
 		return items
 	}
-	out := m.Kept(items, m.records)
-	m.records += len(items)
+	out := m.AlterRecords(items, m.recordCount)
+	m.recordCount += len(items)
 	return out
 }
 
-// oseq is where a full frame has its sequence number.
-const oseq = 8
+// oseqOffset is the offset in bytes of the outbound sequence number in a full frame.
+const oseqOffset = 8
 
-// out tells what becomes of an outgoing datagram: whether it passes, and what follows it.
-func (m *Mutation) out(b []byte) (pass bool, more []byte) {
-	if m == nil || m.Drop == nil && m.Twice == nil {
+// filterOutgoing returns whether an outgoing datagram is sent, and a duplicate to send after it, nil for none.
+func (m *Mutation) filterOutgoing(b []byte) (pass bool, more []byte) {
+	if m == nil || m.Drop == nil && m.Duplicate == nil {
 		return true, nil
 	}
 	var f iax2.Frame
 	if iax2.ParseFrame(b, &f) != nil || f.Layout != iax2.Full {
 		return true, nil
 	}
-	if m.frames == nil {
-		m.frames = map[[2]uint32]int{}
+	if m.frameCounts == nil {
+		m.frameCounts = map[[2]uint32]int{}
 	}
 	k := [2]uint32{uint32(f.Type), f.Subclass}
-	m.frames[k]++
-	if m.Twice != nil && m.Twice(&f, m.frames[k]) {
+	m.frameCounts[k]++
+	if m.Duplicate != nil && m.Duplicate(&f, m.frameCounts[k]) {
 		more = append([]byte(nil), b...)
-		more[oseq]++
+		more[oseqOffset]++
 	}
-	return m.Drop == nil || !m.Drop(&f, m.frames[k]), more
+	return m.Drop == nil || !m.Drop(&f, m.frameCounts[k]), more
 }
 
-// Mutations are the planted bugs. Each is new: it counts as it goes.
+// Mutations returns the planted bugs. Each call returns new values, because a Mutation counts frames and records.
 func Mutations() []*Mutation {
 	every := func(k int) func(n int) bool { return func(n int) bool { return n%k == 0 } }
 	tenth, third := every(10), every(3)
 	return []*Mutation{
-		{Name: "no wait after a time-out", Breaks: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard = 0 }},
-		{Name: "half the wait after a time-out", Breaks: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard /= 2 }},
-		{Name: "a drain is not told", Breaks: "rule 3", Told: func(l *registry.List) {
+		{Name: "no wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard = 0 }},
+		{Name: "half the wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard /= 2 }},
+		{Name: "a drain is not told", Violates: "rule 3", AlterList: func(l *registry.List) {
 			for i := range l.Entries {
 				if l.Entries[i].Phase == decide.Draining {
 					l.Entries[i].Phase = decide.Ready
 				}
 			}
 		}},
-		{Name: "what goes is not told", Breaks: "rule 3", Told: func(l *registry.List) {
+		{Name: "what goes is not told", Violates: "rule 3", AlterList: func(l *registry.List) {
 			for i := range l.Entries {
 				if l.Entries[i].Phase == decide.Removed {
 					l.Entries[i].Phase = decide.Ready
 				}
 			}
 		}},
-		{Name: "set-ups are not withdrawn when the grace ends", Breaks: "rule 3", Settings: func(s *node.Settings) { s.Core.DrainGrace = time.Hour }},
-		{Name: "the answer comes after the caller's patience", Breaks: "rule 1", Settings: func(s *node.Settings) { s.Core.AnswerMargin = -300 * time.Millisecond }},
-		{Name: "one in ten answers is not sent", Breaks: "rule 1 or left over", Drop: func(f *iax2.Frame, n int) bool {
+		{Name: "set-ups are not withdrawn when the grace ends", Violates: "rule 3", Settings: func(s *node.Settings) { s.Core.DrainGrace = time.Hour }},
+		{Name: "the answer comes after the caller's patience", Violates: "rule 1", Settings: func(s *node.Settings) { s.Core.AnswerMargin = -300 * time.Millisecond }},
+		{Name: "one in ten answers is not sent", Violates: "rule 1 or left over", Drop: func(f *iax2.Frame, n int) bool {
 			return f.Type == iax2.FrameControl && f.Subclass == iax2.ControlAnswer && tenth(n)
 		}},
-		{Name: "one in three releases is not sent", Breaks: "left over", Drop: func(f *iax2.Frame, n int) bool {
+		{Name: "one in three releases is not sent", Violates: "left over", Drop: func(f *iax2.Frame, n int) bool {
 			return f.Type == iax2.FrameIAX && f.Subclass == iax2.Hangup && third(n)
 		}},
-		{Name: "one record in ten is not kept", Breaks: "records", Kept: func(items []cdr.Item, n int) (out []cdr.Item) {
+		{Name: "one record in ten is not kept", Violates: "records", AlterRecords: func(items []cdr.Item, n int) (out []cdr.Item) {
 			for i, it := range items {
 				if it.Open || (n+i)%10 != 9 {
 					out = append(out, it)
@@ -108,7 +108,7 @@
 			}
 			return out
 		}},
-		{Name: "one record in ten is kept twice", Breaks: "records", Kept: func(items []cdr.Item, n int) (out []cdr.Item) {
+		{Name: "one record in ten is kept twice", Violates: "records", AlterRecords: func(items []cdr.Item, n int) (out []cdr.Item) {
 			for i, it := range items {
 				out = append(out, it)
 				if !it.Open && (n+i)%10 == 9 {
@@ -117,7 +117,7 @@
 			}
 			return out
 		}},
-		{Name: "marks of standing calls are not kept", Breaks: "records", Kept: func(items []cdr.Item, _ int) (out []cdr.Item) {
+		{Name: "marks of standing calls are not kept", Violates: "records", AlterRecords: func(items []cdr.Item, _ int) (out []cdr.Item) {
 			for _, it := range items {
 				if !it.Open {
 					out = append(out, it)
@@ -125,7 +125,7 @@
 			}
 			return out
 		}},
-		{Name: "a call ends as another than it was", Breaks: "records", Kept: func(items []cdr.Item, n int) []cdr.Item {
+		{Name: "a call ends as another than it was", Violates: "records", AlterRecords: func(items []cdr.Item, n int) []cdr.Item {
 			for i := range items {
 				if (n+i)%10 == 9 && items[i].Record.End == cdr.Refused {
 					items[i].Record.End = cdr.Answered
@@ -133,7 +133,7 @@
 			}
 			return items
 		}},
-		{Name: "refusals go out as normal releases", Breaks: "records", Kept: func(items []cdr.Item, _ int) []cdr.Item {
+		{Name: "refusals go out as normal releases", Violates: "records", AlterRecords: func(items []cdr.Item, _ int) []cdr.Item {
 			for i := range items {
 				if items[i].Record.End == cdr.Failed {
 					items[i].Record.End = cdr.Refused
@@ -141,7 +141,7 @@
 			}
 			return items
 		}},
-		{Name: "one final answer in five is given twice", Breaks: "rule 1", Twice: func(f *iax2.Frame, n int) bool {
+		{Name: "one final answer in five is given twice", Violates: "rule 1", Duplicate: func(f *iax2.Frame, n int) bool {
 			return f.Is(iax2.Hangup) && n%5 == 0
 		}},
 	}
