--- a/internal/call/cause.go
+++ b/internal/call/cause.go
@@ -29,7 +29,8 @@
 )
 
 // Refusal reports whether a final answer with this cause counts as a refusal. Any other cause, except a normal
-// release, counts as a failure. Callers, checkers and records all follow this table.
+// release, counts as a failure. Callers, the rule checker and call records use the same table, which is published in
+// docs/ops/router.md.
 func (c Cause) Refusal() bool {
 	switch c {
 	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber, NoCircuit,
@@ -39,9 +40,8 @@
 	return false
 }
 
-// releaseOutcome maps the cause of a release before the answer to the controller's outcome and cause. The same
-// cause means something else on a call sent via a tandem: the trunk group or processor without capacity is then
-// the one behind the tandem.
+// releaseOutcome maps the cause of a release before the answer to the controller's outcome and cause. On a call sent
+// via a tandem, a cause that reports a lack of capacity refers to the trunk group or processor beyond the tandem.
 func releaseOutcome(c Cause, tandem bool) (decide.Outcome, decide.Cause) {
 	switch c {
 	case Unallocated, UserBusy, NoUserResponding, NoAnswer, Rejected, NumberChanged, InvalidNumber:
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -13,22 +13,22 @@
 // Settings configure a Core.
 type Settings struct {
 	Decide decide.Settings
-	Seed   uint64 // seeds the controller's random choices
-	Groups map[int]int
-	// OwnCircuits is the number of circuits to the own switch, or of its lines where circuits are only counted.
-	// 0 means unknown.
+	Seed   uint64      // seeds the controller's random choices
+	Groups map[int]int // sizes of the trunk groups in circuits, by exchange number
+	// OwnCircuits is the number of circuits to this exchange's switch, or of the switch's lines where circuits have
+	// no identity. 0 means unknown.
 	OwnCircuits int
 	Plan        *Plan
-	// Patience is how long callers of each class wait for an answer before they abandon a try, indexed by
-	// class.
+	// Patience is how long callers of each class wait for the final answer before they hang up, indexed by class.
 	Patience []time.Duration
 	// AnswerMargin is subtracted from Patience so that the final answer reaches the caller in time.
 	AnswerMargin time.Duration
-	// DrainGrace is how long a set-up may still reach an exchange after the list marked it as draining.
+	// DrainGrace is how long set-ups may still reach a processor after the exchange list marked it as draining or
+	// removed it.
 	DrainGrace time.Duration
 	MaxCalls   int // limit of concurrent calls; 0 means no limit
-	// DurableTimeout is how long a final answer waits at most for MarkDurable to confirm its record. 0 sends
-	// answers without waiting.
+	// DurableTimeout limits how long a final answer waits for MarkDurable to confirm its record. 0 sends answers
+	// without waiting.
 	DurableTimeout time.Duration
 }
 
@@ -43,10 +43,10 @@
 	groups          *trunk.GroupTable
 	calls           map[decide.CallID]*call
 	legs            map[LegID]*leg
-	exchanges       map[decide.ExchangeID]*listedExchange
+	processors      map[decide.ExchangeID]*listedProcessor
 	lastCall        decide.CallID
 	lastLeg         LegID
-	queue           timers.Queue[func(now time.Duration)]
+	timerQueue      timers.Queue[func(now time.Duration)]
 	pendingEvents   []decide.Event
 	processing      bool
 	closing         bool
@@ -54,13 +54,13 @@
 	lastCallSeq     uint64            // CallSeq of the last accepted call
 	lastRecordSeq   uint64            // RecordSeq of the last record
 	deferred        []*deferredAnswer // answers that wait for a durable record, oldest first
-	ownInUse        int               // circuits in use by legs to the own switch
-	reportedOwn     decide.ExchangeID // own processor last reported to the controller
-	reportedOwnFree int               // free circuits in that report
+	ownInUse        int               // circuits in use by legs to this exchange's switch
+	reportedOwn     decide.ExchangeID // this exchange's processor as last reported to the controller
+	reportedOwnFree int               // free circuits in the last report of reportedOwn
 }
 
-// listedExchange is an entry of the exchange list and the time at which its current phase was received.
-type listedExchange struct {
+// listedProcessor is an entry of the exchange list and the time at which its current phase was received.
+type listedProcessor struct {
 	decide.Entry
 	phaseSince time.Duration
 }
@@ -80,8 +80,8 @@
 	offered        time.Duration
 	deadline       time.Duration // of the final answer
 	answered       time.Duration
-	awaitingRecord bool        // answered, but the record is not durable yet
-	earlyRelease   *legRelease // set if the far end released the call while awaitingRecord
+	awaitingRecord bool    // answered, but the record is not durable yet
+	earlyEnd       *legEnd // set if the far end released the call or was lost while awaitingRecord
 	standing       bool
 	attempts       int
 	attemptRecords []Attempt
@@ -96,7 +96,7 @@
 type leg struct {
 	id           LegID
 	call         *call // nil once the leg is detached from its call
-	exchange     decide.ExchangeID
+	processor    decide.ExchangeID
 	group        *trunk.Group
 	width        int
 	incoming     bool
@@ -117,7 +117,7 @@
 // New returns a Core without calls. The settings must be valid.
 func New(s Settings) *Core {
 	c := &Core{settings: s, controller: decide.New(s.Decide, s.Seed), groups: trunk.NewGroupTable(s.Groups),
-		calls: map[decide.CallID]*call{}, legs: map[LegID]*leg{}, exchanges: map[decide.ExchangeID]*listedExchange{}}
+		calls: map[decide.CallID]*call{}, legs: map[LegID]*leg{}, processors: map[decide.ExchangeID]*listedProcessor{}}
 	return c
 }
 
@@ -150,59 +150,60 @@
 func (c *Core) Groups() []*trunk.Group { return c.groups.All() }
 
 // Timers returns the number of running timers.
-func (c *Core) Timers() int { return c.queue.Len() }
+func (c *Core) Timers() int { return c.timerQueue.Len() }
 
 // Next returns the time at which Advance is due; ok is false if no timer is running.
-func (c *Core) Next() (at time.Duration, ok bool) { return c.queue.Next() }
+func (c *Core) Next() (at time.Duration, ok bool) { return c.timerQueue.Next() }
 
 // Advance runs all timers that are due at now.
 func (c *Core) Advance(now time.Duration) {
-	for e := c.queue.Due(now); e != nil; e = c.queue.Due(now) {
+	for e := c.timerQueue.Due(now); e != nil; e = c.timerQueue.Due(now) {
 		e.Value(now)
 		c.processEvents(now)
 	}
 }
 
-// SetList applies an update of the exchange list. Set-ups to an exchange that is now draining or removed, and
-// that it has not acknowledged, are withdrawn before the grace period ends, because the exchange would take a
-// retransmission as a new set-up.
+// SetList applies an update of the exchange list. Set-ups that a draining or removed processor has not acknowledged
+// are withdrawn before the grace period ends, because the processor would take a later retransmission as a new
+// set-up.
 func (c *Core) SetList(now time.Duration, l decide.ListUpdate) {
 	if l.Kind != decide.ListChanges && l.Kind != decide.ListFailed {
 		named := map[decide.ExchangeID]bool{}
 		for _, e := range l.Entries {
 			named[e.Exchange] = true
 		}
-		for _, id := range slices.Sorted(maps.Keys(c.exchanges)) { // sorted, so that runs are deterministic
-			if x := c.exchanges[id]; !named[id] {
-				x.Phase, x.phaseSince = decide.Removed, now
+		for _, id := range slices.Sorted(maps.Keys(c.processors)) { // sorted, so that runs are deterministic
+			if p := c.processors[id]; !named[id] {
+				p.Phase, p.phaseSince = decide.Removed, now
 				c.scheduleWithdrawal(now, id)
 			}
 		}
 	}
 	for _, e := range l.Entries {
-		x := c.exchanges[e.Exchange]
-		if x == nil {
-			x = &listedExchange{phaseSince: now}
-			c.exchanges[e.Exchange] = x
+		p := c.processors[e.Exchange]
+		if p == nil {
+			p = &listedProcessor{phaseSince: now}
+			c.processors[e.Exchange] = p
 		}
-		if x.Phase != e.Phase {
-			x.phaseSince = now
+		if p.Phase != e.Phase {
+			p.phaseSince = now
 			if e.Phase != decide.Ready {
 				c.scheduleWithdrawal(now, e.Exchange)
 			}
 		}
-		x.Entry = e
+		p.Entry = e
 	}
-	c.enqueue(l)
+	c.addEvent(l)
 	c.processEvents(now)
 }
 
-// scheduleWithdrawal withdraws the unacknowledged set-ups to an exchange at three quarters of the grace period.
+// scheduleWithdrawal withdraws the unacknowledged set-ups to a processor at three quarters of the grace period. It
+// then deletes the processor if it was removed from the list.
 func (c *Core) scheduleWithdrawal(now time.Duration, id decide.ExchangeID) {
 	c.schedule(now, c.settings.DrainGrace*3/4, func(now time.Duration) {
 		var unacknowledged []*leg
 		for _, l := range c.legs {
-			if l.exchange == id && !l.acknowledged && l.call != nil && l.call.outLeg == l {
+			if l.processor == id && !l.acknowledged && l.call != nil && l.call.outLeg == l {
 				unacknowledged = append(unacknowledged, l)
 			}
 		}
@@ -211,19 +212,19 @@
 			c.Stats.Withdrawn++
 			c.endAttempt(now, l, decide.TimedOut, decide.CauseUnknown, 0, TimerExpired)
 		}
-		if x := c.exchanges[id]; x != nil && x.Phase == decide.Removed {
-			delete(c.exchanges, id) // otherwise removed exchanges would accumulate
+		if p := c.processors[id]; p != nil && p.Phase == decide.Removed {
+			delete(c.processors, id) // otherwise removed processors would accumulate
 		}
 	})
 }
 
 // schedule calls f once, after d.
 func (c *Core) schedule(now, d time.Duration, f func(now time.Duration)) {
-	c.queue.Set(&timers.Entry[func(time.Duration)]{Value: f}, now+d)
+	c.timerQueue.Set(&timers.Entry[func(time.Duration)]{Value: f}, now+d)
 }
 
-// enqueue adds an event for the controller.
-func (c *Core) enqueue(e decide.Event) { c.pendingEvents = append(c.pendingEvents, e) }
+// addEvent queues an event for the controller until processEvents feeds it.
+func (c *Core) addEvent(e decide.Event) { c.pendingEvents = append(c.pendingEvents, e) }
 
 // processEvents feeds the queued events to the controller and executes its actions until none is left. Changes
 // of free circuits are reported as they occur.
@@ -246,38 +247,39 @@
 	c.processing = false
 }
 
-// reportCircuits reports the trunk groups whose circuits changed. It also reports the own switch, which no
-// trunk group leads to: the controller derives the slow-start limit of a cold processor from its size.
+// reportCircuits reports the trunk groups whose circuit counts changed to the controller. It also reports this
+// exchange's switch, to which no trunk group leads: the controller derives the slow-start limit of a cold processor
+// from the number of its circuits.
 func (c *Core) reportCircuits() {
 	c.groups.ForEachChanged(func(g *trunk.Group) {
-		if x := c.processorAt(g.Neighbour()); x != nil {
-			c.enqueue(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: c.report(g)})
+		if p := c.processorAt(g.Neighbour()); p != nil {
+			c.addEvent(decide.ReportReceived{Exchange: p.Exchange, Outcome: decide.Completed, Report: c.circuitReport(g)})
 		}
 	})
-	if x := c.processorAt(c.settings.Decide.OwnExchange); c.settings.OwnCircuits > 0 && x != nil &&
-		(x.Exchange != c.reportedOwn || c.reportedOwnFree != c.ownFreeCircuits()) {
-		c.reportedOwn, c.reportedOwnFree = x.Exchange, c.ownFreeCircuits()
+	if p := c.processorAt(c.settings.Decide.OwnExchange); c.settings.OwnCircuits > 0 && p != nil &&
+		(p.Exchange != c.reportedOwn || c.reportedOwnFree != c.ownFreeCircuits()) {
+		c.reportedOwn, c.reportedOwnFree = p.Exchange, c.ownFreeCircuits()
 		r := decide.NoReport
 		r.Free, r.Size = float64(c.reportedOwnFree), float64(c.settings.OwnCircuits)
-		c.enqueue(decide.ReportReceived{Exchange: x.Exchange, Outcome: decide.Completed, Report: r})
+		c.addEvent(decide.ReportReceived{Exchange: p.Exchange, Outcome: decide.Completed, Report: r})
 	}
 }
 
 func (c *Core) ownFreeCircuits() int { return max(0, c.settings.OwnCircuits-c.ownInUse) }
 
-// processorAt returns the listed exchange with a number, or nil. If there are several it returns the one with
-// the lowest ID, so that runs are deterministic.
-func (c *Core) processorAt(number int) *listedExchange {
-	var best *listedExchange
-	for _, x := range c.exchanges {
-		if x.Number == number && x.Phase != decide.Removed && (best == nil || x.Exchange < best.Exchange) {
-			best = x
+// processorAt returns the listed processor of the exchange with a number, or nil. If there are several it returns
+// the one with the lowest ID, so that runs are deterministic.
+func (c *Core) processorAt(number int) *listedProcessor {
+	var best *listedProcessor
+	for _, p := range c.processors {
+		if p.Number == number && p.Phase != decide.Removed && (best == nil || p.Exchange < best.Exchange) {
+			best = p
 		}
 	}
 	return best
 }
 
-func (c *Core) report(g *trunk.Group) decide.Report {
+func (c *Core) circuitReport(g *trunk.Group) decide.Report {
 	r := decide.NoReport
 	if g != nil {
 		r.Free, r.Size = float64(g.Free()), float64(g.Size())
@@ -294,7 +296,7 @@
 	case decide.Fail:
 		c.sendFinalAnswer(now, a.Call, 0)
 	case decide.Timer:
-		c.schedule(now, a.After, func(time.Duration) { c.enqueue(decide.TimerExpired{Token: a.Token}) })
+		c.schedule(now, a.After, func(time.Duration) { c.addEvent(decide.TimerExpired{Token: a.Token}) })
 	case decide.Subscribe, decide.LogLine:
 		// The discovery client delivers updates without a subscription; the controller's log lines are not
 		// used.
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -49,7 +49,7 @@
 	return h
 }
 
-// takeOutputs returns the outputs since the last call.
+// takeOutputs removes and returns the outputs so far.
 func (h *harness) takeOutputs() []Output {
 	out := slices.Clone(h.Outputs)
 	h.Outputs = h.Outputs[:0]
@@ -120,7 +120,7 @@
 	h := newHarness(t, map[int]int{1: 4, 2: 4, 3: 4})
 	in, o := h.offer("15")
 	h.advanceClock(5 * time.Second)
-	var finals, again int
+	var finals, redials int
 	for _, x := range h.takeOutputs() {
 		if x.Kind == Release && x.Leg == in {
 			finals++
@@ -129,11 +129,11 @@
 			}
 		}
 		if x.Kind == Connect && x.Leg != o.Leg {
-			again++
+			redials++
 		}
 	}
-	if finals != 1 || again != 0 || h.Records[0].End != Failed || h.Stats.Overdue != 0 {
-		t.Errorf("%d final answers, %d further attempts, records %+v", finals, again, h.Records)
+	if finals != 1 || redials != 0 || h.Records[0].End != Failed || h.Stats.Overdue != 0 {
+		t.Errorf("%d final answers, %d further attempts, records %+v", finals, redials, h.Records)
 	}
 }
 
@@ -185,8 +185,8 @@
 	}
 }
 
-// A call in transit is forwarded to its destination marked ViaTandem, or rejected. A call to the own exchange
-// goes to the own processor and uses only the circuit that it arrived on.
+// A call in transit is forwarded to its destination marked ViaTandem, or rejected. A call to this exchange goes to
+// its own processor and uses only the circuit that it arrived on.
 func TestTransitAndDelivery(t *testing.T) {
 	h := newHarness(t, map[int]int{1: 20, 2: 20})
 	h.Offer(h.now, Origin{Exchange: 1}, Request{Called: "2"})
@@ -224,15 +224,15 @@
 		t.Fatalf("after the first tandem rejected it: %+v", got)
 	}
 	h.Released(h.now, got[0].Leg, NoCircuit)
-	h.advanceClock(time.Second) // queued for a circuit of its direct group only as long as that can help
+	h.advanceClock(time.Second) // the call may be queued for a circuit of its direct group for less than this
 	if got = h.takeOutputs(); len(got) != 1 || got[0].Kind != Release || got[0].Leg != in || got[0].Cause != NoCircuit {
 		t.Fatalf("after the second tandem rejected it: %+v", got)
 	}
 }
 
-// Set-ups that a draining exchange has not acknowledged are withdrawn before the grace period ends; an
+// Set-ups that a draining processor has not acknowledged are withdrawn before the grace period ends. An
 // acknowledged one continues.
-func TestGraceWithdrawsUnacknowledgedSetUps(t *testing.T) {
+func TestDrainWithdrawsUnacknowledgedSetUps(t *testing.T) {
 	h := newHarness(t, map[int]int{1: 9})
 	_, unacknowledged := h.offer("15")
 	_, acknowledged := h.offer("16")
@@ -311,15 +311,15 @@
 			notBefore        time.Duration
 			lastRelease      LegID
 		}
-		calls := map[LegID]*state{}   // by incoming leg
-		callOf := map[string]*state{} // by calling number
-		legs := map[LegID]*state{}    // by outgoing leg
-		var open []LegID              // legs that the front has yet to close
+		calls := map[LegID]*state{}         // by incoming leg
+		callByNumber := map[string]*state{} // by calling number
+		legs := map[LegID]*state{}          // by outgoing leg
+		var open []LegID                    // legs that the front has yet to close
 		handle := func() {
 			for _, o := range h.takeOutputs() {
 				switch o.Kind {
 				case Connect:
-					k := callOf[o.Request.Calling]
+					k := callByNumber[o.Request.Calling]
 					if k.out != 0 || k.final || k.abandoned {
 						t.Fatalf("attempt while another is in progress or the call has ended: %+v", o)
 					}
@@ -367,7 +367,7 @@
 			case what <= 1:
 				n++
 				k := &state{}
-				callOf[fmt.Sprint(n)] = k
+				callByNumber[fmt.Sprint(n)] = k
 				from := Subscriber
 				if rapid.IntRange(0, 4).Draw(t, "over") == 0 {
 					from = rapid.IntRange(1, 3).Draw(t, "from")
@@ -433,7 +433,7 @@
 			h.Closed(h.now, in)
 		}
 		h.advanceClock(time.Minute)
-		for i, k := range callOf {
+		for i, k := range callByNumber {
 			if !k.final {
 				t.Fatalf("call %s got no final answer", i)
 			}
--- a/internal/call/durable.go
+++ b/internal/call/durable.go
@@ -15,8 +15,8 @@
 	timer     timers.Entry[func(time.Duration)]
 }
 
-// legRelease is how the far end of a leg ended it.
-type legRelease struct {
+// legEnd is the cause with which the far end released a leg, or the loss of the far end.
+type legEnd struct {
 	cause Cause
 	lost  bool
 }
@@ -31,7 +31,7 @@
 		c.sendDeferred(now, d)
 	}
 	c.deferred = append(c.deferred, d)
-	c.queue.Set(&d.timer, now+c.settings.DurableTimeout)
+	c.timerQueue.Set(&d.timer, now+c.settings.DurableTimeout)
 }
 
 // MarkDurable reports that all records up to and including recordSeq are durable. It sends the answers that
@@ -47,12 +47,12 @@
 		c.deferred = nil
 	}
 	for _, d := range ready {
-		c.queue.Stop(&d.timer)
+		c.timerQueue.Stop(&d.timer)
 		c.sendDeferred(now, d)
 	}
 }
 
-// sendDeferred sends a deferred answer. Nothing is sent if the caller abandoned the call in the meantime.
+// sendDeferred sends a deferred answer. An answered call gets nothing if it ended or was answered in the meantime.
 func (c *Core) sendDeferred(now time.Duration, d *deferredAnswer) {
 	switch {
 	case d.call == nil:
--- a/internal/call/durable_test.go
+++ b/internal/call/durable_test.go
@@ -12,23 +12,23 @@
 	return h
 }
 
-func outputKinds(out []Output) (k []OutputKind) {
+func outputKinds(out []Output) (kinds []OutputKind) {
 	for _, o := range out {
-		k = append(k, o.Kind)
+		kinds = append(kinds, o.Kind)
 	}
-	return k
+	return kinds
 }
 
 func (h *harness) expect(t *testing.T, what string, want ...OutputKind) []Output {
 	t.Helper()
 	got := h.takeOutputs()
-	k := outputKinds(got)
-	if len(k) != len(want) {
-		t.Fatalf("%s: outputs %v, want %v", what, k, want)
+	kinds := outputKinds(got)
+	if len(kinds) != len(want) {
+		t.Fatalf("%s: outputs %v, want %v", what, kinds, want)
 	}
-	for i := range k {
-		if k[i] != want[i] {
-			t.Fatalf("%s: outputs %v, want %v", what, k, want)
+	for i := range kinds {
+		if kinds[i] != want[i] {
+			t.Fatalf("%s: outputs %v, want %v", what, kinds, want)
 		}
 	}
 	return got
--- a/internal/call/flow.go
+++ b/internal/call/flow.go
@@ -53,8 +53,8 @@
 	in.call = k
 	c.calls[k.id] = k
 	c.Stats.Offered++
-	c.queue.Set(&k.watchdog, k.deadline+c.settings.AnswerMargin/2)
-	c.enqueue(decide.Offer{Call: k.id, Class: class, Tenant: tenant, CalledNumber: calledNumberKey(r.Called),
+	c.timerQueue.Set(&k.watchdog, k.deadline+c.settings.AnswerMargin/2)
+	c.addEvent(decide.Offer{Call: k.id, Class: class, Tenant: tenant, CalledNumber: calledNumberKey(r.Called),
 		Patience: patience, Dest: dest, AdvisedTandem: decide.Unknown, Width: width, Transit: overTrunk})
 	c.processEvents(now)
 	return in.id
@@ -77,7 +77,7 @@
 	if k == nil || k.standing || k.outLeg != nil {
 		c.Stats.ActionFaults++
 		ended.Concluded = k == nil || k.standing
-		c.enqueue(ended)
+		c.addEvent(ended)
 		return
 	}
 	ended.Attempt = k.attempts
@@ -86,20 +86,20 @@
 	k.attemptRecords = append(k.attemptRecords, Attempt{Exchange: decide.Unknown, Processor: a.Exchange, Sent: now,
 		Outcome: decide.NotSent})
 	record := &k.attemptRecords[len(k.attemptRecords)-1]
-	x := c.exchanges[a.Exchange]
-	if x != nil {
-		record.Exchange, record.Tandem = x.Number, x.Number != k.dest
+	p := c.processors[a.Exchange]
+	if p != nil {
+		record.Exchange, record.Tandem = p.Number, p.Number != k.dest
 	}
-	if x == nil || k.attempts > c.settings.Decide.MaxAttempts || now >= k.deadline {
-		c.enqueue(ended)
+	if p == nil || k.attempts > c.settings.Decide.MaxAttempts || now >= k.deadline {
+		c.addEvent(ended)
 		return
 	}
 	var g *trunk.Group
-	if x.Number != c.settings.Decide.OwnExchange {
-		g = c.groups.Group(x.Number)
+	if p.Number != c.settings.Decide.OwnExchange {
+		g = c.groups.Group(p.Number)
 		if g == nil || !g.Seize(k.width) {
-			ended.Cause, ended.Report = decide.NoCircuit, c.report(g)
-			c.enqueue(ended)
+			ended.Cause, ended.Report = decide.NoCircuit, c.circuitReport(g)
+			c.addEvent(ended)
 			return
 		}
 	} else {
@@ -107,7 +107,7 @@
 	}
 	c.Stats.Attempts++
 	c.lastLeg++
-	l := &leg{id: c.lastLeg, call: k, exchange: a.Exchange, group: g, width: k.width, attempt: ended.Attempt,
+	l := &leg{id: c.lastLeg, call: k, processor: a.Exchange, group: g, width: k.width, attempt: ended.Attempt,
 		recordIndex: len(k.attemptRecords) - 1, tandem: record.Tandem, sentAt: now}
 	record.Outcome = 0
 	c.legs[l.id] = l
@@ -116,13 +116,13 @@
 	if a.Timeout > 0 {
 		limit = min(limit, now+a.Timeout)
 	}
-	c.queue.Set(&k.attemptTimer, limit)
+	c.timerQueue.Set(&k.attemptTimer, limit)
 	r := k.request
-	r.ViaTandem = k.transit && x.Number != c.settings.Decide.OwnExchange
+	r.ViaTandem = k.transit && p.Number != c.settings.Decide.OwnExchange
 	c.emit(Output{Kind: Connect, Leg: l.id, Exchange: a.Exchange, Request: r})
 }
 
-// SetBearer records which bearer carries an outgoing leg.
+// SetBearer stores the bearer of an outgoing leg in the record of its attempt.
 func (c *Core) SetBearer(id LegID, b Bearer) {
 	if l := c.legs[id]; l != nil && l.call != nil && !l.incoming {
 		l.call.attemptRecords[l.recordIndex].Bearer = b
@@ -131,18 +131,20 @@
 
 // recordOutcome stores the outcome of the leg's attempt in the call's attempt records.
 func (l *leg) recordOutcome(now time.Duration, o decide.Outcome, cause Cause) {
-	t := &l.call.attemptRecords[l.recordIndex]
-	t.Outcome, t.Cause, t.Duration = o, cause, now-l.sentAt
+	attempt := &l.call.attemptRecords[l.recordIndex]
+	attempt.Outcome, attempt.Cause, attempt.Duration = o, cause, now-l.sentAt
 }
 
-// Acknowledged reports that the far end of a leg has received the set-up.
+// Acknowledged reports that the far end of a leg has received the set-up. An acknowledged set-up is not withdrawn
+// when its processor is drained.
 func (c *Core) Acknowledged(now time.Duration, id LegID) {
 	if l := c.legs[id]; l != nil {
 		l.acknowledged = true
 	}
 }
 
-// Progressed reports that the far end of a leg is alerting or has made progress.
+// Progressed reports that the far end of an outgoing leg is alerting the called party or sent a progress
+// indication. It emits Proceed for the caller unless the call is standing.
 func (c *Core) Progressed(now time.Duration, id LegID) {
 	l := c.legs[id]
 	if l == nil || l.incoming {
@@ -155,7 +157,7 @@
 }
 
 // Answered reports that the far end of a leg answered. An answer to an attempt that has already ended is
-// ignored, since its release is on the way.
+// ignored, since the release of its leg has been sent.
 func (c *Core) Answered(now time.Duration, id LegID) {
 	l := c.legs[id]
 	if l == nil || l.call == nil || l.call.outLeg != l || l.call.standing || l.call.awaitingRecord {
@@ -163,7 +165,7 @@
 	}
 	k := l.call
 	l.acknowledged = true
-	c.queue.Stop(&k.attemptTimer)
+	c.timerQueue.Stop(&k.attemptTimer)
 	l.recordOutcome(now, decide.Completed, 0)
 	k.answered = now
 	recordSeq := c.addRecord(now, k, Record{Kind: AnswerRecord})
@@ -175,14 +177,15 @@
 	c.completeAnswer(now, k)
 }
 
-// completeAnswer sends the answer to the caller, and a release that arrived in the meantime after it.
+// completeAnswer sends the answer to the caller. If the far end released the call while the answer was delayed, the
+// release follows the answer.
 func (c *Core) completeAnswer(now time.Duration, k *call) {
 	l := k.outLeg
 	k.awaitingRecord, k.standing = false, true
-	c.queue.Stop(&k.watchdog)
+	c.timerQueue.Stop(&k.watchdog)
 	c.emit(Output{Kind: Answer, Leg: k.inLeg.id, Other: l.id})
-	c.enqueue(decide.AttemptAnswered{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Took: k.answered - l.sentAt})
-	if e := k.earlyRelease; e != nil {
+	c.addEvent(decide.AttemptAnswered{Call: k.id, Attempt: l.attempt, Exchange: l.processor, Took: k.answered - l.sentAt})
+	if e := k.earlyEnd; e != nil {
 		c.endStandingCall(now, k, l, e.cause, e.lost)
 	}
 	c.processEvents(now)
@@ -191,24 +194,24 @@
 // Released reports that the far end of a leg ended it: the caller hung up, or the exchange rejected or released
 // the call.
 func (c *Core) Released(now time.Duration, id LegID, cause Cause) {
-	c.legEnded(now, id, legRelease{cause: cause}, func(l *leg) {
+	c.legEnded(now, id, legEnd{cause: cause}, func(l *leg) {
 		o, reason := releaseOutcome(cause, l.tandem)
 		c.endAttempt(now, l, o, reason, cause, 0)
 	})
 }
 
-// Lost reports that the far end of a leg is unreachable, or with reset that it has no state of the leg.
+// Lost reports that the far end of a leg is unreachable or, if reset is set, that it has no state of the leg.
 func (c *Core) Lost(now time.Duration, id LegID, reset bool) {
 	o := decide.TimedOut
 	if reset {
 		o = decide.Cut
 	}
-	c.legEnded(now, id, legRelease{OutOfOrder, true}, func(l *leg) { c.endAttempt(now, l, o, decide.CauseUnknown, 0, 0) })
+	c.legEnded(now, id, legEnd{OutOfOrder, true}, func(l *leg) { c.endAttempt(now, l, o, decide.CauseUnknown, 0, 0) })
 }
 
 // legEnded ends the call or the attempt that a leg belongs to. endSetUp is called for a set-up that was not
 // answered.
-func (c *Core) legEnded(now time.Duration, id LegID, e legRelease, endSetUp func(*leg)) {
+func (c *Core) legEnded(now time.Duration, id LegID, e legEnd, endSetUp func(*leg)) {
 	l := c.legs[id]
 	if l == nil || l.call == nil {
 		return
@@ -220,8 +223,8 @@
 		c.abandonCall(now, k, e.cause)
 	case !k.awaitingRecord:
 		endSetUp(l)
-	case k.earlyRelease == nil: // handled once the answer has been sent; the first event counts
-		k.earlyRelease = &e
+	case k.earlyEnd == nil: // handled by completeAnswer; later events are ignored
+		k.earlyEnd = &e
 	}
 	c.processEvents(now)
 }
@@ -262,10 +265,10 @@
 	k := l.call
 	l.recordOutcome(now, o, cause)
 	c.detach(l, release)
-	c.queue.Stop(&k.attemptTimer)
+	c.timerQueue.Stop(&k.attemptTimer)
 	k.lastOutcome, k.lastCause = o, cause
-	c.enqueue(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: o, Cause: reason,
-		Took: now - l.sentAt, Report: c.report(l.group)})
+	c.addEvent(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.processor, Outcome: o, Cause: reason,
+		Took: now - l.sentAt, Report: c.circuitReport(l.group)})
 }
 
 // detach separates a leg from its call and, unless release is 0, releases the leg with that cause.
@@ -282,7 +285,7 @@
 
 // abandonCall ends a call whose caller hung up before the answer.
 func (c *Core) abandonCall(now time.Duration, k *call, cause Cause) {
-	c.enqueue(decide.CallerAbandoned{Call: k.id})
+	c.addEvent(decide.CallerAbandoned{Call: k.id})
 	c.cancelAttempt(now, k)
 	c.detach(k.inLeg, 0)
 	source := EndedByCaller
@@ -292,7 +295,8 @@
 	c.endCall(now, k, Abandoned, cause, source)
 }
 
-// cancelAttempt cancels the current attempt, if any. No answer is owed to the caller any more.
+// cancelAttempt cancels the current attempt, if any. It reports the call as concluded, so that the controller makes
+// no further attempt.
 func (c *Core) cancelAttempt(now time.Duration, k *call) {
 	l := k.outLeg
 	if l == nil {
@@ -300,8 +304,8 @@
 	}
 	l.recordOutcome(now, decide.Cancelled, 0)
 	c.detach(l, NormalClearing)
-	c.enqueue(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.exchange, Outcome: decide.Cancelled,
-		Took: now - l.sentAt, Concluded: true, Report: c.report(l.group)})
+	c.addEvent(decide.AttemptEnded{Call: k.id, Attempt: l.attempt, Exchange: l.processor, Outcome: decide.Cancelled,
+		Took: now - l.sentAt, Concluded: true, Report: c.circuitReport(l.group)})
 }
 
 // endStandingCall ends a standing call; by is the leg whose far end ended it. The call counts as cut if the far
@@ -321,8 +325,8 @@
 	k.attemptRecords[out.recordIndex].Duration = k.answered - out.sentAt
 	c.detach(by, 0)
 	c.detach(other, max(cause, NormalClearing))
-	c.enqueue(decide.AttemptEnded{Call: k.id, Attempt: out.attempt, Exchange: out.exchange, Outcome: o,
-		Took: now - out.sentAt, Concluded: true, Report: c.report(out.group)})
+	c.addEvent(decide.AttemptEnded{Call: k.id, Attempt: out.attempt, Exchange: out.processor, Outcome: o,
+		Took: now - out.sentAt, Concluded: true, Report: c.circuitReport(out.group)})
 	c.endCall(now, k, end, cause, source)
 }
 
@@ -356,18 +360,19 @@
 	c.emit(release)
 }
 
-// answerOverdue answers a call that the controller left unanswered, so that the caller does not wait in vain.
+// answerOverdue gives the final answer to a call that the controller left unanswered until the watchdog timer
+// expired, so that the caller is answered within its patience.
 func (c *Core) answerOverdue(now time.Duration, k *call) {
 	if k.standing {
 		return
 	}
-	if k.awaitingRecord { // only the record is missing: do not exceed the caller's patience for it
+	if k.awaitingRecord { // the far end answered: the caller's patience takes precedence over the record
 		c.Stats.AnsweredNotDurable++
 		c.completeAnswer(now, k)
 		return
 	}
 	c.Stats.Overdue++
-	c.enqueue(decide.CallerAbandoned{Call: k.id})
+	c.addEvent(decide.CallerAbandoned{Call: k.id})
 	c.cancelAttempt(now, k)
 	c.detach(k.inLeg, 0)
 	c.emit(Output{Kind: Release, Leg: k.inLeg.id, Cause: TimerExpired})
@@ -376,8 +381,8 @@
 
 // endCall removes a finished call and returns the RecordSeq of its final record.
 func (c *Core) endCall(now time.Duration, k *call, end End, cause Cause, source EndSource) uint64 {
-	c.queue.Stop(&k.attemptTimer)
-	c.queue.Stop(&k.watchdog)
+	c.timerQueue.Stop(&k.attemptTimer)
+	c.timerQueue.Stop(&k.watchdog)
 	delete(c.calls, k.id)
 	c.Stats.Ends[end]++
 	return c.addRecord(now, k, Record{End: end, Cause: cause, EndSource: source})
--- a/internal/call/model.go
+++ b/internal/call/model.go
@@ -25,7 +25,7 @@
 	ViaTandem bool // a tandem has already forwarded the call
 }
 
-// Origin is where a call came from.
+// Origin is where a call came from: an exchange or a subscriber, and the bearer of its leg.
 type Origin struct {
 	Exchange int // number of the exchange at the other end of the incoming trunk group, or Subscriber
 	Bearer   Bearer
@@ -45,18 +45,18 @@
 
 // Kinds of Output.
 const (
-	Connect OutputKind = iota + 1 // set up Leg toward Exchange with Request
+	Connect OutputKind = iota + 1 // set up Leg toward the processor Exchange with Request
 	Proceed                       // indicate to the caller on Leg that the call is proceeding
 	Answer                        // answer Leg and join it with Other
 	Release                       // release Leg with Cause
 )
 
-// Output is an instruction to a front.
+// Output is an instruction to a front. Kind determines which of the other fields are set.
 type Output struct {
 	Kind     OutputKind
 	Leg      LegID
 	Other    LegID
-	Exchange decide.ExchangeID
+	Exchange decide.ExchangeID // ID of the processor to which Connect sends the set-up
 	Request  Request
 	Cause    Cause
 	Text     string
@@ -71,7 +71,7 @@
 	CutOff                   // answered, and cut afterwards
 	Refused                  // the final answer was a refusal
 	Failed                   // the final answer was a failure
-	Abandoned                // the caller hung up before the answer
+	Abandoned                // the caller hung up, or was lost, before the answer
 )
 
 func (e End) String() string {
@@ -101,9 +101,9 @@
 
 // Attempt is one attempt to set up a call, including one that could not be sent.
 type Attempt struct {
-	Exchange  int // number of the exchange that it was sent to
-	Processor decide.ExchangeID
-	Tandem    bool
+	Exchange  int               // number of its exchange; decide.Unknown if the processor is not listed
+	Processor decide.ExchangeID // ID of the processor that it was sent to
+	Tandem    bool              // sent via a tandem instead of directly to the destination
 	Bearer    Bearer
 	Sent      time.Duration // on the router's clock
 	Duration  time.Duration // until its answer, or its end without one
@@ -142,7 +142,7 @@
 	Offered            uint64 // calls accepted
 	Rejected           uint64 // calls rejected without a record
 	Ends               [Abandoned + 1]uint64
-	Attempts           uint64
+	Attempts           uint64 // set-ups sent
 	Overdue            uint64 // calls answered by the watchdog timer: a defect of the controller
 	Withdrawn          uint64 // set-ups withdrawn before the end of a drain's grace period
 	AnsweredNotDurable uint64 // answers sent before their record was durable
--- a/internal/call/plan.go
+++ b/internal/call/plan.go
@@ -104,7 +104,7 @@
 	return p.tenantPrefixes.add(prefix, tenant)
 }
 
-// PlanKey is what an entry of the plan is keyed by, besides prefixes.
+// PlanKey is the property of a request that an entry of the plan matches, where it is not a prefix.
 type PlanKey uint8
 
 // Kinds of PlanKey.
@@ -154,7 +154,8 @@
 	return fallback
 }
 
-// calledNumberKey returns the key under which the controller counts calls to a number.
+// calledNumberKey returns the key under which the controller counts calls to a number: the number with a leading 1,
+// which preserves leading zeros, or a hash if it is not decimal or too long.
 func calledNumberKey(called string) uint64 {
 	if n, err := strconv.ParseUint("1"+called, 10, 64); err == nil {
 		return n
