--- a/internal/trunk/trunk.go
+++ b/internal/trunk/trunk.go
@@ -2,7 +2,7 @@
 //
 // A trunk group joins two exchanges. Its circuits are shared by both ends and by calls in transit. This end
 // knows only the calls that it sent or received over the group. A circuit is in use from the first message of a
-// set-up until the far end has confirmed the release, or is considered lost.
+// set-up until the far end has confirmed the release or is considered lost.
 package trunk
 
 import (
@@ -28,8 +28,7 @@
 // Used returns the numbers of circuits used by calls sent and by calls received.
 func (g *Group) Used() (out, in int) { return g.out, g.in }
 
-// Free returns the number of free circuits. It is 0 while a group that lost circuits carries more calls than it
-// has circuits left.
+// Free returns the number of free circuits. It is 0 if the group was resized to fewer circuits than are in use.
 func (g *Group) Free() int { return max(0, g.size-g.out-g.in) }
 
 // Seize takes width circuits for a call to be sent. It returns false and takes none if fewer are free.
--- a/internal/trunk/trunk_test.go
+++ b/internal/trunk/trunk_test.go
@@ -10,10 +10,10 @@
 func TestGroupCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 12).Draw(t, "size")
-		b := NewGroupTable(map[int]int{3: size})
-		g := b.Group(3)
-		type heldCircuits struct{ width, in int }
-		var calls []heldCircuits
+		table := NewGroupTable(map[int]int{3: size})
+		g := table.Group(3)
+		type seizedCircuits struct{ width, in int }
+		var calls []seizedCircuits
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			used := 0
 			for _, c := range calls {
@@ -24,12 +24,12 @@
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				c := heldCircuits{rapid.IntRange(0, 4).Draw(t, "width"), rapid.IntRange(0, 1).Draw(t, "in")}
-				take := g.Seize
+				c := seizedCircuits{rapid.IntRange(0, 4).Draw(t, "width"), rapid.IntRange(0, 1).Draw(t, "in")}
+				reserve := g.Seize
 				if c.in == 1 {
-					take = g.Admit
+					reserve = g.Admit
 				}
-				ok := take(c.width)
+				ok := reserve(c.width)
 				if want := c.width > 0 && size-used >= c.width; ok != want {
 					t.Fatalf("taking %d of %d free: %v", c.width, size-used, ok)
 				}
@@ -48,7 +48,7 @@
 				}
 			case 3:
 				size = rapid.IntRange(0, 12).Draw(t, "new size")
-				b.Resize(map[int]int{3: size})
+				table.Resize(map[int]int{3: size})
 			}
 		}
 	})
@@ -66,20 +66,20 @@
 }
 
 func TestForEachChangedReportsOnce(t *testing.T) {
-	b := NewGroupTable(map[int]int{2: 5, 1: 4})
+	table := NewGroupTable(map[int]int{2: 5, 1: 4})
 	changed := func() (neighbours []int) {
-		b.ForEachChanged(func(g *Group) { neighbours = append(neighbours, g.Neighbour()) })
+		table.ForEachChanged(func(g *Group) { neighbours = append(neighbours, g.Neighbour()) })
 		return neighbours
 	}
 	if got := changed(); len(got) != 2 || got[0] != 1 {
 		t.Errorf("new groups: %v", got)
 	}
-	b.Group(2).Seize(1)
+	table.Group(2).Seize(1)
 	if got := changed(); len(got) != 1 || got[0] != 2 {
 		t.Errorf("after a call: %v", got)
 	}
-	b.Resize(map[int]int{1: 4})
-	if got := changed(); len(got) != 1 || b.Group(2).Free() != 0 {
+	table.Resize(map[int]int{1: 4})
+	if got := changed(); len(got) != 1 || table.Group(2).Free() != 0 {
 		t.Errorf("after its group was removed: %v", got)
 	}
 }
