--- a/internal/front/iaxfront/front.go
+++ b/internal/front/iaxfront/front.go
@@ -86,14 +86,15 @@
 	case iax2.Released:
 		f.core.Released(now, leg, call.Cause(e.Cause))
 	case iax2.Lost:
-		f.core.Lost(now, leg, e.Reason != iax2.NoReply)
+		f.core.Lost(now, leg, e.Reason != iax2.NoReply) // any other reason means that the far end has no state
 	case iax2.Closed:
 		delete(f.dialogs, leg)
 		f.core.Closed(now, leg)
 	}
 }
 
-// Execute carries out an output of the core. It returns false if the leg does not belong to this front.
+// Execute executes an output of the core. It returns false if the leg or the processor does not belong to this
+// front.
 func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -11,7 +11,7 @@
 	"pipitring/internal/m3ua"
 )
 
-// ConnID identifies a connection of the runtime.
+// ConnID identifies a connection. The runtime assigns it.
 type ConnID uint64
 
 // GroupConfig configures one circuit group.
@@ -25,7 +25,7 @@
 	Groups      []GroupConfig
 	Link        m3ua.Config
 	Mode        uint32 // traffic mode of several associations to one exchange
-	OwnExchange int    // number of the own exchange; calls from its switch come from subscribers
+	OwnExchange int    // number of this exchange; calls from its switch count as calls from subscribers
 }
 
 // initialHopCounter is the hop counter of a call that no tandem has forwarded. A tandem decrements it.
@@ -37,8 +37,8 @@
 	config           Config
 	groups           []*group // in ascending order of exchange number
 	groupByPointCode map[uint32]*group
-	conns            map[ConnID]*conn
-	connOrder        []*conn
+	associations     map[ConnID]*association
+	associationOrder []*association
 	legs             map[call.LegID]*leg
 	routes           map[decide.ExchangeID]*group
 	Stats            Stats
@@ -88,8 +88,8 @@
 	circuitsReset bool
 }
 
-// conn is one association.
-type conn struct {
+// association is an M3UA association over one connection.
+type association struct {
 	id      ConnID
 	link    *m3ua.Link
 	group   *group // nil until the other end has identified itself
@@ -107,7 +107,7 @@
 
 // New returns a front without associations.
 func New(core *call.Core, c Config) *Front {
-	f := &Front{core: core, config: c, groupByPointCode: map[uint32]*group{}, conns: map[ConnID]*conn{},
+	f := &Front{core: core, config: c, groupByPointCode: map[uint32]*group{}, associations: map[ConnID]*association{},
 		legs: map[call.LegID]*leg{}, routes: map[decide.ExchangeID]*group{}}
 	for _, gc := range c.Groups {
 		g := &group{exchange: gc.Exchange, isup: isup.NewGroup(gc.Circuits), ownPointCode: gc.Circuits.OwnPointCode,
@@ -165,49 +165,49 @@
 // to, or -1 for an incoming connection, whose other end identifies itself by sending its point code as ASP
 // identifier.
 func (f *Front) Connected(now time.Duration, id ConnID, exchange int) {
-	k := &conn{id: id}
+	assoc := &association{id: id}
 	cfg := f.config.Link
 	if exchange >= 0 {
-		k.group = f.group(exchange)
-		cfg.ASP = k.group.ownPointCode
+		assoc.group = f.group(exchange)
+		cfg.ASP = assoc.group.ownPointCode
 	}
-	k.link = m3ua.NewLink(now, exchange >= 0, cfg)
-	f.conns[id] = k
-	f.connOrder = append(f.connOrder, k)
+	assoc.link = m3ua.NewLink(now, exchange >= 0, cfg)
+	f.associations[id] = assoc
+	f.associationOrder = append(f.associationOrder, assoc)
 }
 
 // Receive processes bytes received on a connection.
 func (f *Front) Receive(now time.Duration, id ConnID, b []byte) {
-	if k := f.conns[id]; k != nil {
-		k.link.Receive(now, b)
+	if assoc := f.associations[id]; assoc != nil {
+		assoc.link.Receive(now, b)
 	}
 }
 
 // Disconnected reports that a connection was closed.
 func (f *Front) Disconnected(now time.Duration, id ConnID) {
-	k := f.conns[id]
-	if k == nil {
+	assoc := f.associations[id]
+	if assoc == nil {
 		return
 	}
-	delete(f.conns, id)
-	f.connOrder = slices.DeleteFunc(f.connOrder, func(o *conn) bool { return o == k })
-	f.deactivate(now, k)
+	delete(f.associations, id)
+	f.associationOrder = slices.DeleteFunc(f.associationOrder, func(o *association) bool { return o == assoc })
+	f.deactivate(now, assoc)
 }
 
 // Outgoing calls write with the bytes to send on each connection, and closing for each connection that must be
 // closed.
 func (f *Front) Outgoing(write func(ConnID, []byte), closing func(ConnID)) {
-	for i := 0; i < len(f.connOrder); i++ {
-		k := f.connOrder[i]
-		if len(k.link.Out) > 0 {
-			write(k.id, k.link.Out)
-			k.link.Out = k.link.Out[:0]
+	for i := 0; i < len(f.associationOrder); i++ {
+		assoc := f.associationOrder[i]
+		if len(assoc.link.Out) > 0 {
+			write(assoc.id, assoc.link.Out)
+			assoc.link.Out = assoc.link.Out[:0]
 		}
-		if k.closing {
-			delete(f.conns, k.id)
-			f.connOrder = slices.Delete(f.connOrder, i, i+1)
+		if assoc.closing {
+			delete(f.associations, assoc.id)
+			f.associationOrder = slices.Delete(f.associationOrder, i, i+1)
 			i--
-			closing(k.id)
+			closing(assoc.id)
 		}
 	}
 }
@@ -219,8 +219,8 @@
 			at, ok = t, true
 		}
 	}
-	for _, k := range f.connOrder {
-		earliest(k.link.Next())
+	for _, assoc := range f.associationOrder {
+		earliest(assoc.link.Next())
 	}
 	for _, g := range f.groups {
 		earliest(g.isup.Next())
@@ -230,8 +230,8 @@
 
 // Advance runs all timers that are due at now.
 func (f *Front) Advance(now time.Duration) {
-	for _, k := range f.connOrder {
-		k.link.Advance(now)
+	for _, assoc := range f.associationOrder {
+		assoc.link.Advance(now)
 	}
 	for _, g := range f.groups {
 		g.isup.Advance(now)
@@ -239,29 +239,28 @@
 }
 
 // Pump exchanges events between associations, circuit groups and the core. It reports whether there were any.
-func (f *Front) Pump(now time.Duration) (worked bool) {
-	for i := 0; i < len(f.connOrder); i++ {
-		k := f.connOrder[i]
-		for j := 0; j < len(k.link.Events); j++ {
-			f.handleLinkEvent(now, k, k.link.Events[j])
-			worked = true
+func (f *Front) Pump(now time.Duration) (processed bool) {
+	for i := 0; i < len(f.associationOrder); i++ {
+		assoc := f.associationOrder[i]
+		for j := 0; j < len(assoc.link.Events); j++ {
+			f.handleLinkEvent(now, assoc, assoc.link.Events[j])
+			processed = true
 		}
-		k.link.Events = k.link.Events[:0]
+		assoc.link.Events = assoc.link.Events[:0]
 	}
 	for _, g := range f.groups {
 		for j := 0; j < len(g.isup.Events); j++ {
 			f.handleCallEvent(now, g, g.isup.Events[j])
-			worked = true
+			processed = true
 		}
 		g.isup.Events = g.isup.Events[:0]
 		f.sendMessages(g)
 	}
-	return worked
+	return processed
 }
 
 // sendMessages sends a group's messages over its associations. A message that no association accepts is
-// dropped; the circuits' timers, or RetransmitPending once an association is active again, make up for the
-// loss.
+// dropped. The circuits' timers, or RetransmitPending when an association becomes active, recover from the loss.
 func (f *Front) sendMessages(g *group) {
 	for i := range g.isup.Out {
 		o := &g.isup.Out[i]
@@ -273,33 +272,33 @@
 	g.isup.Out = g.isup.Out[:0]
 }
 
-func (f *Front) handleLinkEvent(now time.Duration, k *conn, e m3ua.Event) {
+func (f *Front) handleLinkEvent(now time.Duration, assoc *association, e m3ua.Event) {
 	switch e.Kind {
 	case m3ua.Activated:
-		if k.group == nil {
-			k.group = f.groupByPointCode[k.link.PeerASP()]
+		if assoc.group == nil {
+			assoc.group = f.groupByPointCode[assoc.link.PeerASP()]
 		}
-		if k.group == nil {
+		if assoc.group == nil {
 			f.Stats.UnknownPeer++
-			k.closing = true
+			assoc.closing = true
 			return
 		}
-		k.group.server.Add(k.link)
+		assoc.group.server.Add(assoc.link)
 		switch {
-		case !k.group.circuitsReset:
-			k.group.circuitsReset = true
-			k.group.isup.ResetAll(now)
-		case k.group.server.Active() == 1:
-			k.group.isup.RetransmitPending(now)
+		case !assoc.group.circuitsReset:
+			assoc.group.circuitsReset = true
+			assoc.group.isup.ResetAll(now)
+		case assoc.group.server.Active() == 1:
+			assoc.group.isup.RetransmitPending(now)
 		}
 	case m3ua.Deactivated:
-		f.deactivate(now, k)
+		f.deactivate(now, assoc)
 	case m3ua.AssociationDown:
-		k.closing = true
-		f.deactivate(now, k)
+		assoc.closing = true
+		f.deactivate(now, assoc)
 	case m3ua.Received:
 		g := f.groupByPointCode[e.Data.OPC]
-		if g == nil || g != k.group || e.Data.SI != m3ua.ServiceIndicatorISUP || e.Data.DPC != g.ownPointCode {
+		if g == nil || g != assoc.group || e.Data.SI != m3ua.ServiceIndicatorISUP || e.Data.DPC != g.ownPointCode {
 			f.Stats.UnknownPeer++
 			return
 		}
@@ -307,16 +306,16 @@
 	}
 }
 
-// deactivate takes an association out of service. When the last association to an exchange is lost, the calls
-// being set up there end as cut, once. Standing calls continue; those that end are released once an association is
-// active again.
-func (f *Front) deactivate(now time.Duration, k *conn) {
-	g := k.group
+// deactivate takes an association out of service. When the last association to an exchange is lost, each set-up in
+// progress there ends as cut. Standing calls continue. The release of one that ends meanwhile is retransmitted when an
+// association is active again.
+func (f *Front) deactivate(now time.Duration, assoc *association) {
+	g := assoc.group
 	if g == nil {
 		return
 	}
 	activeBefore := g.server.Active()
-	g.server.Remove(k.link)
+	g.server.Remove(assoc.link)
 	if activeBefore == 0 || g.server.Active() > 0 {
 		return
 	}
@@ -357,7 +356,7 @@
 	case isup.Released:
 		f.core.Released(now, l.id, call.Cause(e.Cause))
 	case isup.Glare:
-		f.core.Lost(now, l.id, true) // the core waits before it repeats the set-up
+		f.core.Lost(now, l.id, true) // the controller observes the release wait before the next set-up
 	case isup.Lost:
 		f.core.Lost(now, l.id, e.Reset)
 	case isup.Closed:
@@ -380,7 +379,8 @@
 	g.isup.Accept(now, e.Call) // stops T7 at the far end: the call is accepted or released at once
 }
 
-// Execute carries out an output of the core. It returns false if the leg does not belong to this front.
+// Execute executes an output of the core. It returns false if the leg or the processor does not belong to this
+// front.
 func (f *Front) Execute(now time.Duration, o call.Output) bool {
 	if o.Kind == call.Connect {
 		return f.connect(now, o)
