--- a/internal/node/isup_test.go
+++ b/internal/node/isup_test.go
@@ -21,13 +21,13 @@
 
 // pipe is a connection between two routers.
 type pipe struct {
-	routers  [2]int // the routers at its ends
-	connIDs  [2]isupfront.ConnID
-	inFlight [2][]chunk // toward each end
-	down     bool
-	readSize int // bytes per read; 0 reads everything
-	cutAt    int // bytes after which the connection is cut; 0 never cuts it
-	passed   int
+	routers   [2]int // the routers at its ends
+	connIDs   [2]isupfront.ConnID
+	inFlight  [2][]chunk // toward each end
+	down      bool
+	readSize  int // bytes per read; 0 reads everything
+	cutAt     int // bytes after which the connection is cut; 0 never cuts it
+	bytesRead int // in both directions, counted only if cutAt is set
 }
 
 type chunk struct {
@@ -82,8 +82,8 @@
 	}
 }
 
-// carry moves the bytes that the nodes wrote into the pipes.
-func (w *mixedNetwork) carry() {
+// collectOutput puts the bytes that the nodes have written into the pipes, and cuts the pipes that they close.
+func (w *mixedNetwork) collectOutput() {
 	for x, n := range w.nodes {
 		n.ISUP().Outgoing(func(id isupfront.ConnID, b []byte) {
 			for _, p := range w.pipes {
@@ -107,7 +107,7 @@
 func (w *mixedNetwork) runUntil(until time.Duration) {
 	for ; w.now < until; w.now += ms {
 		w.network.run(w.now)
-		w.carry()
+		w.collectOutput()
 		for _, p := range w.pipes {
 			for end := range 2 {
 				for len(p.inFlight[end]) > 0 && p.inFlight[end][0].at <= w.now {
@@ -120,7 +120,7 @@
 						}
 						if p.cutAt > 0 {
 							k = 1
-							if p.passed++; p.passed > p.cutAt {
+							if p.bytesRead++; p.bytesRead > p.cutAt {
 								w.cut(p)
 								break
 							}
@@ -134,7 +134,7 @@
 			}
 		}
 		w.flush()
-		w.carry()
+		w.collectOutput()
 	}
 }
 
@@ -230,7 +230,7 @@
 // ANM, REL and RLC are each cut at every position. The caller gets at most one final answer, no set-up is
 // duplicated, and the circuit becomes idle at both ends.
 func TestCutAtEveryByte(t *testing.T) {
-	for cut, whole := 1, false; !whole; cut++ {
+	for cut, uncut := 1, false; !uncut; cut++ {
 		w := newMixedNetwork(t, 2, 4)
 		p := w.pipes[0]
 		p.cutAt = cut
@@ -238,7 +238,7 @@
 		w.runUntil(w.now + 100*ms)
 		d.Release(w.now, iax2.CauseNormal, "")
 		w.runUntil(w.now + 100*ms)
-		if whole = !p.down; !whole {
+		if uncut = !p.down; !uncut {
 			w.connect(0, 1)
 		}
 		w.runUntil(w.now + 4*time.Second)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,9 +33,9 @@
 	isup      *isupfront.Front
 	settings  Settings
 	list      registry.List
-	starts    registry.StartTimes
-	listKnown bool              // the first list has been received
-	peers     map[int]iax2.Addr // last known address of each exchange's router
+	starts    registry.StartTimes // estimated start times of the processors on the list
+	listKnown bool                // the first list has been received
+	peers     map[int]iax2.Addr   // last known address of each exchange's router
 }
 
 // New returns a router without calls or exchange list.
@@ -173,14 +173,14 @@
 // pump passes events to the core and its outputs to the fronts until there are none left.
 func (n *Node) pump(now time.Duration) {
 	for {
-		worked := n.iax.Pump(now)
-		if !n.isup.Pump(now) && !worked && len(n.Core.Outputs) == 0 {
+		processed := n.iax.Pump(now)
+		if !n.isup.Pump(now) && !processed && len(n.Core.Outputs) == 0 {
 			return
 		}
 		for i := 0; i < len(n.Core.Outputs); i++ {
 			o := n.Core.Outputs[i]
 			if !n.iax.Execute(now, o) && !n.isup.Execute(now, o) && o.Kind == call.Connect {
-				// The controller chose the exchange before it processed its removal from the list in the same
+				// The controller chose the processor before it processed the list update that removed it in the same
 				// step.
 				n.Core.Released(now, o.Leg, call.NoRoute)
 				n.Core.Closed(now, o.Leg)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -369,17 +369,17 @@
 	w.drop = nil
 	w.media = func(to iax2.Addr, payload string) { seen = append(seen, fmt.Sprint(to.IP[2], to.IP[3], " ", payload)) }
 	d := w.call("15")
-	speak := func(from iax2.Addr, router int, number uint16, text string) {
+	sendMedia := func(from iax2.Addr, router int, number uint16, text string) {
 		w.inFlight = append(w.inFlight, datagram{w.now + 5*ms, from, routerAddr(router), iax2.AppendMini(nil, number, 1, []byte(text))})
 		w.run(w.now + 50*ms)
 	}
-	speak(callerAddr, 0, d.CallNumber(), "early")
+	sendMedia(callerAddr, 0, d.CallNumber(), "early")
 	w.run(w.now + 300*ms)
-	speak(callerAddr, 0, d.CallNumber(), "help")
-	speak(switchAddr(1), 1, w.offered[0].Dialog.CallNumber(), "coming")
+	sendMedia(callerAddr, 0, d.CallNumber(), "help")
+	sendMedia(switchAddr(1), 1, w.offered[0].Dialog.CallNumber(), "coming")
 	d.Release(w.now, iax2.CauseNormal, "")
 	w.run(w.now + 300*ms)
-	speak(callerAddr, 0, d.CallNumber(), "late")
+	sendMedia(callerAddr, 0, d.CallNumber(), "late")
 	if want := []string{"2 1 help", "0 99 coming"}; !slices.Equal(seen, want) {
 		t.Errorf("media arrived as %q, want %q", seen, want)
 	}
@@ -435,7 +435,7 @@
 
 // A set-up is lost and its exchange is then removed from the list. At whatever time it was lost, it is not
 // retransmitted after the grace period.
-func TestNoRetransmissionAfterTheGrace(t *testing.T) {
+func TestNoRetransmissionAfterGracePeriod(t *testing.T) {
 	for lead := time.Duration(0); lead < 1200*ms; lead += 50 * ms {
 		w := newNetwork(t, 2, firstDigitPlan)
 		removedAt := w.now + lead
@@ -461,9 +461,9 @@
 	}
 }
 
-// An update of a router's address on the list takes effect, so that its calls are still recognised as coming
+// A new address of a router on the exchange list takes effect, so that its calls are still recognised as arriving
 // over the trunk group.
-func TestPeersFollowTheList(t *testing.T) {
+func TestPeerAddressUpdate(t *testing.T) {
 	w := newNetwork(t, 2, firstDigitPlan)
 	moved := w.nodes[0].List()
 	moved.Entries = slices.Clone(moved.Entries)
