--- a/internal/rules/isup.go
+++ b/internal/rules/isup.go
@@ -14,9 +14,9 @@
 // maxTransitTime is how long a message may be in transit on a link, including TCP retransmissions.
 const maxTransitTime = time.Second
 
-// handleMessage checks one M3UA message. A call on a circuit is a dialog like an IAX2 one: IAM opens it, ANM or
+// handleM3UAMessage checks one M3UA message. A call on a circuit is a dialog like an IAX2 one: IAM opens it, ANM or
 // CON answers it, and REL from either end ends it.
-func (c *Checker) handleMessage(from, to capture.Party, b []byte) {
+func (c *Checker) handleM3UAMessage(from, to capture.Party, b []byte) {
 	var m m3ua.Message
 	if err := m3ua.Parse(b, &m); err != nil {
 		c.report.Malformed++
@@ -81,9 +81,11 @@
 	return nil
 }
 
-// handleIAM checks an IAM. On dual seizure, the call of the end that does not control the circuit is dropped;
-// theirs is the other end's call, or nil, and higher whether the IAM comes from the higher point code.
-func (c *Checker) handleIAM(k dialogKey, theirs *dialog, msg *isup.Message, higher bool) {
+// handleIAM checks an IAM. opposite is the call that the receiver of the IAM has set up on the same circuit, nil if
+// there is none. If it is unanswered this is a dual seizure, and the call of the end that does not control the circuit
+// is dropped. fromHigherCode is set if the sender of the IAM has the higher point code, which controls the circuits
+// with even CICs.
+func (c *Checker) handleIAM(k dialogKey, opposite *dialog, msg *isup.Message, fromHigherCode bool) {
 	call, _ := isup.ParseNumber(msg.Param(isup.CallingNumber))
 	if k.opener.Kind == capture.Router {
 		c.checkDrain(k.opener, k.other, call)
@@ -98,18 +100,18 @@
 	}
 	d := &dialog{dialogKey: k, opened: c.now, call: call, context: context}
 	c.beginSetUp(d)
-	if theirs == nil || theirs.answered {
+	if opposite == nil || opposite.answered {
 		return
 	}
-	loser := d
-	if controls := (msg.CIC%2 == 0) == higher; controls {
-		loser = theirs
+	dropped := d
+	if controls := (msg.CIC%2 == 0) == fromHigherCode; controls {
+		dropped = opposite
 	}
-	c.endAttempt(loser, "overridden by the far end's call")
-	if !c.Exact || loser.acknowledged {
-		c.endCall(loser)
+	c.endAttempt(dropped, "overridden by the far end's call")
+	if !c.Exact || dropped.acknowledged {
+		c.endCall(dropped)
 	}
-	loser.attemptEnded = true
+	dropped.attemptEnded = true
 }
 
 // handleCircuitReset ends the calls on circuits that one end reset or reported as unequipped.
--- a/internal/rules/ladder.go
+++ b/internal/rules/ladder.go
@@ -17,16 +17,16 @@
 	Call string
 	W    io.Writer
 
-	first    time.Time
-	dialogs  map[dialogKey]bool
-	circuits map[dialogKey]bool // keyed by the end that sent the IAM
-	elements iax2.Elements
+	captureStart time.Time
+	dialogs      map[dialogKey]bool
+	circuits     map[dialogKey]bool // keyed by the end that sent the IAM
+	elements     iax2.Elements
 }
 
 // Packet prints a packet if it belongs to the call.
 func (l *Ladder) Packet(p capture.Packet) {
 	if l.dialogs == nil {
-		l.dialogs, l.circuits, l.first = map[dialogKey]bool{}, map[dialogKey]bool{}, p.At
+		l.dialogs, l.circuits, l.captureStart = map[dialogKey]bool{}, map[dialogKey]bool{}, p.At
 	}
 	switch {
 	case p.M3UA:
@@ -41,7 +41,7 @@
 		}
 		return
 	case p.Notice != nil && p.Notice.Router != nil:
-		fmt.Fprintf(l.W, "%10.3f s  router %d up: %v\n", p.At.Sub(l.first).Seconds(), p.Notice.Router.Exchange, p.Notice.Router.Up)
+		fmt.Fprintf(l.W, "%10.3f s  router %d up: %v\n", p.At.Sub(l.captureStart).Seconds(), p.Notice.Router.Exchange, p.Notice.Router.Up)
 		return
 	}
 	var f iax2.Frame
@@ -67,13 +67,13 @@
 	if f.Retransmitted {
 		suffix = " (repeat)"
 	}
-	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %5d>%-5d %3d/%-3d %s%s%s\n", p.At.Sub(l.first).Seconds(), p.From, p.To, f.Source,
+	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %5d>%-5d %3d/%-3d %s%s%s\n", p.At.Sub(l.captureStart).Seconds(), p.From, p.To, f.Source,
 		f.Dest, f.OSeq, f.ISeq, f.Name(), text, suffix)
 }
 
 // printLine prints one line about a packet that is not an IAX2 frame.
 func (l *Ladder) printLine(p capture.Packet, text string) {
-	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %s\n", p.At.Sub(l.first).Seconds(), p.From, p.To, text)
+	fmt.Fprintf(l.W, "%10.3f s  %-14v > %-14v %s\n", p.At.Sub(l.captureStart).Seconds(), p.From, p.To, text)
 }
 
 // printMessage prints an ISUP message on a circuit that the call uses or has used.
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,5 +1,8 @@
-// Package rules checks the five rules against captured traffic. It uses only the protocols' messages and the
-// notices of a capture, and no state of the router.
+// Package rules checks captured traffic for violations of the five call-handling rules. It uses only the protocols'
+// messages and the notices of a capture, and no state of the router.
+//
+// A try is one dialling by a caller: the first of a call or a redial. An attempt is one set-up that a router sends
+// for a call.
 package rules
 
 import (
@@ -26,17 +29,18 @@
 
 func (r Rule) String() string {
 	return fmt.Sprintf("rule %d (%s)", int(r), [...]string{"", "one final answer", "one attempt at a time", "drains kept",
-		"cold switch spared", "release awaited"}[r])
+		"cold switch not overloaded", "release awaited"}[r])
 }
 
-// Tolerances. Datagrams of two sockets are recorded by two goroutines, each with its own delay.
+// Tolerances of captures from a live network. Datagrams of two sockets are recorded by two goroutines, each with its
+// own delay, so that their recorded order and times are inexact.
 const (
 	sendTolerance   = 100 * time.Millisecond // a set-up recorded this soon after the call's end may have been sent before it
 	graceTolerance  = 10 * time.Millisecond  // a set-up recorded this soon after the grace period may have been sent within it
-	waitTolerance   = 15 * time.Millisecond  // the release wait may appear shorter by this
+	waitTolerance   = 15 * time.Millisecond  // a release wait recorded as shorter by this may have been complete
 	answerTolerance = 20 * time.Millisecond  // an answer recorded this late may have been in time
-	setUpTolerance  = 4                      // set-ups above a cold switch's budget
-	budgetStep      = 50 * time.Millisecond  // step of the integration of that budget
+	setUpTolerance  = 4                      // set-ups that a window may exceed a cold switch's budget by
+	budgetStep      = 50 * time.Millisecond  // step by which a cold switch's budget is integrated over a window
 )
 
 // Violation is one violation of a rule.
@@ -77,7 +81,7 @@
 	Malformed  int
 	Datagrams  int
 	Duration   time.Duration
-	TryDetails []Try // all tries of callers, if Checker.KeepTries is set
+	TryDetails []Try // all classified tries, if Checker.KeepTries is set
 }
 
 // Try is one try of a caller.
@@ -107,18 +111,18 @@
 	KeepTries bool // lists every try in Report.TryDetails
 	// Exact is set if every packet is recorded at the moment it is sent, so that no tolerance for a busy machine
 	// is needed.
-	Exact      bool
-	report     Report
-	first      time.Time
-	parameters capture.Parameters
-	dialogs    map[dialogKey]*dialog
-	openTries  []*dialog // tries of callers, oldest first
-	calls      map[routerCall]*attempts
+	Exact        bool
+	report       Report
+	captureStart time.Time
+	parameters   capture.Parameters
+	dialogs      map[dialogKey]*dialog
+	openTries    []*dialog // tries of callers, oldest first
+	calls        map[routerCall]*callState
 	// noReadySince is, by router and exchange, the time since which the router has known no ready processor there,
 	// or -1 if it knows one.
 	noReadySince map[int]map[int]time.Duration
 	coldStarts   map[int]*coldStart
-	up           map[int]bool
+	routerUp     map[int]bool
 	killedAt     map[int]time.Duration // last time at which each router was killed
 	startedAt    map[int]time.Duration // last time at which each router started
 	now          time.Duration
@@ -141,7 +145,7 @@
 	opened          time.Duration
 	openingID       uint64 // timestamp and length of the NEW, to distinguish a retransmission from a reused number
 	tokenRequested  bool   // the other end asked for a call token
-	finals          []final
+	finalAnswers    []finalAnswer
 	releasedAt      time.Duration // when the opener sent HANGUP or REL; 0 if it has not
 	hangupTimestamp uint32        // timestamp of the opener's HANGUP
 	answered        bool
@@ -155,8 +159,8 @@
 	classified   bool
 }
 
-// final is a final answer. Frames with the same sequence number are retransmissions of the same answer.
-type final struct {
+// finalAnswer is a final answer. Frames with the same sequence number are retransmissions of the same answer.
+type finalAnswer struct {
 	seq  uint8
 	name string
 }
@@ -167,14 +171,14 @@
 	call   string
 }
 
-// attempts holds the state of a call at a router and of the set-ups that the router sent for it.
-type attempts struct {
-	outstanding *dialog
-	openCalls   int           // open dialogs by which the call reached the router
-	lastOpened  time.Duration // when the newest of them was opened; earlier set-ups belong to an older one
-	endedAt     time.Duration // end of the call at this router; 0 if it has not ended
-	notBefore   time.Duration // no set-up is allowed before this time
-	reason      string
+// callState is the state of a call at one router, with its current attempt.
+type callState struct {
+	currentAttempt *dialog       // last set-up that the router sent, nil once it has ended
+	openCalls      int           // open dialogs by which the call reached the router
+	lastOpened     time.Duration // when the newest of them was opened; earlier set-ups belong to an older one
+	endedAt        time.Duration // end of the call at this router; 0 if it has not ended
+	notBefore      time.Duration // no set-up is allowed before this time
+	waitReason     string        // why notBefore is set
 }
 
 // coldStart is the start of a processor and the set-ups sent to it since.
@@ -188,13 +192,13 @@
 // Packet checks one packet. Packets must be passed in order of time.
 func (c *Checker) Packet(p capture.Packet) {
 	if c.dialogs == nil {
-		c.dialogs, c.calls = map[dialogKey]*dialog{}, map[routerCall]*attempts{}
+		c.dialogs, c.calls = map[dialogKey]*dialog{}, map[routerCall]*callState{}
 		c.noReadySince, c.coldStarts = map[int]map[int]time.Duration{}, map[int]*coldStart{}
-		c.up, c.killedAt, c.startedAt = map[int]bool{}, map[int]time.Duration{}, map[int]time.Duration{}
+		c.routerUp, c.killedAt, c.startedAt = map[int]bool{}, map[int]time.Duration{}, map[int]time.Duration{}
 		c.report.Outcomes, c.report.Causes = map[string]map[Outcome]int{}, map[uint8]int{}
-		c.first = p.At
+		c.captureStart = p.At
 	}
-	c.now = p.At.Sub(c.first)
+	c.now = p.At.Sub(c.captureStart)
 	c.report.Duration = c.now
 	if p.Notice != nil {
 		c.handleNotice(p.Notice)
@@ -206,7 +210,7 @@
 	}
 	c.report.Datagrams++
 	if p.M3UA {
-		c.handleMessage(p.From, p.To, p.Payload)
+		c.handleM3UAMessage(p.From, p.To, p.Payload)
 		return
 	}
 	f := &c.frame
@@ -254,7 +258,7 @@
 		c.checkSlowStart(c.coldStarts[n.Started.Exchange])
 		c.coldStarts[n.Started.Exchange] = &coldStart{Started: *n.Started, startedAt: c.now}
 	case n.Router != nil:
-		c.up[n.Router.Exchange] = n.Router.Up
+		c.routerUp[n.Router.Exchange] = n.Router.Up
 		c.dropRouter(n.Router.Exchange)
 		if n.Router.Up {
 			c.startedAt[n.Router.Exchange] = c.now
@@ -269,15 +273,15 @@
 	}
 }
 
-// dropRouter drops the attempts of a router that was killed or restarted. Their callers have to try again.
+// dropRouter drops the calls and attempts of a router that was killed or started. Their callers have to dial again.
 func (c *Checker) dropRouter(router int) {
-	maps.DeleteFunc(c.calls, func(rc routerCall, _ *attempts) bool { return rc.router == router })
+	maps.DeleteFunc(c.calls, func(rc routerCall, _ *callState) bool { return rc.router == router })
 	for _, d := range c.dialogs {
 		if d.opener == (capture.Party{Kind: capture.Router, Exchange: router}) {
 			d.attemptEnded = true
 		}
 		if d.other == (capture.Party{Kind: capture.Router, Exchange: router}) {
-			d.callEnded = true // the call no longer counts at the killed router
+			d.callEnded = true // the killed router has lost its state of the call
 		}
 	}
 }
@@ -293,7 +297,7 @@
 	since := map[int]time.Duration{}
 	for x := range old {
 		if !named[x] {
-			named[x] = true // removed from the list altogether
+			named[x] = true // no entry of the exchange is left on the list
 		}
 	}
 	for x := range named {
@@ -351,7 +355,7 @@
 		return
 	}
 	if d != nil {
-		if d.tokenRequested && !d.attemptEnded && len(d.finals) == 0 && c.elements.Text(iax2.CallingNumber) == d.call {
+		if d.tokenRequested && !d.attemptEnded && len(d.finalAnswers) == 0 && c.elements.Text(iax2.CallingNumber) == d.call {
 			d.openingID = openingID // the same call repeated with a call token
 			return
 		}
@@ -366,10 +370,10 @@
 	from, to := d.opener, d.other
 	c.dialogs[d.dialogKey] = d
 	if to.Kind == capture.Router {
-		a := c.attemptsOf(to, d.call)
-		a.openCalls++
+		state := c.callStateOf(to, d.call)
+		state.openCalls++
 		// For this router it is a new call; observing the release wait is up to the sender.
-		a.endedAt, a.notBefore, a.lastOpened = 0, 0, c.now
+		state.endedAt, state.notBefore, state.lastOpened = 0, 0, c.now
 	}
 	switch from.Kind {
 	case capture.Callers:
@@ -399,26 +403,26 @@
 
 // checkAttempt checks rule 1 (nothing is sent after the end of a call), rule 2 and rule 5.
 func (c *Checker) checkAttempt(d *dialog) {
-	a := c.attemptsOf(d.opener, d.call)
+	state := c.callStateOf(d.opener, d.call)
 	switch {
-	case a.openCalls > 1:
+	case state.openCalls > 1:
 		// The router has received the call twice, once by an attempt that its sender has abandoned. Its own
 		// set-ups cannot be assigned to one of the two.
 		d.ambiguous = true
-	case a.endedAt > 0 && c.now > a.endedAt+c.tolerance(sendTolerance):
+	case state.endedAt > 0 && c.now > state.endedAt+c.tolerance(sendTolerance):
 		c.addViolation(OneAnswer, d.opener, d.call, "set-up to %v %.3f s after the call's end", d.other,
-			(c.now - a.endedAt).Seconds())
-	case a.outstanding != nil && a.outstanding.answered && a.openCalls > 0:
+			(c.now - state.endedAt).Seconds())
+	case state.currentAttempt != nil && state.currentAttempt.answered && state.openCalls > 0:
 		// The answered dialog belongs to one of the received set-ups, this one to another.
 		d.ambiguous = true
-	case a.outstanding != nil && !a.outstanding.attemptEnded && a.outstanding.opened >= a.lastOpened:
+	case state.currentAttempt != nil && !state.currentAttempt.attemptEnded && state.currentAttempt.opened >= state.lastOpened:
 		c.addViolation(OneAttempt, d.opener, d.call, "set-up to %v while the one to %v, %.3f s earlier, is in progress",
-			d.other, a.outstanding.other, (c.now - a.outstanding.opened).Seconds())
-	case a.notBefore > 0 && c.now < a.notBefore-c.tolerance(waitTolerance):
+			d.other, state.currentAttempt.other, (c.now - state.currentAttempt.opened).Seconds())
+	case state.notBefore > 0 && c.now < state.notBefore-c.tolerance(waitTolerance):
 		c.addViolation(ReleaseWaitObserved, d.opener, d.call, "set-up to %v %.3f s too early after the last one was %s", d.other,
-			(a.notBefore - c.now).Seconds(), a.reason)
+			(state.notBefore - c.now).Seconds(), state.waitReason)
 	}
-	a.outstanding, a.notBefore = d, 0
+	state.currentAttempt, state.notBefore = d, 0
 }
 
 // endAttempt records the end of a router's attempt. reason is set if the release wait applies after it.
@@ -430,10 +434,10 @@
 	if d.opener.Kind != capture.Router {
 		return
 	}
-	if a := c.calls[routerCall{d.opener.Exchange, d.call}]; a != nil && a.outstanding == d {
-		a.outstanding = nil
-		if reason != "" && !d.answered && !d.ambiguous && d.opened >= a.lastOpened {
-			a.notBefore, a.reason = c.now+c.parameters.ReleaseWait, reason
+	if state := c.calls[routerCall{d.opener.Exchange, d.call}]; state != nil && state.currentAttempt == d {
+		state.currentAttempt = nil
+		if reason != "" && !d.answered && !d.ambiguous && d.opened >= state.lastOpened {
+			state.notBefore, state.waitReason = c.now+c.parameters.ReleaseWait, reason
 		}
 	}
 }
@@ -444,22 +448,22 @@
 		return
 	}
 	d.callEnded = true
-	if a := c.attemptsOf(d.other, d.call); a.openCalls > 0 {
-		if a.openCalls--; a.openCalls == 0 {
-			a.endedAt = max(c.now, 1)
+	if state := c.callStateOf(d.other, d.call); state.openCalls > 0 {
+		if state.openCalls--; state.openCalls == 0 {
+			state.endedAt = max(c.now, 1)
 		}
 	}
 }
 
-// attemptsOf returns the state of a call at a router.
-func (c *Checker) attemptsOf(router capture.Party, call string) *attempts {
+// callStateOf returns the state of a call at a router.
+func (c *Checker) callStateOf(router capture.Party, call string) *callState {
 	rc := routerCall{router.Exchange, call}
-	a := c.calls[rc]
-	if a == nil {
-		a = &attempts{}
-		c.calls[rc] = a
+	state := c.calls[rc]
+	if state == nil {
+		state = &callState{}
+		c.calls[rc] = state
 	}
-	return a
+	return state
 }
 
 // handleReply checks a frame from the other end of a dialog.
@@ -496,21 +500,21 @@
 // retransmissions.
 func (c *Checker) handleFinalAnswer(d *dialog, seq uint8, name string, answer bool, cause uint8) {
 	end := !answer
-	if slices.ContainsFunc(d.finals, func(x final) bool { return x.seq == seq }) {
+	if slices.ContainsFunc(d.finalAnswers, func(x finalAnswer) bool { return x.seq == seq }) {
 		return // a retransmission
 	}
-	if n := len(d.finals); n > 0 && d.number&circuitFlag == 0 && int8(seq-d.finals[n-1].seq) < 0 {
+	if n := len(d.finalAnswers); n > 0 && d.number&circuitFlag == 0 && int8(seq-d.finalAnswers[n-1].seq) < 0 {
 		return // a retransmission of a lost frame that was sent before the last one
 	}
 	if d.releasedAt > 0 {
 		c.endAttempt(d, "") // the answer crossed the opener's release
 		return
 	}
-	if len(d.finals) > 0 && !(end && d.answered && len(d.finals) == 1) {
-		c.addViolation(OneAnswer, d.other, d.call, "%s after %s", name, d.finals[len(d.finals)-1].name)
+	if len(d.finalAnswers) > 0 && !(end && d.answered && len(d.finalAnswers) == 1) {
+		c.addViolation(OneAnswer, d.other, d.call, "%s after %s", name, d.finalAnswers[len(d.finalAnswers)-1].name)
 	}
-	d.finals = append(d.finals, final{seq, name})
-	if answer && !d.answered && len(d.finals) == 1 {
+	d.finalAnswers = append(d.finalAnswers, finalAnswer{seq, name})
+	if answer && !d.answered && len(d.finalAnswers) == 1 {
 		d.answered, d.answeredAt = true, c.now
 		if d.opener.Kind == capture.Callers {
 			c.report.SetUps = append(c.report.SetUps, c.now-d.opened)
@@ -590,7 +594,7 @@
 func (c *Checker) routerWasDown(d *dialog) bool {
 	x := d.other.Exchange
 	at, killed := c.killedAt[x]
-	return !c.up[x] || killed && at >= d.opened-time.Second || c.startedAt[x] >= d.opened
+	return !c.routerUp[x] || killed && at >= d.opened-time.Second || c.startedAt[x] >= d.opened
 }
 
 func (c *Checker) recordOutcome(d *dialog, o Outcome) {
@@ -635,8 +639,8 @@
 	}
 	const retention = time.Minute
 	c.openTries = slices.DeleteFunc(c.openTries, func(d *dialog) bool { return d.classified && c.now-d.opened > retention })
-	for rc, a := range c.calls {
-		if a.endedAt > 0 && c.now-a.endedAt > retention {
+	for rc, state := range c.calls {
+		if state.endedAt > 0 && c.now-state.endedAt > retention {
 			delete(c.calls, rc)
 		}
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -39,19 +39,19 @@
 	if p.w, err = capture.NewWriter(&p.buf); err != nil {
 		t.Fatal(err)
 	}
-	p.notice(capture.Notice{Parameters: &capture.Parameters{DrainGrace: time.Second, ReleaseWait: 300 * ms, OverloadMultiple: 3,
+	p.addNotice(capture.Notice{Parameters: &capture.Parameters{DrainGrace: time.Second, ReleaseWait: 300 * ms, OverloadMultiple: 3,
 		OverloadWindow: 2 * time.Second, Patience: map[string]time.Duration{"alarm": 2 * time.Second}}})
 	for x := range 3 {
-		p.notice(capture.Notice{Router: &capture.RouterState{Exchange: x, Up: true}})
+		p.addNotice(capture.Notice{Router: &capture.RouterState{Exchange: x, Up: true}})
 	}
-	p.list("ready")
+	p.addList("ready")
 	return p
 }
 
-func (p *captureBuilder) notice(n capture.Notice) { p.w.Notice(p.now, n) }
+func (p *captureBuilder) addNotice(n capture.Notice) { p.w.Notice(p.now, n) }
 
-func (p *captureBuilder) list(phase string) {
-	p.notice(capture.Notice{List: &capture.List{Router: 0, Phases: []capture.Phase{{ID: "a", Exchange: 1, Phase: phase},
+func (p *captureBuilder) addList(phase string) {
+	p.addNotice(capture.Notice{List: &capture.List{Router: 0, Phases: []capture.Phase{{ID: "a", Exchange: 1, Phase: phase},
 		{ID: "b", Exchange: 2, Phase: "ready"}}}})
 }
 
@@ -95,12 +95,12 @@
 	l.replySeq++
 }
 
-func (l *leg) repeat(t iax2.FrameType, subclass uint32) { l.replySeq--; l.reply(t, subclass, 0) }
-func (l *leg) accept()                                  { l.reply(iax2.FrameIAX, iax2.Accept, 0) }
-func (l *leg) answer()                                  { l.reply(iax2.FrameControl, iax2.ControlAnswer, 0) }
-func (l *leg) reject(cause uint32)                      { l.reply(iax2.FrameIAX, iax2.Reject, cause) }
-func (l *leg) release(cause uint32)                     { l.reply(iax2.FrameIAX, iax2.Hangup, cause) }
-func (l *leg) inval()                                   { l.reply(iax2.FrameIAX, iax2.Inval, 0) }
+func (l *leg) retransmit(t iax2.FrameType, subclass uint32) { l.replySeq--; l.reply(t, subclass, 0) }
+func (l *leg) accept()                                      { l.reply(iax2.FrameIAX, iax2.Accept, 0) }
+func (l *leg) answer()                                      { l.reply(iax2.FrameControl, iax2.ControlAnswer, 0) }
+func (l *leg) reject(cause uint32)                          { l.reply(iax2.FrameIAX, iax2.Reject, cause) }
+func (l *leg) release(cause uint32)                         { l.reply(iax2.FrameIAX, iax2.Hangup, cause) }
+func (l *leg) inval()                                       { l.reply(iax2.FrameIAX, iax2.Inval, 0) }
 
 func (p *captureBuilder) report() *Report {
 	p.t.Helper()
@@ -128,7 +128,7 @@
 	p.wait(5 * ms)
 	in.accept()
 	in.answer()
-	in.repeat(iax2.FrameControl, iax2.ControlAnswer) // a retransmission is not a second answer
+	in.retransmit(iax2.FrameControl, iax2.ControlAnswer) // a retransmission is not a second answer
 	p.wait(time.Second)
 	in.hangup()
 	two.hangup()
@@ -144,9 +144,8 @@
 	}
 }
 
-// Each planted violation is found once, under the rule that it violates. The valid variant of each is not
-// reported.
-func TestPlantedFaults(t *testing.T) {
+// Each injected violation is reported once, under the rule that it violates. The valid variants are not reported.
+func TestInjectedViolations(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule Rule // 0 if no rule is violated
@@ -163,7 +162,7 @@
 		{"no answer, the caller never hangs up", OneAnswer, func(p *captureBuilder) {
 			p.open(callers, router, 5, "c").accept()
 			p.wait(3 * time.Second)
-			p.list("ready")
+			p.addList("ready")
 		}},
 		{"answer after the caller's patience", OneAnswer, func(p *captureBuilder) {
 			in := p.open(callers, router, 5, "c")
@@ -172,7 +171,7 @@
 		}},
 		{"no answer from a router that was killed", 0, func(p *captureBuilder) {
 			in := p.open(callers, router, 5, "c")
-			p.wait(100 * ms).notice(capture.Notice{Router: &capture.RouterState{Exchange: 0}})
+			p.wait(100 * ms).addNotice(capture.Notice{Router: &capture.RouterState{Exchange: 0}})
 			p.wait(2 * time.Second)
 			in.hangup()
 		}},
@@ -201,23 +200,23 @@
 			p.open(router, tandem, 6, "c").accept()
 			p.wait(400*ms).open(router, destination, 7, "c")
 		}},
-		{"set-up after the grace", DrainObserved, func(p *captureBuilder) {
-			p.list("draining")
-			p.wait(500 * ms).list("draining")
+		{"set-up after the grace period", DrainObserved, func(p *captureBuilder) {
+			p.addList("draining")
+			p.wait(500 * ms).addList("draining")
 			p.wait(530*ms).open(router, destination, 6, "c")
 		}},
-		{"repeat of a set-up after the grace", DrainObserved, func(p *captureBuilder) {
+		{"retransmission of a set-up after the grace period", DrainObserved, func(p *captureBuilder) {
 			p.open(router, destination, 6, "c")
-			p.list("gone")
+			p.addList("gone")
 			p.wait(1200*ms).open(router, destination, 6, "c")
 		}},
-		{"set-up within the grace", 0, func(p *captureBuilder) { p.list("draining"); p.wait(990*ms).open(router, destination, 6, "c") }},
+		{"set-up within the grace period", 0, func(p *captureBuilder) { p.addList("draining"); p.wait(990*ms).open(router, destination, 6, "c") }},
 		{"set-up after it is ready again", 0, func(p *captureBuilder) {
-			p.list("draining")
-			p.wait(2 * time.Second).list("ready")
+			p.addList("draining")
+			p.wait(2 * time.Second).addList("ready")
 			p.open(router, destination, 6, "c")
 		}},
-		{"set-up by a router without the list update", 0, func(p *captureBuilder) { p.list("gone"); p.wait(2*time.Second).open(tandem, destination, 6, "c") }},
+		{"set-up by a router without the list update", 0, func(p *captureBuilder) { p.addList("gone"); p.wait(2*time.Second).open(tandem, destination, 6, "c") }},
 		{"cold switch over its budget", SlowStartObserved, func(p *captureBuilder) { playColdBurst(p, 40) }},
 		{"cold switch within its budget", 0, func(p *captureBuilder) { playColdBurst(p, 18) }},
 		{"sent again too early after a time-out", ReleaseWaitObserved, func(p *captureBuilder) {
@@ -259,7 +258,7 @@
 // playColdBurst sends n set-ups in 400 ms to a processor with a rate of 10 per second, 2 s after a start at 0.3
 // of that.
 func playColdBurst(p *captureBuilder, n int) {
-	p.notice(capture.Notice{Started: &capture.Started{Exchange: 1, ID: "a", Rate: 10, ColdCapacity: 0.3, ColdDuration: 10 * time.Second}})
+	p.addNotice(capture.Notice{Started: &capture.Started{Exchange: 1, ID: "a", Rate: 10, ColdCapacity: 0.3, ColdDuration: 10 * time.Second}})
 	p.wait(2 * time.Second)
 	for i := range n {
 		p.wait(400*ms/time.Duration(n)).open(destination, destinationSwitch, uint16(100+i), fmt.Sprint("cold", i)).answer()
@@ -295,23 +294,23 @@
 	}
 }
 
-// circuit sends one ISUP message from one router to another.
-func (p *captureBuilder) circuit(from, to capture.Party, cic isup.CIC, t isup.Type, params ...isup.Parameter) {
+// sendISUP sends one ISUP message from one router to another.
+func (p *captureBuilder) sendISUP(from, to capture.Party, cic isup.CIC, t isup.Type, params ...isup.Parameter) {
 	p.w.Message(p.now, from, to, m3ua.AppendData(nil, 0, m3ua.Data{OPC: uint32(from.Exchange + 1), DPC: uint32(to.Exchange + 1),
 		SI: m3ua.ServiceIndicatorISUP, Payload: isup.Append(nil, cic, t, params...)}))
 }
 
-func (p *captureBuilder) iam(from, to capture.Party, cic isup.CIC, call string) {
+func (p *captureBuilder) sendIAM(from, to capture.Party, cic isup.CIC, call string) {
 	number, err := isup.AppendNumber(nil, call)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.circuit(from, to, cic, isup.IAM, isup.Parameter{Code: isup.CalledNumber, Data: number},
+	p.sendISUP(from, to, cic, isup.IAM, isup.Parameter{Code: isup.CalledNumber, Data: number},
 		isup.Parameter{Code: isup.CallingNumber, Data: number}, isup.Parameter{Code: isup.UserToUser, Data: append([]byte{0}, "alarm"...)})
 }
 
-// The rules apply to circuits as well: planted violations are found and their valid variants are not.
-func TestPlantedFaultsOnCircuits(t *testing.T) {
+// The rules apply to calls on circuits as well: injected violations are reported and their valid variants are not.
+func TestInjectedViolationsOnCircuits(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rule Rule // 0 if no rule is violated
@@ -319,86 +318,86 @@
 	}{
 		{"a valid call", 0, func(p *captureBuilder) {
 			in := p.open(callers, router, 5, "7")
-			p.iam(router, destination, 1, "7")
-			p.circuit(destination, router, 1, isup.ACM)
-			p.circuit(destination, router, 1, isup.ANM)
+			p.sendIAM(router, destination, 1, "7")
+			p.sendISUP(destination, router, 1, isup.ACM)
+			p.sendISUP(destination, router, 1, isup.ANM)
 			in.answer()
 			p.wait(time.Second)
 			in.hangup()
-			p.circuit(router, destination, 1, isup.REL, isup.Cause(16))
-			p.circuit(destination, router, 1, isup.RLC)
-			p.iam(router, destination, 1, "8") // the next call on the circuit
+			p.sendISUP(router, destination, 1, isup.REL, isup.Cause(16))
+			p.sendISUP(destination, router, 1, isup.RLC)
+			p.sendIAM(router, destination, 1, "8") // the next call on the circuit
 		}},
 		{"rejected, then sent on another circuit", 0, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
-			p.circuit(tandem, router, 1, isup.REL, isup.Cause(34))
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, tandem, 1, "7")
+			p.sendISUP(tandem, router, 1, isup.REL, isup.Cause(34))
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"two attempts, by ISUP and IAX2", OneAttempt, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
+			p.sendIAM(router, tandem, 1, "7")
 			p.open(router, destination, 6, "7")
 		}},
 		{"set-up after the final answer", OneAnswer, func(p *captureBuilder) {
-			p.iam(router, destination, 1, "7")
-			p.circuit(destination, router, 1, isup.REL, isup.Cause(34))
+			p.sendIAM(router, destination, 1, "7")
+			p.sendISUP(destination, router, 1, isup.REL, isup.Cause(34))
 			p.open(callers, router, 5, "7").reject(34)
 			p.wait(150 * ms)
-			p.iam(router, destination, 2, "7")
+			p.sendIAM(router, destination, 2, "7")
 		}},
-		{"IAM after the grace", DrainObserved, func(p *captureBuilder) {
-			p.list("gone")
+		{"IAM after the grace period", DrainObserved, func(p *captureBuilder) {
+			p.addList("gone")
 			p.wait(1100 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"sent again too early after its own REL", ReleaseWaitObserved, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
-			p.circuit(router, tandem, 1, isup.REL, isup.Cause(102))
+			p.sendIAM(router, tandem, 1, "7")
+			p.sendISUP(router, tandem, 1, isup.REL, isup.Cause(102))
 			p.wait(100 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"sent again while the association that carried it is up", OneAttempt, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
+			p.sendIAM(router, tandem, 1, "7")
 			p.w.Reset(p.now, destination, router) // a different association
 			p.wait(400 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"sent again too early after its association was lost", ReleaseWaitObserved, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
+			p.sendIAM(router, tandem, 1, "7")
 			p.w.Reset(p.now, tandem, router)
 			p.wait(100 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"sent again after the wait for a lost association", 0, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, tandem, 1, "7")
+			p.sendIAM(router, tandem, 1, "7")
 			p.w.Reset(p.now, tandem, router)
 			p.wait(301 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"call lost by glare sent again too early", ReleaseWaitObserved, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, destination, 2, "7") // circuit 2 is controlled by the higher point code, which is the destination's
-			p.iam(destination, router, 2, "8")
+			p.sendIAM(router, destination, 2, "7") // circuit 2 is controlled by the higher point code, which is the destination's
+			p.sendIAM(destination, router, 2, "8")
 			p.wait(100 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"call lost by glare sent again after the wait", 0, func(p *captureBuilder) {
 			p.open(callers, router, 5, "7")
-			p.iam(router, destination, 2, "7")
-			p.iam(destination, router, 2, "8")
+			p.sendIAM(router, destination, 2, "7")
+			p.sendIAM(destination, router, 2, "8")
 			p.wait(301 * ms)
-			p.iam(router, destination, 1, "7")
+			p.sendIAM(router, destination, 1, "7")
 		}},
 		{"call that won a glare continues", 0, func(p *captureBuilder) {
 			in := p.open(callers, router, 5, "7")
-			p.iam(router, destination, 1, "7")
-			p.iam(destination, router, 1, "8")
-			p.circuit(destination, router, 1, isup.ANM)
+			p.sendIAM(router, destination, 1, "7")
+			p.sendIAM(destination, router, 1, "8")
+			p.sendISUP(destination, router, 1, isup.ANM)
 			in.answer()
 		}},
 	} {
