--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,5 +1,6 @@
 // Package capture writes and reads the traffic of a test network as a pcapng file: every datagram and M3UA
-// message, and notices of what no datagram shows (list updates, processor starts, router starts and kills).
+// message, and notices of events that the traffic does not show (list updates, processor starts, router starts and
+// kills).
 //
 // Each party has its own address in the capture, with port 4569 so that protocol analysers decode IAX2:
 // 10.0.E.1 is the router of exchange E, 10.0.E.2 its switch, and 10.1.E.1 its callers. Notices are JSON in UDP
@@ -30,7 +31,7 @@
 	Router                   // router of an exchange
 	Switch                   // switch of an exchange
 	Callers                  // subscribers of an exchange
-	NoticeSource             // source of notices; sends no traffic
+	NoticeSource             // source address of notices; not a host of the network
 )
 
 // Party is one end of a datagram or association.
@@ -87,7 +88,7 @@
 	Notice   *Notice // set instead of a payload
 }
 
-// Notice reports what no datagram shows. Exactly one field is set.
+// Notice reports an event that the traffic does not show. Exactly one field is set.
 type Notice struct {
 	Parameters *Parameters  `json:"figures,omitempty"`
 	List       *List        `json:"list,omitempty"`
@@ -142,8 +143,8 @@
 	err      error
 	closed   bool
 	lastTime time.Time
-	raw      io.Writer
-	tsn      uint32
+	raw      io.Writer    // the output of ng, for blocks that ng cannot write
+	tsn      uint32       // last SCTP transmission sequence number
 	sink     func(Packet) // receives the packets instead of a file
 }
 
@@ -237,8 +238,8 @@
 
 // sctpPacket serializes an SCTP header and one data chunk as one layer.
 type sctpPacket struct {
-	head *layers.SCTP
-	data *layers.SCTPData
+	header *layers.SCTP
+	data   *layers.SCTPData
 }
 
 func (p sctpPacket) LayerType() gopacket.LayerType { return layers.LayerTypeSCTP }
@@ -247,7 +248,7 @@
 	if err := p.data.SerializeTo(b, o); err != nil {
 		return err
 	}
-	return p.head.SerializeTo(b, o)
+	return p.header.SerializeTo(b, o)
 }
 
 func (c *Writer) write(at time.Time, from, to Party, port uint16, payload []byte) {
