--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -45,18 +45,18 @@
 	rateFactor    float64 // multiplies the call rate
 	hangUpShare   float64 // share of tries abandoned while waiting
 	redialAtOnce  bool    // redial without waiting
-	redialCut     bool    // call again after a call was cut
+	redialWhenCut bool    // dial again after a call was cut
 	running       bool
 	nextCallAt    time.Duration // when the next new call is due
 	tries         int
-	counts        map[string]*Tally
+	tallies       map[string]*Tally
 	seconds       []Tally // by second of the dial, since countingSince
 	countingSince time.Duration
-	open          map[*iax2.Dialog]*try
+	openTries     map[*iax2.Dialog]*try
 	registered    bool
 }
 
-// Tally counts calls and tries of one class by outcome, as the callers saw them.
+// Tally counts calls and tries, the latter also by outcome as the callers saw it.
 type Tally struct {
 	Calls, Tries, Answered, Refused, Failed, Abandoned, Unanswered int
 }
@@ -81,9 +81,9 @@
 // NewCallersOn is like NewCallers on a given network.
 func NewCallersOn(n Net, listen, router netip.AddrPort, spec CallersSpec, seed uint64, tap *capture.Writer) (*Callers, error) {
 	c := &Callers{spec: spec, rng: rand.New(rand.NewPCG(seed, 77+uint64(spec.Exchange))), rateFactor: 1,
-		counts: map[string]*Tally{}, open: map[*iax2.Dialog]*try{}}
+		tallies: map[string]*Tally{}, openTries: map[*iax2.Dialog]*try{}}
 	for _, cl := range spec.Classes {
-		c.counts[cl.Name] = &Tally{}
+		c.tallies[cl.Name] = &Tally{}
 	}
 	c.router, _ = iax2.AddrFrom(router)
 	h, err := newHost(n, listen, capture.Party{Kind: capture.Callers, Exchange: spec.Exchange},
@@ -115,9 +115,9 @@
 func (c *Callers) HangUp() {
 	c.host.Do(func() {
 		// Sorted by call number, so that runs are deterministic.
-		all := slices.SortedFunc(maps.Keys(c.open), func(a, b *iax2.Dialog) int { return int(a.CallNumber()) - int(b.CallNumber()) })
+		all := slices.SortedFunc(maps.Keys(c.openTries), func(a, b *iax2.Dialog) int { return int(a.CallNumber()) - int(b.CallNumber()) })
 		for _, d := range all {
-			c.hangUp(d, c.open[d])
+			c.hangUp(d, c.openTries[d])
 		}
 	})
 }
@@ -135,7 +135,7 @@
 func (c *Callers) RedialAtOnce(on bool) { c.host.Do(func() { c.redialAtOnce = on }) }
 
 // RedialWhenCut makes callers call again after a call was cut.
-func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.redialCut = on }) }
+func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.redialWhenCut = on }) }
 
 // Registered reports whether the registration was accepted.
 func (c *Callers) Registered() (ok bool) {
@@ -147,7 +147,7 @@
 func (c *Callers) Count() map[string]Tally {
 	out := map[string]Tally{}
 	c.host.Do(func() {
-		for name, t := range c.counts {
+		for name, t := range c.tallies {
 			out[name] = *t
 		}
 	})
@@ -166,8 +166,8 @@
 	return out
 }
 
-// countsOf returns the counters of the second in which a try was dialled.
-func (c *Callers) countsOf(t *try) *Tally {
+// tallyOfSecond returns the counters of the second in which a try was dialled.
+func (c *Callers) tallyOfSecond(t *try) *Tally {
 	if t.dialled < c.countingSince {
 		return &Tally{} // dialled before RestartSeconds: not counted
 	}
@@ -212,7 +212,7 @@
 func (c *Callers) Dial(dest int) {
 	c.host.Do(func() {
 		t := &try{class: &c.spec.Classes[0], dest: dest, firstDialled: c.host.now(), number: c.spec.Number(dest, c.rng)}
-		c.counts[t.class.Name].Calls++
+		c.tallies[t.class.Name].Calls++
 		c.dial(t)
 	})
 }
@@ -228,7 +228,7 @@
 	}
 	t := &try{class: class, dest: c.pickDestination(), firstDialled: c.host.now()}
 	t.number = c.spec.Number(t.dest, c.rng)
-	c.counts[class.Name].Calls++
+	c.tallies[class.Name].Calls++
 	c.dial(t)
 }
 
@@ -250,20 +250,20 @@
 // dial sends a try. Each try has a unique calling number, by which a capture distinguishes them.
 func (c *Callers) dial(t *try) {
 	c.tries++
-	c.counts[t.class.Name].Tries++
+	c.tallies[t.class.Name].Tries++
 	now := c.host.now()
 	t.dialled = now
-	c.countsOf(t).Tries++
+	c.tallyOfSecond(t).Tries++
 	d, err := c.host.ep.Call(now, c.router, iax2.Request{Called: t.number, Context: t.class.Name,
 		Calling: fmt.Sprintf("%d%07d", 10+c.spec.Exchange, c.tries), User: c.spec.User, Secret: c.spec.Secret})
 	if err != nil {
-		c.counts[t.class.Name].Unanswered++
+		c.tallies[t.class.Name].Unanswered++
 		return
 	}
-	c.open[d] = t
+	c.openTries[d] = t
 	c.host.after(t.class.Patience, func() {
 		if !t.answered && !t.ended {
-			c.counts[t.class.Name].Unanswered++
+			c.tallies[t.class.Name].Unanswered++
 			c.hangUp(d, t)
 			c.redial(t)
 		}
@@ -271,7 +271,7 @@
 	if c.rng.Float64() < c.hangUpShare {
 		c.host.after(time.Duration(c.rng.Int64N(int64(t.class.Patience)/4)), func() {
 			if !t.answered && !t.ended {
-				c.counts[t.class.Name].Abandoned++
+				c.tallies[t.class.Name].Abandoned++
 				c.hangUp(d, t)
 			}
 		})
@@ -280,7 +280,7 @@
 
 func (c *Callers) hangUp(d *iax2.Dialog, t *try) {
 	t.ended = true
-	delete(c.open, d)
+	delete(c.openTries, d)
 	d.Release(c.host.now(), causeNormalClearing, "")
 }
 
@@ -288,16 +288,16 @@
 	if e.Kind == iax2.RegisterDone {
 		c.registered = true
 	}
-	t := c.open[e.Dialog]
+	t := c.openTries[e.Dialog]
 	if t == nil || t.ended {
 		return
 	}
-	count := c.counts[t.class.Name]
+	tally := c.tallies[t.class.Name]
 	switch e.Kind {
 	case iax2.Answered:
 		t.answered = true
-		count.Answered++
-		c.countsOf(t).Answered++
+		tally.Answered++
+		c.tallyOfSecond(t).Answered++
 		if c.spec.OnAnswer != nil {
 			c.spec.OnAnswer(c.host.now() - t.dialled)
 		}
@@ -320,19 +320,19 @@
 // handleEnd handles the end of a try by the router; normal is set for a normal release.
 func (c *Callers) handleEnd(d *iax2.Dialog, t *try, refused, normal bool) {
 	t.ended = true
-	delete(c.open, d)
-	count := c.counts[t.class.Name]
+	delete(c.openTries, d)
+	tally := c.tallies[t.class.Name]
 	switch {
 	case t.answered:
-		if c.redialCut && !normal {
+		if c.redialWhenCut && !normal {
 			t.firstDialled, t.redials = c.host.now(), 0
 			c.redial(t)
 		}
 		return
 	case refused:
-		count.Refused++
+		tally.Refused++
 	default:
-		count.Failed++
+		tally.Failed++
 	}
 	c.redial(t)
 }
--- a/internal/standin/host.go
+++ b/internal/standin/host.go
@@ -28,7 +28,7 @@
 	party        capture.Party
 	router       capture.Party // the only peer
 	tap          *capture.Writer
-	queue        timers.Queue[func()]
+	timerQueue   timers.Queue[func()]
 	onEvent      func(e iax2.Event)
 	dropIncoming bool                            // received datagrams are discarded
 	copies       func(frame []byte) (copies int) // how often to send an outgoing datagram; nil sends it once
@@ -72,7 +72,7 @@
 
 // after calls f with the host's lock held, d from now.
 func (h *Host) after(d time.Duration, f func()) {
-	h.queue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
+	h.timerQueue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
 }
 
 // processEvents handles the endpoint's events and sends its datagrams.
@@ -136,17 +136,17 @@
 func (h *Host) runDue() {
 	for again := true; again; {
 		now := h.now()
-		for e := h.queue.Due(now); e != nil; e = h.queue.Due(now) {
+		for e := h.timerQueue.Due(now); e != nil; e = h.timerQueue.Due(now) {
 			e.Value()
 		}
 		if at, ok := h.ep.Next(); ok && at <= now {
 			h.ep.Advance(now)
 		}
 		h.processEvents()
-		at, ok := h.queue.Next() // set by an event handler for immediate execution
+		at, ok := h.timerQueue.Next() // set by an event handler for immediate execution
 		again = ok && at <= now
 	}
-	next, ok := h.queue.Next()
+	next, ok := h.timerQueue.Next()
 	if at, eok := h.ep.Next(); eok && (!ok || at < next) {
 		next, ok = at, true
 	}
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -29,13 +29,13 @@
 	group         *isup.Group
 	link          *m3ua.Link // nil while not connected
 	conn          net.Conn
-	streamOffsets [2]uint32
-	splitters     [2]m3ua.Stream
+	streamOffsets [2]uint32      // bytes recorded of this host's and of the router's stream
+	splitters     [2]m3ua.Stream // extract the messages of these streams for the capture
 	start         time.Time
-	queue         timers.Queue[func()]
+	timerQueue    timers.Queue[func()]
 	onEvent       func(e isup.Event)
 	needsReset    bool // the processor has not reset its circuits yet
-	suspended     bool // make no connection
+	suspended     bool // no connection is made
 	closing       bool
 	done          chan struct{}
 	stop          chan struct{}
@@ -83,7 +83,7 @@
 
 // after calls f with the host's lock held, d from now.
 func (h *ISUPHost) after(d time.Duration, f func()) {
-	h.queue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
+	h.timerQueue.Set(&timers.Entry[func()]{Value: f}, h.now()+max(0, d))
 }
 
 // loop connects and reconnects until Close.
@@ -152,16 +152,16 @@
 func (h *ISUPHost) runDue() {
 	for again := true; again; {
 		now := h.now()
-		for e := h.queue.Due(now); e != nil; e = h.queue.Due(now) {
+		for e := h.timerQueue.Due(now); e != nil; e = h.timerQueue.Due(now) {
 			e.Value()
 		}
 		h.link.Advance(now)
 		h.group.Advance(now)
 		h.processEvents()
-		at, ok := h.queue.Next()
+		at, ok := h.timerQueue.Next()
 		again = ok && at <= now
 	}
-	next, ok := h.queue.Next()
+	next, ok := h.timerQueue.Next()
 	for _, f := range []func() (time.Duration, bool){h.link.Next, h.group.Next} {
 		if at, has := f(); has && (!ok || at < next) {
 			next, ok = at, true
--- a/internal/standin/net.go
+++ b/internal/standin/net.go
@@ -30,8 +30,8 @@
 	Addr() netip.AddrPort
 	Run()
 	Send(to iax2.Addr, b []byte)
-	SetWake(at time.Duration, any bool) // schedules Due unless any is false; an earlier wake-up stays
-	ClearWake()                         // clears the wake-up
+	SetWake(at time.Duration, ok bool) // if ok, schedules Due unless an earlier wake-up is set
+	ClearWake()                        // clears the wake-up
 	Close()
 }
 
@@ -78,9 +78,9 @@
 	_, _ = p.conn.WriteToUDPAddrPort(b, to.AddrPort()) // dropped if the socket buffer is full, as a network would
 }
 
-func (p *socketPort) SetWake(at time.Duration, any bool) {
+func (p *socketPort) SetWake(at time.Duration, ok bool) {
 	switch {
-	case any && (p.wakeAt == 0 || at < p.wakeAt):
+	case ok && (p.wakeAt == 0 || at < p.wakeAt):
 		p.wakeAt = max(at, 1)
 		_ = p.conn.SetReadDeadline(p.net.start.Add(at))
 	case p.wakeAt == 0: // an expired deadline would fail all further reads
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -176,7 +176,7 @@
 	return c, nil
 }
 
-// serve sends a client the events after the number that it asked for, and keeps the connection for later ones.
+// serve sends a client the events after the index that it requested, and keeps the connection open for later ones.
 func (c *PlatformCoordinator) serve(conn net.Conn) {
 	defer conn.Close()
 	var last [8]byte
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -11,9 +11,9 @@
 	spec         SwitchSpec
 	faults       Faults
 	rng          *rand.Rand
-	started      time.Duration // cold from then on, unless warm is set
+	started      time.Duration // last start; the processor is cold for ColdDuration after it, unless warm is set
 	warm         bool
-	idleAt       time.Duration   // when the queue will be empty
+	queueEmptyAt time.Duration
 	recentSetUps []time.Duration // set-ups in the last OverloadWindow while cold
 	collapsed    bool
 	Stats        SwitchStats
@@ -26,7 +26,7 @@
 
 // restart replaces the processor by a cold one.
 func (p *processor) restart(now time.Duration) {
-	p.collapsed, p.warm, p.started, p.idleAt, p.recentSetUps = false, false, now, now, p.recentSetUps[:0]
+	p.collapsed, p.warm, p.started, p.queueEmptyAt, p.recentSetUps = false, false, now, now, p.recentSetUps[:0]
 }
 
 // capacity returns the share of Rate that the processor can handle now.
@@ -42,22 +42,22 @@
 	return time.Duration(max(1, p.faults.SlowFactor) / (p.spec.Rate * p.capacity(now)) * float64(time.Second))
 }
 
-// enqueue adds a set-up to the queue and returns how long it will take to be processed. accepted is false if the
-// set-up was rejected or the processor has collapsed.
+// enqueue adds a set-up to the queue and returns the time until it has been processed. accepted is false if the
+// set-up was rejected because the queue is full, or if the processor has collapsed.
 func (p *processor) enqueue(now time.Duration) (wait time.Duration, accepted bool) {
 	p.Stats.SetUps++
 	if p.checkOverload(now) {
 		return 0, false
 	}
 	w := p.setUpTime(now)
-	p.idleAt = max(p.idleAt, now)
-	if p.idleAt-now > p.spec.QueueWait {
-		p.idleAt += w / 4 // a rejection takes processing time too
+	p.queueEmptyAt = max(p.queueEmptyAt, now)
+	if p.queueEmptyAt-now > p.spec.QueueWait {
+		p.queueEmptyAt += w / 4 // a rejection takes processing time too
 		p.Stats.QueueFull++
 		return 0, false
 	}
-	p.idleAt += w
-	return p.idleAt - now, true
+	p.queueEmptyAt += w
+	return p.queueEmptyAt - now, true
 }
 
 // checkOverload counts a set-up and reports whether the processor has collapsed.
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// ReceiverFaults are faults that a Receiver injects. The counts go down as they are used.
+// ReceiverFaults are faults that a Receiver injects. Cuts, LoseAnswers, LoseCreated and Refuse are numbers of
+// requests; each is decremented when a fault is injected.
 type ReceiverFaults struct {
 	CutAfter    int // bytes of a PATCH that are stored before its connection is cut
 	Cuts        int // number of PATCH requests to cut
@@ -106,7 +107,7 @@
 
 // withFaults wraps a handler with the injected faults and checks the protocol version.
 func (r *Receiver) withFaults(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
 		delay, refuse := r.faults.Delay, r.faults.Refuse > 0
 		if refuse {
@@ -118,18 +119,18 @@
 			defer t.Stop()
 			select {
 			case <-t.C:
-			case <-q.Context().Done():
+			case <-req.Context().Done():
 			}
 		}
 		w.Header().Set("Tus-Resumable", "1.0.0")
 		switch {
 		case refuse:
-			http.Error(w, "not now", http.StatusServiceUnavailable)
-		case q.Header.Get("Tus-Resumable") != "1.0.0":
+			http.Error(w, "injected fault: request refused", http.StatusServiceUnavailable)
+		case req.Header.Get("Tus-Resumable") != "1.0.0":
 			r.addViolation("no Tus-Resumable: 1.0.0")
 			http.Error(w, "version", http.StatusPreconditionFailed)
 		default:
-			next.ServeHTTP(w, q)
+			next.ServeHTTP(w, req)
 		}
 	})
 }
@@ -142,15 +143,15 @@
 }
 
 // create handles POST: it creates an upload.
-func (r *Receiver) create(w http.ResponseWriter, q *http.Request) {
-	length, err := strconv.Atoi(q.Header.Get("Upload-Length"))
+func (r *Receiver) create(w http.ResponseWriter, req *http.Request) {
+	length, err := strconv.Atoi(req.Header.Get("Upload-Length"))
 	if err != nil || length < 0 {
-		r.addViolation("Upload-Length %q", q.Header.Get("Upload-Length"))
+		r.addViolation("Upload-Length %q", req.Header.Get("Upload-Length"))
 		http.Error(w, "Upload-Length", http.StatusBadRequest)
 		return
 	}
 	meta := map[string]string{}
-	for part := range strings.SplitSeq(q.Header.Get("Upload-Metadata"), ",") {
+	for part := range strings.SplitSeq(req.Header.Get("Upload-Metadata"), ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), " ")
 		text, err := base64.StdEncoding.DecodeString(value)
 		if err != nil || key == "" {
@@ -183,8 +184,8 @@
 }
 
 // findUpload returns the upload of a request, or answers 404 and returns nil.
-func (r *Receiver) findUpload(w http.ResponseWriter, q *http.Request) *upload {
-	u := r.uploads[q.PathValue("id")]
+func (r *Receiver) findUpload(w http.ResponseWriter, req *http.Request) *upload {
+	u := r.uploads[req.PathValue("id")]
 	if u == nil {
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -192,10 +193,10 @@
 }
 
 // head handles HEAD: it returns the offset of an upload.
-func (r *Receiver) head(w http.ResponseWriter, q *http.Request) {
+func (r *Receiver) head(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u := r.findUpload(w, q); u != nil {
+	if u := r.findUpload(w, req); u != nil {
 		w.Header().Set("Upload-Offset", strconv.Itoa(len(u.data)))
 		w.Header().Set("Upload-Length", strconv.Itoa(u.length))
 		w.Header().Set("Cache-Control", "no-store")
@@ -204,7 +205,7 @@
 }
 
 // patch handles PATCH: it appends to an upload.
-func (r *Receiver) patch(w http.ResponseWriter, q *http.Request) {
+func (r *Receiver) patch(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	cut := -1
 	if r.faults.Cuts > 0 {
@@ -212,17 +213,17 @@
 		cut = r.faults.CutAfter
 	}
 	r.mu.Unlock()
-	body, _ := io.ReadAll(q.Body) // a partial body is stored as far as it was received
+	body, _ := io.ReadAll(req.Body) // a partial body is stored as far as it was received
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := r.findUpload(w, q)
+	u := r.findUpload(w, req)
 	if u == nil {
 		return
 	}
-	at, err := strconv.Atoi(q.Header.Get("Upload-Offset"))
+	at, err := strconv.Atoi(req.Header.Get("Upload-Offset"))
 	switch {
-	case q.Header.Get("Content-Type") != "application/offset+octet-stream":
-		r.violations = append(r.violations, "Content-Type "+q.Header.Get("Content-Type"))
+	case req.Header.Get("Content-Type") != "application/offset+octet-stream":
+		r.violations = append(r.violations, "Content-Type "+req.Header.Get("Content-Type"))
 		w.WriteHeader(http.StatusUnsupportedMediaType)
 		return
 	case err != nil || at != len(u.data):
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -56,70 +56,71 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &DiscoveryServer{ln: ln, tap: tap, addr: addr, views: map[int]*view{}, stopped: make(chan struct{})}
+	s := &DiscoveryServer{ln: ln, tap: tap, addr: addr, views: map[int]*view{}, stopped: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /router/{router}/v1/health/service/exchange", r.serve)
-	r.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	r.wg.Go(func() { _ = r.srv.Serve(ln) }) // ends with Close
-	return r, nil
+	mux.HandleFunc("GET /router/{router}/v1/health/service/exchange", s.serve)
+	s.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	s.wg.Go(func() { _ = s.srv.Serve(ln) }) // ends with Close
+	return s, nil
 }
 
 // URL returns the base URL for a router.
-func (r *DiscoveryServer) URL(router int) string {
-	return fmt.Sprintf("http://%v/router/%d", r.ln.Addr(), router)
+func (s *DiscoveryServer) URL(router int) string {
+	return fmt.Sprintf("http://%v/router/%d", s.ln.Addr(), router)
 }
 
 // Close stops the server.
-func (r *DiscoveryServer) Close() {
-	close(r.stopped)
-	_ = r.srv.Close()
-	r.wg.Wait()
+func (s *DiscoveryServer) Close() {
+	close(s.stopped)
+	_ = s.srv.Close()
+	s.wg.Wait()
 }
 
-// view returns the view of a router. It must be called with the lock held.
-func (r *DiscoveryServer) view(router int) *view {
-	v := r.views[router]
+// viewOf returns the view of a router. It must be called with the lock held.
+func (s *DiscoveryServer) viewOf(router int) *view {
+	v := s.views[router]
 	if v == nil {
 		v = &view{changed: make(chan struct{})}
-		r.views[router] = v
+		s.views[router] = v
 	}
 	return v
 }
 
-// Lag sets the delay with which later updates become visible to a router.
-func (r *DiscoveryServer) Lag(router int, d time.Duration) {
-	r.mu.Lock()
-	r.view(router).lag = d
-	r.mu.Unlock()
+// Lag sets the delay after which a router sees the updates that are published from now on.
+func (s *DiscoveryServer) Lag(router int, d time.Duration) {
+	s.mu.Lock()
+	s.viewOf(router).lag = d
+	s.mu.Unlock()
 }
 
-// Gone makes the server answer all queries with errors, including waiting ones, or ends that.
-func (r *DiscoveryServer) Gone(on bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.unavailable = on
-	for _, v := range r.views {
+// Gone makes the server answer all queries, including blocked ones, with an error, or makes it answer them normally
+// again.
+func (s *DiscoveryServer) Gone(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unavailable = on
+	for _, v := range s.views {
 		close(v.changed)
 		v.changed = make(chan struct{})
 	}
 }
 
 // Publish publishes an exchange list to routers 0 to routers-1, each after its lag.
-func (r *DiscoveryServer) Publish(routers int, entries []ListEntry) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.index++
-	index := r.index
+func (s *DiscoveryServer) Publish(routers int, entries []ListEntry) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.index++
+	index := s.index
 	for n := range routers {
-		v := r.view(n)
+		v := s.viewOf(n)
 		at := time.Now().Add(v.lag)
 		if at.Before(v.lastPublished) {
 			at = v.lastPublished
 		}
 		v.lastPublished = at
 		publish := func() {
-			r.mu.Lock()
-			defer r.mu.Unlock()
+			s.mu.Lock()
+			defer s.mu.Unlock()
 			if index <= v.index {
 				return
 			}
@@ -130,9 +131,9 @@
 		if wait := time.Until(at); wait > 0 {
 			time.AfterFunc(wait, publish)
 		} else {
-			r.mu.Unlock()
+			s.mu.Unlock()
 			publish()
-			r.mu.Lock()
+			s.mu.Lock()
 		}
 	}
 }
@@ -157,18 +158,18 @@
 }
 
 // serve answers a blocking query of a router.
-func (r *DiscoveryServer) serve(w http.ResponseWriter, q *http.Request) {
-	router, err := strconv.Atoi(q.PathValue("router"))
+func (s *DiscoveryServer) serve(w http.ResponseWriter, req *http.Request) {
+	router, err := strconv.Atoi(req.PathValue("router"))
 	if err != nil {
 		http.Error(w, "router: not a number", http.StatusBadRequest)
 		return
 	}
-	after, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64) // a missing index is 0, as in Consul
-	wait, err := time.ParseDuration(q.URL.Query().Get("wait"))
+	after, _ := strconv.ParseUint(req.URL.Query().Get("index"), 10, 64) // a missing index is 0, as in Consul
+	wait, err := time.ParseDuration(req.URL.Query().Get("wait"))
 	if err != nil || wait <= 0 {
 		wait = 5 * time.Minute
 	}
-	index, entries, ok := r.await(q.Context(), router, after, wait)
+	index, entries, ok := s.await(req.Context(), router, after, wait)
 	if !ok {
 		http.Error(w, "closing", http.StatusServiceUnavailable)
 		return
@@ -176,7 +177,7 @@
 	var out []health
 	list := capture.List{Router: router}
 	for _, e := range entries {
-		a := r.addr(router, e.Exchange)
+		a := s.addr(router, e.Exchange)
 		switchAddr := ""
 		if e.Switch.IsValid() {
 			switchAddr = e.Switch.String()
@@ -188,21 +189,21 @@
 		list.Phases = append(list.Phases, capture.Phase{ID: e.ID, Exchange: e.Exchange, Phase: e.Phase})
 	}
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	if r.tap != nil && index > after {
-		r.tap.Notice(time.Now(), capture.Notice{List: &list})
+	if s.tap != nil && index > after {
+		s.tap.Notice(time.Now(), capture.Notice{List: &list})
 	}
 	_ = json.NewEncoder(w).Encode(out) // a router that closed the connection asks again
 }
 
 // await blocks until the router's view is newer than an index.
-func (r *DiscoveryServer) await(ctx context.Context, router int, after uint64, wait time.Duration) (uint64, []ListEntry, bool) {
+func (s *DiscoveryServer) await(ctx context.Context, router int, after uint64, wait time.Duration) (uint64, []ListEntry, bool) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for {
-		r.mu.Lock()
-		v := r.view(router)
-		index, entries, changed, unavailable := v.index, v.entries, v.changed, r.unavailable
-		r.mu.Unlock()
+		s.mu.Lock()
+		v := s.viewOf(router)
+		index, entries, changed, unavailable := v.index, v.entries, v.changed, s.unavailable
+		s.mu.Unlock()
 		if unavailable {
 			return 0, nil, false
 		}
@@ -215,7 +216,7 @@
 			return max(index, 1), entries, index > 0
 		case <-ctx.Done():
 			return 0, nil, false
-		case <-r.stopped:
+		case <-s.stopped:
 			return 0, nil, false
 		}
 	}
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// forward writes bytes in two pieces, after the link's delay.
+// forward writes bytes in two pieces, after the link's delay. It returns false if the connection is lost.
 func (l *StreamLink) forward(to net.Conn, b []byte) bool {
 	l.mu.Lock()
 	delay := l.faults.Delay
