--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -16,7 +16,7 @@
 	data      map[string][]byte
 	pending   []*commit
 	SyncTime  time.Duration // duration of one commit
-	Full      bool          // while set, commits wait
+	Full      bool          // while set, commits are not applied but retried
 	busyUntil time.Duration // end of the last scheduled commit
 }
 
@@ -32,9 +32,9 @@
 	value []byte
 }
 
-// NewDisk returns an empty disk whose commits take the given time each.
-func (w *World) NewDisk(sync time.Duration) *Disk {
-	return &Disk{world: w, data: map[string][]byte{}, SyncTime: sync}
+// NewDisk returns an empty disk whose commits take syncTime each.
+func (w *World) NewDisk(syncTime time.Duration) *Disk {
+	return &Disk{world: w, data: map[string][]byte{}, SyncTime: syncTime}
 }
 
 // batch collects the changes of one commit.
@@ -64,7 +64,7 @@
 		return
 	}
 	if d.pending[0] != c {
-		d.world.queue.Set(&c.Entry, d.pending[0].At()) // an earlier commit is delayed: keep the order
+		d.world.queue.Set(&c.Entry, d.pending[0].At()) // an earlier commit is delayed: wait for it, to keep the order
 		return
 	}
 	d.pending = d.pending[1:]
@@ -82,7 +82,8 @@
 	}
 }
 
-// CommitNow applies the batch that build fills at once. It is for changes made before a router serves calls.
+// CommitNow applies the batch that build fills immediately, without the delay of a sync. It is for changes made before a
+// router serves calls. If build fails, nothing is applied and its error is returned.
 func (d *Disk) CommitNow(build func(cdr.WriteBatch) error) error {
 	b := &batch{}
 	if err := build(b); err != nil {
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -14,12 +14,12 @@
 // lost or duplicated. The seed exploration must detect each of them. A nil *Mutation plants nothing.
 type Mutation struct {
 	Name         string
-	Violates     string // the rule or invariant that it violates
+	Violates     string // rule or invariant that the bug violates
 	Settings     func(*node.Settings)
-	Duplicate    func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are sent again with the next sequence number; n as for Drop
+	Duplicate    func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are sent again with the next sequence number; n counts frames of the same type and subclass
 	Drop         func(f *iax2.Frame, n int) bool          // selects outgoing full frames that are dropped; n counts frames of the same type and subclass
 	AlterList    func(*registry.List)                     // changes an exchange list before the router gets it
-	AlterRecords func(items []cdr.Item, n int) []cdr.Item // returns the items to store instead; n counts the items before them
+	AlterRecords func(items []cdr.Item, n int) []cdr.Item // returns the items to store instead of items; n is the number of items stored before them
 
 	frameCounts map[[2]uint32]int
 	recordCount int
@@ -50,8 +50,8 @@
 // oseqOffset is the offset in bytes of the outbound sequence number in a full frame.
 const oseqOffset = 8
 
-// filterOutgoing returns whether an outgoing datagram is sent, and a duplicate to send after it, nil for none.
-func (m *Mutation) filterOutgoing(b []byte) (pass bool, more []byte) {
+// filterOutgoing returns whether the outgoing datagram b is sent, and a duplicate to send after it, nil for none.
+func (m *Mutation) filterOutgoing(b []byte) (pass bool, duplicate []byte) {
 	if m == nil || m.Drop == nil && m.Duplicate == nil {
 		return true, nil
 	}
@@ -62,13 +62,13 @@
 	if m.frameCounts == nil {
 		m.frameCounts = map[[2]uint32]int{}
 	}
-	k := [2]uint32{uint32(f.Type), f.Subclass}
-	m.frameCounts[k]++
-	if m.Duplicate != nil && m.Duplicate(&f, m.frameCounts[k]) {
-		more = append([]byte(nil), b...)
-		more[oseqOffset]++
+	key := [2]uint32{uint32(f.Type), f.Subclass}
+	m.frameCounts[key]++
+	if m.Duplicate != nil && m.Duplicate(&f, m.frameCounts[key]) {
+		duplicate = append([]byte(nil), b...)
+		duplicate[oseqOffset]++
 	}
-	return m.Drop == nil || !m.Drop(&f, m.frameCounts[k]), more
+	return m.Drop == nil || !m.Drop(&f, m.frameCounts[key]), duplicate
 }
 
 // Mutations returns the planted bugs. Each call returns new values, because a Mutation counts frames and records.
--- a/internal/vnet/router.go
+++ b/internal/vnet/router.go
@@ -20,25 +20,25 @@
 
 // Delays before an association is established again. They are the same as in the runtime.
 const (
-	firstReconnectDelay = 200 * time.Millisecond
-	maxReconnectDelay   = 10 * time.Second
-	stableAfter         = 5 * time.Second // an association that lasted longer resets the delay to the first
+	firstReconnectDelay = 200 * time.Millisecond // delay after the first failure
+	maxReconnectDelay   = 10 * time.Second       // upper limit of the doubled delay
+	stableAfter         = 5 * time.Second        // an association that lasted longer resets the delay to firstReconnectDelay
 )
 
 // ErrStopped is returned for operations on a router that was stopped or killed.
 var ErrStopped = errors.New("vnet: router is stopped")
 
-// Router is a complete router on the virtual network: the service's node with the clock, socket, connections and disk of
-// a World.
+// Router is a complete router on the virtual network. It runs the same node as the service, on the clock, socket,
+// connections and disk of a World.
 type Router struct {
-	wallOffset time.Duration // offset of its wall clock from the world's
+	wallOffset time.Duration // offset of the router's wall clock from the world's
 	world      *World
 	exchange   int
 	settings   *config.Settings
 	node       *node.Node
 	rng        *rand.Rand
 	startedAt  time.Duration
-	drift      float64 // relative drift of its monotonic clock; 0.01 runs 1 % fast
+	drift      float64 // relative drift of the router's monotonic clock; 0.01 runs 1 % fast
 	port       standin.Port
 	timer      timers.Entry[func()]
 	conns      map[isupfront.ConnID]*StreamEnd
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// heartbeat records once a second that this incarnation is running.
+// heartbeat writes the heartbeat of this incarnation to the ledger once a second, until the router stops.
 func (r *Router) heartbeat() {
 	if r.stopped {
 		return
@@ -174,7 +174,7 @@
 	r.processDue(now)
 }
 
-// processDue processes timers that are due, sends all output and sets the timer for the next, as the runtime does.
+// processDue processes timers that are due, sends all output and sets the timer for the next due time, as the runtime does.
 func (r *Router) processDue(now time.Duration) {
 	for {
 		at, ok := r.node.Next()
@@ -187,12 +187,12 @@
 	out := &r.node.IAX().Out
 	for i := range out.Len() {
 		to, b := out.At(i)
-		pass, more := r.Mutation.filterOutgoing(b)
+		pass, duplicate := r.Mutation.filterOutgoing(b)
 		if pass {
 			r.port.Send(to, b)
 		}
-		if more != nil {
-			r.port.Send(to, more)
+		if duplicate != nil {
+			r.port.Send(to, duplicate)
 		}
 	}
 	out.Reset()
@@ -249,7 +249,7 @@
 	return nil
 }
 
-// SetList passes an exchange list to the router.
+// SetList passes an exchange list to the router. It does nothing if the router was stopped.
 func (r *Router) SetList(l registry.List) {
 	if r.stopped {
 		return
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// Stop stops a router that has no calls any more; pending commits of its disk still complete. It returns ErrStopped if
-// the router was stopped before.
+// Stop stops a router whose calls have ended; pending commits of its disk still complete. It returns ErrStopped if the
+// router was stopped before.
 func (r *Router) Stop() error {
 	if r.stopped {
 		return ErrStopped
@@ -298,7 +298,7 @@
 	r.world.queue.Stop(&r.timer)
 	r.port.Close()
 	r.world.Listen(RouterAddr(r.exchange), nil)
-	for id := isupfront.ConnID(1); id <= r.lastConn; id++ { // in order: map order differs between runs
+	for id := isupfront.ConnID(1); id <= r.lastConn; id++ { // in ascending order: the iteration order of a map differs between runs
 		if e := r.conns[id]; e != nil {
 			e.OnClose = nil
 			e.Close()
@@ -309,7 +309,7 @@
 func (r *Router) accept(e *StreamEnd) { r.addConnection(e, -1, nil) }
 
 // addConnection starts an association on a connection; onClose, unless nil, is called when the connection has closed.
-// exchange is the one that was dialled, -1 for an accepted connection.
+// exchange is the exchange that was dialled, -1 for an accepted connection.
 func (r *Router) addConnection(e *StreamEnd, exchange int, onClose func()) {
 	r.lastConn++
 	id := r.lastConn
@@ -342,12 +342,13 @@
 	r.processDue(now)
 }
 
-// associate establishes an association with the router of an exchange. When it fails or ends, it is established again
-// after a random time around delay, which doubles with each attempt.
+// associate establishes an association with the router of an exchange. When this fails or the association ends, it tries
+// again after a random time from half to one and a half times delay. The delay doubles with each attempt, up to
+// maxReconnectDelay.
 func (r *Router) associate(to int, delay time.Duration) {
-	began := r.world.now
+	attemptAt := r.world.now
 	reconnect := func() {
-		if r.world.now-began > stableAfter {
+		if r.world.now-attemptAt > stableAfter {
 			delay = firstReconnectDelay
 		}
 		wait := delay/2 + time.Duration(r.rng.Int64N(int64(delay)))
--- a/internal/vnet/stream.go
+++ b/internal/vnet/stream.go
@@ -23,11 +23,11 @@
 	index       int
 	party       capture.Party
 	addr        iax2.Addr
-	OnData      func(b []byte)
-	OnClose     func()
+	OnData      func(b []byte) // gets the bytes that arrive, in segments of any size; nil discards them
+	OnClose     func()         // called once when the connection has closed; may be nil
 	framer      m3ua.Stream
 	lastArrival time.Duration // arrival time of the last segment sent to the other end
-	stalled     [][]byte      // segments of this end that wait for a stalled link
+	stalled     [][]byte      // segments sent by this end that wait until a stall or blackhole of the link ends
 }
 
 // Listen sets the handler of connections to an address; nil removes it.
@@ -39,14 +39,14 @@
 	w.listeners[at] = f
 }
 
-// Dial connects the router of exchange a to that of exchange b after a round trip. It calls up with the dialling end, or
-// with nil if the link is down or nothing listens.
-func (w *World) Dial(a, b int, up func(*StreamEnd)) {
+// Dial connects the router of exchange a to that of exchange b after a round trip. It calls onResult with the dialling
+// end, or with nil if the link is down or nothing listens.
+func (w *World) Dial(a, b int, onResult func(*StreamEnd)) {
 	l := w.Link(a, b)
 	w.After(l.drawDelay()+l.drawDelay(), func() {
 		accept := w.listeners[RouterAddr(b)]
 		if accept == nil || l.faults.Cut || l.faults.Blackhole {
-			up(nil)
+			onResult(nil)
 			return
 		}
 		s := &stream{link: l}
@@ -57,7 +57,7 @@
 		l.streams = append(l.streams, s)
 		accept(s.ends[1])
 		if !s.closed {
-			up(s.ends[0])
+			onResult(s.ends[0])
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	})
 }
 
-// flushStalled sends the segments that waited while the link was stalled.
+// flushStalled sends the segments that waited for the end of a stall or blackhole.
 func (s *stream) flushStalled() {
 	for _, e := range s.ends {
 		segments := e.stalled
@@ -142,5 +142,5 @@
 	}
 }
 
-// Close closes the connection for both ends.
+// Close closes the connection; OnClose of both ends is called after the local delay.
 func (e *StreamEnd) Close() { e.stream.reset() }
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -33,23 +33,23 @@
 	ports     map[iax2.Addr]*Port
 	links     map[[2]int]*Link
 	listeners map[netip.AddrPort]func(*StreamEnd) // handlers of incoming connections
-	trace     *xxhash.Digest
-	tap       *capture.Writer
-	Steps     uint64 // number of events processed
+	trace     *xxhash.Digest                      // hash over all deliveries and their times
+	tap       *capture.Writer                     // records the traffic of the routers; nil for none
+	Steps     uint64                              // number of events processed
 	scratch   [32]byte
 }
 
-// New returns an empty world. tap, unless nil, records the traffic of the routers.
+// New returns an empty world. The seed determines all randomness. tap, unless nil, records the traffic of the routers.
 func New(seed uint64, tap *capture.Writer) *World {
 	return &World{seed: seed, ports: map[iax2.Addr]*Port{}, links: map[[2]int]*Link{}, listeners: map[netip.AddrPort]func(*StreamEnd){},
 		trace: xxhash.New(), tap: tap}
 }
 
-// Rand returns the random number generator of one component. Each component has its own sequence, so that adding a
-// component does not change the numbers of the others.
-func (w *World) Rand(part string) *rand.Rand {
+// Rand returns a random number generator for the component with the given name. Each component has its own sequence, so
+// that adding a component does not change the numbers of the others.
+func (w *World) Rand(component string) *rand.Rand {
 	h := fnv.New64a()
-	h.Write([]byte(part))
+	h.Write([]byte(component))
 	return rand.New(rand.NewPCG(w.seed, h.Sum64()))
 }
 
@@ -62,7 +62,7 @@
 // Trace returns a hash over all deliveries and their times.
 func (w *World) Trace() uint64 { return w.trace.Sum64() }
 
-// At schedules f at a time, after everything already scheduled for that time.
+// At schedules f at a time, after everything already scheduled for that time. A time in the past counts as now.
 func (w *World) At(at time.Duration, f func()) {
 	w.queue.Set(&timers.Entry[func()]{Value: f}, max(at, w.now))
 }
@@ -106,7 +106,7 @@
 	standin.LinkFaults
 	ReorderRate     float64       // share of datagrams that are delayed, 0 to 1
 	MaxReorderDelay time.Duration // upper limit of that delay
-	Blackhole       bool          // drops everything without resetting the streams
+	Blackhole       bool          // loses all datagrams, delays all stream data until it ends, and resets no stream
 	Stall           bool          // streams deliver nothing until it ends; datagrams pass
 }
 
@@ -129,14 +129,16 @@
 	return l
 }
 
-// Set changes the faults that stand-in links know as well. A cut resets the link's streams and prevents new ones.
+// Set changes the faults that standin.LinkFaults has and leaves the others as they are. A cut resets the link's streams and
+// prevents new ones.
 func (l *Link) Set(f standin.LinkFaults) {
 	faults := l.faults
 	faults.LinkFaults = f
 	l.SetFaults(faults)
 }
 
-// SetFaults changes all faults of the link.
+// SetFaults replaces all faults of the link. A cut that begins resets the streams; segments that waited for the end of a
+// stall or blackhole are sent.
 func (l *Link) SetFaults(f LinkFaults) {
 	before := l.faults
 	l.faults = f
@@ -206,9 +208,10 @@
 	return capture.Party{Kind: [...]capture.Kind{capture.Router, capture.Switch, capture.Callers}[min(a.IP[1], 2)], Exchange: exchangeOf(a)}
 }
 
-// RecordsPackets reports that the network itself records the packets of routers, when they are sent.
+// RecordsPackets returns true: the network itself records the packets of routers when they are sent.
 func (w *World) RecordsPackets() bool { return true }
 
+// isRouter reports whether an address is that of a router.
 func isRouter(a iax2.Addr) bool { return a.IP[1] == 0 }
 
 // Port is an open address on the network.
