--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -10,8 +10,8 @@
 	"pipitring/internal/registry"
 )
 
-// Mutation is a bug planted at the boundary of a router: a setting that is not applied, or a message or record that is
-// lost or duplicated. The seed exploration must detect each of them. A nil *Mutation plants nothing.
+// Mutation is a bug planted at the boundary of a router: a wrong setting, a changed exchange list, or a message or record
+// that is lost, duplicated or changed. The seed exploration must detect each of them. A nil *Mutation plants nothing.
 type Mutation struct {
 	Name         string
 	Violates     string // rule or invariant that the bug violates
