--- a/internal/lab/calls.go
+++ b/internal/lab/calls.go
@@ -36,6 +36,7 @@
 }
 
 // CallsResult is the capacity of one router. Datagrams are counted at the router's socket, both directions together.
+// Delays are in microseconds.
 type CallsResult struct {
 	CallsPerSecond       float64 `json:"calls_per_second"` // highest rate without a missed deadline
 	DatagramsPerSecond   float64 `json:"datagrams_per_second"`
@@ -43,7 +44,7 @@
 	EchoRatio            float64 `json:"ratio_to_echo"`
 	DatagramsPerCall     float64 `json:"datagrams_per_call"`
 	DelayRate            float64 `json:"measured_at_calls_per_second"` // half of the highest rate; the rate of the delays below
-	AddedP50             float64 `json:"added_p50_us"`
+	AddedP50             float64 `json:"added_p50_us"`                 // set-up delay through the router minus that of direct calls
 	AddedP99             float64 `json:"added_p99_us"`
 	AddedP999            float64 `json:"added_p999_us"`
 	DirectP99            float64 `json:"direct_p99_us"` // the same calls without a router
@@ -56,19 +57,19 @@
 }
 
 const (
-	callsClass       = "status"
-	callsPatience    = 2 * time.Second
-	callsSetupTarget = time.Second
-	callsHoldTime    = 300 * time.Millisecond
-	generators       = 2
+	callsClass       = "status"               // class of all calls
+	callsPatience    = 2 * time.Second        // time after which the callers abandon a try; also the deadline
+	callsSetupTarget = time.Second            // an answer after it counts as missed
+	callsHoldTime    = 300 * time.Millisecond // duration of each answered call
+	generators       = 2                      // sockets that make calls, or connections that send echo datagrams
 )
 
-// passResult is the measurement of one rate.
+// passResult is the measurement of one pass: calls at one rate.
 type passResult struct {
 	rate      float64
-	calls     int
-	missed    int                     // calls without an answer within the set-up target
-	datagrams float64                 // per second, at the router
+	calls     int                     // tries; the callers of a pass do not redial
+	missed    int                     // tries without an answer within the set-up target
+	datagrams float64                 // per second, both directions together, at the router
 	hist      *hdrhistogram.Histogram // set-up delays in µs
 }
 
@@ -129,8 +130,8 @@
 	return res, err
 }
 
-// checkCallRules runs one more pass at 980 calls/s with a capture, which the other passes do without, and returns the
-// number of rule violations in it.
+// checkCallRules runs a pass at 980 calls/s with a capture and returns the number of rule violations in it. The passes that
+// measure have no capture.
 func checkCallRules(ctx context.Context, length time.Duration) (int, error) {
 	rep, err := runChecked(func(tap *capture.Writer) error {
 		tap.Notice(time.Now(), callsParameters())
@@ -142,7 +143,7 @@
 		return 0, err
 	}
 	if rep.Tries == 0 {
-		return 0, errors.New("the capture contains no call")
+		return 0, errors.New("the capture of the pass at 980 calls/s contains no call")
 	}
 	return len(rep.Violations), nil
 }
@@ -153,16 +154,16 @@
 		Patience: map[string]time.Duration{callsClass: callsPatience}}}
 }
 
-// passOptions describe one pass: complete calls at a rate to one router with a switch behind it, or directly to the switch.
+// passOptions describes one pass: complete calls at a rate, to one router with a switch behind it or directly to the switch.
 type passOptions struct {
 	rate   float64
 	length time.Duration
 	direct bool
-	tap    *capture.Writer // if not nil, one socket makes all calls: a capture has one calling party per exchange
+	tap    *capture.Writer // nil for none; if set, one socket makes all calls: a capture has one calling party per exchange
 	tables string          // TOML tables added to the router's settings
 }
 
-// callsAtRate runs a pass with the default settings.
+// callsAtRate runs a pass without additional settings tables.
 func callsAtRate(ctx context.Context, rate float64, length time.Duration, direct bool, tap *capture.Writer) (passResult, error) {
 	return runCallsPass(ctx, passOptions{rate: rate, length: length, direct: direct, tap: tap})
 }
@@ -170,9 +171,9 @@
 // runCallsPass runs one pass and returns its measurement.
 func runCallsPass(ctx context.Context, o passOptions) (p passResult, err error) {
 	rate, length, direct, tap := o.rate, o.length, o.direct, o.tap
-	generators := generators
+	sockets := generators
 	if tap != nil {
-		generators = 1
+		sockets = 1
 	}
 	p = passResult{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}, 1, tap)
@@ -192,8 +193,8 @@
 	var mu sync.Mutex
 	late := 0
 	var callers []*standin.Callers
-	for i := range generators {
-		c, err := standin.NewCallers(anyPort, target, standin.CallersSpec{Exchange: i, Rate: rate / float64(generators), FixedHold: true,
+	for i := range sockets {
+		c, err := standin.NewCallers(anyPort, target, standin.CallersSpec{Exchange: i, Rate: rate / float64(sockets), FixedHold: true,
 			Weights: []float64{0, 1}, Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime,
 				Patience: callsPatience, Deadline: callsPatience}},
 			Number: func(int, *rand.Rand) string { return "1555" },
@@ -266,7 +267,7 @@
 		"register = \"http://127.0.0.1:9\"", tables))
 }
 
-// callsSettingsText formats these settings as TOML. router and list are added to the tables of the same name.
+// callsSettingsText formats the settings of callsSettings as TOML. router and list are added to the tables of those names.
 func callsSettingsText(x int, router, group, list, tables string) []byte {
 	return fmt.Appendf(nil, `
 [router]
@@ -311,7 +312,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// bytesPerStandingCall measures a router's heap use in bytes per standing call, without sockets.
+// bytesPerStandingCall sets up the given number of calls through a router without sockets, and returns the router's heap use
+// in bytes per standing call.
 func bytesPerStandingCall(calls int) (float64, error) {
 	set, err := callsSettings(0, "circuits = 20000", "")
 	if err != nil {
@@ -324,7 +326,7 @@
 	before := heapInUse()
 	endpoints := map[iax2.Addr]*iax2.Endpoint{caller: iax2.NewEndpoint(iax2.Config{}), dest: iax2.NewEndpoint(iax2.Config{})}
 	now := time.Second
-	deliverAll := func() {
+	deliverUntilIdle := func() {
 		for again := true; again; {
 			again = false
 			for addr, ep := range endpoints {
@@ -356,11 +358,11 @@
 		if _, err := endpoints[caller].Call(now, self, iax2.Request{Called: "1555", Calling: "77", Context: callsClass}); err != nil {
 			return 0, err
 		}
-		deliverAll()
+		deliverUntilIdle()
 		now += time.Millisecond
 	}
 	if n.Core.Stats.Ends[call.Refused] > 0 || n.Core.OpenCalls() != calls {
-		return 0, fmt.Errorf("heap of standing calls: %d of %d calls were set up", n.Core.OpenCalls(), calls)
+		return 0, fmt.Errorf("heap use of standing calls: %d of %d calls were set up", n.Core.OpenCalls(), calls)
 	}
 	clear(endpoints)
 	used := heapInUse() - before
@@ -388,7 +390,7 @@
 }
 
 // measureEcho measures a bare gnet UDP echo on one event loop, in datagrams per second, both directions together. The
-// senders keep a window of 64 datagrams in flight, each of 40 bytes, the usual size of a call's.
+// senders keep a window of 64 datagrams in flight. Each has 40 bytes, the usual size of a datagram of a call.
 func measureEcho(ctx context.Context, length time.Duration) (float64, error) {
 	reserved, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -407,7 +409,7 @@
 	case err := <-stopped:
 		return 0, err
 	}
-	const window, size = 64, 40
+	const window, size = 64, 40 // datagrams, bytes
 	var echoed atomic.Int64
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -32,7 +32,7 @@
 // CrashResult is the result of auditing the disks after the crashes. The counts of calls are sums over all crash points:
 // a call that was finished at a thousand points was checked a thousand times.
 type CrashResult struct {
-	PointsTried       int            `json:"points_tried"` // includes those in recoveries
+	PointsTried       int            `json:"points_tried"` // crash points audited, those in recoveries included
 	PointsNested      int            `json:"points_in_recovery"`
 	PointsByOp        map[string]int `json:"points_by_operation"`
 	Calls             int            `json:"calls"` // calls of the run
@@ -40,7 +40,7 @@
 	CallsStanding     int            `json:"calls_standing"`
 	RecordsMissing    int            `json:"records_missing"`
 	RecordsDuplicated int            `json:"records_doubled"`
-	RecordsUnknown    int            `json:"records_false"` // records of calls that were never offered
+	RecordsUnknown    int            `json:"records_false"` // records of calls that were not offered
 	Recovered         int            `json:"records_by_recovery"`
 	ExportsWrong      int            `json:"exports_wrong"`
 	Problems          []string       `json:"broken,omitempty"`
@@ -64,7 +64,7 @@
 	mu       sync.Mutex
 	answered map[uint64]bool // calls whose final answer was sent; true if the call has ended
 	offered  uint64          // number of the last call offered
-	pending  []pendingAnswer // in order of ticket
+	pending  []pendingAnswer // answers that wait until their record is durable, in order of ticket
 	durable  uint64          // ticket of the last durable record
 	progress chan struct{}   // signalled when more records are durable
 }
@@ -79,7 +79,7 @@
 const (
 	crashRecordsDir  = "records"
 	crashExportDir   = "exported"
-	crashExportBatch = 40
+	crashExportBatch = 40 // records per exported file
 	maxStandingCalls = 64 // upper limit of standing calls at a time
 )
 
@@ -142,8 +142,8 @@
 		})
 	}
 	run.fs.SetHook(func(p crashfs.Change) error {
-		// The order matters: the answers sent before the snapshot of the disk must be on it, and the calls offered are
-		// read after it, so that every record on the disk belongs to one of them.
+		// The answers are copied before the disk is cloned, so that the clone must have the record of each of them. The
+		// number of offered calls is read after it, so that each record on the clone belongs to an offered call.
 		run.mu.Lock()
 		answered := make(map[uint64]bool, len(run.answered))
 		for call, ended := range run.answered {
@@ -201,12 +201,12 @@
 		return err
 	}
 	var standing []uint64
-	end := func() error {
+	endRandomCall := func() error {
 		i := c.rng.IntN(len(standing))
 		call := standing[i]
 		standing = slices.Delete(standing, i, i+1)
 		c.mu.Lock()
-		c.answered[call] = true // a release does not wait for its record: the open-call entry is durable
+		c.answered[call] = true // a release does not wait for its record, because the open-call entry is durable
 		c.mu.Unlock()
 		return c.submit(cdr.Item{Record: c.record(call, cdr.Answered)}, 0, false)
 	}
@@ -226,7 +226,7 @@
 			err = c.submit(cdr.Item{Record: c.record(call, cdr.Abandoned)}, call, true)
 		}
 		for err == nil && (len(standing) > maxStandingCalls || len(standing) > 0 && c.rng.IntN(3) == 0) {
-			err = end()
+			err = endRandomCall()
 		}
 		if err != nil {
 			return err
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// onDurable counts the answers whose records are durable as sent; upTo is the ticket of the last durable record.
+// onDurable marks the answers whose records are durable as sent; upTo is the ticket of the last durable record.
 func (c *crashRun) onDurable(upTo uint64) {
 	c.mu.Lock()
 	c.durable = upTo
@@ -308,19 +308,19 @@
 	fs       *crashfs.FS
 }
 
-// check recovers and audits the disk. At every nested-th crash point it also crashes that recovery at each of its own
-// crash points, and audits the resulting disks.
-func (d crashedDisk) check(nested int) *CrashResult {
+// check recovers and audits the disk. At every crash point that is a multiple of nestedInterval it also crashes that
+// recovery at each of its own crash points, and audits the resulting disks.
+func (d crashedDisk) check(nestedInterval int) *CrashResult {
 	res := &CrashResult{PointsTried: 1, PointsByOp: map[string]int{d.point.Op: 1}}
-	var inner []*crashfs.FS
-	if nested > 0 && d.point.N%uint64(nested) == 0 {
+	var nestedDisks []*crashfs.FS
+	if nestedInterval > 0 && d.point.N%uint64(nestedInterval) == 0 {
 		d.fs.SetHook(func(p crashfs.Change) error {
-			inner = append(inner, d.fs.CrashClone(int(p.N%3)*50, d.seed+p.N))
+			nestedDisks = append(nestedDisks, d.fs.CrashClone(int(p.N%3)*50, d.seed+p.N))
 			return nil
 		})
 	}
 	d.audit(res, d.fs, func() { d.fs.SetHook(nil) })
-	for _, fs := range inner {
+	for _, fs := range nestedDisks {
 		res.PointsTried++
 		res.PointsNested++
 		res.PointsByOp["in recovery"]++
@@ -329,7 +329,8 @@
 	return res
 }
 
-// audit opens a disk, which recovers it, checks the records of all calls and exports the remaining records.
+// audit opens the records on a disk, which recovers them, calls recovered, checks the records of all calls and exports the
+// remaining records.
 func (d *crashedDisk) audit(res *CrashResult, fs *crashfs.FS, recovered func()) {
 	report := func(format string, args ...any) {
 		res.Problems = append(res.Problems, fmt.Sprintf("point %d (%s %s): ", d.point.N, d.point.Op, d.point.Name)+fmt.Sprintf(format, args...))
@@ -337,7 +338,7 @@
 	rec, err := records.Open(crashRecorderOptions(fs))
 	recovered()
 	if err != nil {
-		report("opening: %v", err)
+		report("opening the records: %v", err)
 		return
 	}
 	defer func() { _ = rec.Close() }()
@@ -351,7 +352,7 @@
 		}
 		if r.ID.Call == 0 || r.ID.Call > d.offered || r.ID.Incarnation != 1 {
 			res.RecordsUnknown++
-			report("record of call %v, which was never offered", r.ID)
+			report("record of call %v, which was not offered", r.ID)
 		}
 		return nil
 	})
--- a/internal/lab/crash_test.go
+++ b/internal/lab/crash_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestCrashFindsEarlyAnswers checks the check: it must find missing records of a router that answers before the record is
+// TestCrashFindsEarlyAnswers checks that the audit finds the missing records of a router that answers before the record is
 // durable.
 func TestCrashFindsEarlyAnswers(t *testing.T) {
 	res, err := RunCrashes(context.Background(), CrashOptions{Calls: 150, Seed: 3, answerEarly: true})
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -23,7 +23,8 @@
 	inspect  func(*fleet) // if not nil, called when all calls have ended
 }
 
-// DayResult is the result of a day. The counts of tries are from the capture, as seen at the callers' sockets.
+// DayResult is the result of a day. Calls are counted by tries, redials included, from the capture, as seen at the callers'
+// sockets.
 type DayResult struct {
 	Day             string                           `json:"day"`
 	Front           string                           `json:"front"`
@@ -43,16 +44,17 @@
 	Attempts        int                              `json:"attempts"`
 	Datagrams       int                              `json:"datagrams"`
 	Malformed       int                              `json:"malformed"`
-	LeftOver        HeldResources                    `json:"left_over"`
-	Overdue         uint64                           `json:"overdue"`
-	ActionFaults    uint64                           `json:"faults"`
-	SwitchCollapses int                              `json:"switches_fallen"`
+	LeftOver        HeldResources                    `json:"left_over"`       // still held after all calls have ended
+	Overdue         uint64                           `json:"overdue"`         // calls answered by the watchdog
+	ActionFaults    uint64                           `json:"faults"`          // actions of the controller that could not be executed
+	SwitchCollapses int                              `json:"switches_fallen"` // collapses of cold processors by overload
 	Records         DayRecords                       `json:"records"`
 	WallSeconds     float64                          `json:"wall_seconds"`
-	stored          storedRecords
+	stored          storedRecords                    // compared with the capture
 }
 
-// Good reports whether no rule was violated, no resource remained held and no record was wrong.
+// Good reports whether no rule was violated, no resource is still held, no answer was overdue, no action failed, no message
+// was malformed and all records are right.
 func (r *DayResult) Good() bool {
 	return r.ViolationCount == 0 && r.LeftOver == (HeldResources{}) && r.Overdue+r.ActionFaults == 0 && r.Malformed == 0 && r.Records.Good()
 }
@@ -157,7 +159,7 @@
 	return f.finish(s, o.inspect, res)
 }
 
-// finish stops the callers, waits until all calls have ended and collects what is still held, the statistics and the
+// finish stops the callers, waits until all calls have ended and collects the resources still held, the statistics and the
 // records.
 func (f *fleet) finish(s *Script, inspect func(*fleet), res *DayResult) error {
 	for _, c := range f.callers {
@@ -219,8 +221,8 @@
 // addReport fills in the fields that come from a report of the rules.
 func (r *DayResult) addReport(rep *rules.Report) {
 	r.ViolationCount, r.Calls, r.ByClass, r.Causes = len(rep.Violations), rep.Tries, rep.Outcomes, rep.Causes
-	for _, b := range rep.Violations {
-		r.Violations = append(r.Violations, b.String())
+	for _, v := range rep.Violations {
+		r.Violations = append(r.Violations, v.String())
 	}
 	r.Answered, r.Refused, r.Failed = rep.Count(rules.Answered), rep.Count(rules.Refused), rep.Count(rules.Failed)
 	r.Abandoned, r.Unanswered, r.Unfinished = rep.Count(rules.Abandoned), rep.Count(rules.Unanswered), rep.Count(rules.Unfinished)
@@ -233,7 +235,7 @@
 	}
 }
 
-// Summarize returns a report of the rules in the form of a day's result.
+// Summarize returns a day's result with only the fields that come from a report of the rules.
 func Summarize(rep *rules.Report) *DayResult {
 	var r DayResult
 	r.addReport(rep)
--- a/internal/lab/drain_test.go
+++ b/internal/lab/drain_test.go
@@ -46,7 +46,7 @@
 						t.Errorf("grace %v, %s, set-up %v after the drain, link lost until %v: %v, outcomes %v", grace, front, offset, cut,
 							rep.Violations, rep.Outcomes)
 					}
-					env.fleet.closeDir()
+					env.fleet.removeDataDir()
 				}
 			}
 		}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -10,8 +10,8 @@
 
 // DrawOptions are the options of generating a script from a seed.
 type DrawOptions struct {
-	Exchanges int           // 0 chooses 3 to 12, in one of ten seeds 12 to 40
-	Length    time.Duration // 0 chooses 6 to 14 s
+	Exchanges int           // number of exchanges; 0 chooses 3 to 12, or 12 to 40 in one of ten seeds
+	Length    time.Duration // length of the day; 0 chooses 6 to 14 s
 }
 
 // DrawScript generates a script with overlapping faults from a seed. The same seed and options give the same script.
@@ -46,7 +46,7 @@
 	f.ListLag = durationBetween(0, 2*time.Second)
 	f.Front = FrontNames[rng.IntN(len(FrontNames))]
 	if f.DrainGrace == 250*time.Millisecond {
-		f.AcceptDelay = 50 * time.Millisecond // at most a quarter of the drain grace
+		f.AcceptDelay = 50 * time.Millisecond // the settings check allows at most a quarter of the drain grace
 	}
 	exchangeRate := between(2, 14) // calls per second from, and to, each exchange
 	f.SetUpRate = exchangeRate * between(1.3, 10)
@@ -57,13 +57,13 @@
 			Patience: 3 * time.Second, Deadline: 9 * time.Second, Value: 1, LateValue: 0.25},
 		{Name: "alarm", Share: 0.3, HoldTime: durationBetween(300*time.Millisecond, 3*time.Second), SetupTarget: time.Second, Patience: 2 * time.Second,
 			Deadline: 6 * time.Second, Value: 5, LateValue: 0.25}}
-	s.Faults = drawFaults(rng, &s)
+	s.Faults = generateFaults(rng, &s)
 	return &s
 }
 
-// drawFaults generates two to seven faults. The first two overlap and are of a pair of kinds that follows from the seed's
-// number, so that as many consecutive seeds as there are pairs cover all pairs.
-func drawFaults(rng *rand.Rand, s *Script) (out []Fault) {
+// generateFaults generates two to seven faults. The first two overlap. Their kinds are a pair that the seed's number
+// determines, so that consecutive seeds, as many as there are pairs, cover all pairs.
+func generateFaults(rng *rand.Rand, s *Script) (out []Fault) {
 	names := slices.Sorted(maps.Keys(faultKinds))
 	pair := pairAt(names, int(s.Seed%uint64(pairCount())))
 	for i := range 2 + rng.IntN(6) {
@@ -72,21 +72,21 @@
 			name = pair[i]
 		}
 		k := faultKinds[name]
-		t := Fault{Kind: name, At: time.Duration(rng.Int64N(int64(s.Length * 3 / 4))), For: time.Duration(rng.Int64N(int64(s.Length / 2))),
+		fault := Fault{Kind: name, At: time.Duration(rng.Int64N(int64(s.Length * 3 / 4))), For: time.Duration(rng.Int64N(int64(s.Length / 2))),
 			Share: rng.Float64(), Size: k.minSize + (k.maxSize-k.minSize)*rng.Float64()*rng.Float64()}
 		if i == 1 {
-			t.At = min(out[0].At+time.Duration(rng.Int64N(int64(out[0].For)+1)), s.Length-1)
+			fault.At = min(out[0].At+time.Duration(rng.Int64N(int64(out[0].For)+1)), s.Length-1)
 		}
 		if k.maxSize > 10 {
-			t.Size = k.minSize + (min(k.maxSize, 10)-k.minSize)*rng.Float64()
+			fault.Size = k.minSize + (min(k.maxSize, 10)-k.minSize)*rng.Float64()
 		}
 		if k.region {
-			t.Region = s.Fleet.Regions[rng.IntN(len(s.Fleet.Regions))]
+			fault.Region = s.Fleet.Regions[rng.IntN(len(s.Fleet.Regions))]
 		}
-		if t.Share == 0 {
-			t.Share = 0.5
+		if fault.Share == 0 {
+			fault.Share = 0.5
 		}
-		out = append(out, t)
+		out = append(out, fault)
 	}
 	return out
 }
@@ -104,7 +104,7 @@
 	panic("lab: pair of fault kinds out of range")
 }
 
-// kindPair returns a pair of kinds in alphabetical order.
+// kindPair returns two kinds of fault in alphabetical order.
 func kindPair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
@@ -112,7 +112,8 @@
 	return [2]string{a, b}
 }
 
-// overlappingPairs returns the pairs of kinds whose faults overlap in a script.
+// overlappingPairs returns the pairs of kinds whose faults overlap in a script, each as kindPair returns it. A pair that
+// overlaps several times is repeated.
 func overlappingPairs(s *Script) (out [][2]string) {
 	for i, a := range s.Faults {
 		for _, b := range s.Faults[i+1:] {
--- a/internal/lab/failover.go
+++ b/internal/lab/failover.go
@@ -31,11 +31,11 @@
 	MaxAfter  float64 `json:"max_after_us"`
 }
 
-// newestLink is the index of the link whose association is established last.
+// newestLink is the index of the link whose association is established last and carries all traffic.
 const newestLink = 1
 
-// MeasureFailover offers calls between two routers with two associations, and cuts the association that carries them halfway
-// through length.
+// MeasureFailover offers calls between two routers with two associations for the given length. Halfway through, it cuts the
+// association that carries the calls.
 func MeasureFailover(ctx context.Context, rate float64, length time.Duration) (*FailoverResult, error) {
 	sw, err := standin.NewSwitch(anyPort, standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}, 1, nil)
 	if err != nil {
@@ -77,8 +77,8 @@
 	if err := awaitAssociations(routers[0]); err != nil {
 		return nil, err
 	}
-	// The newest association carries all traffic. Which one that is depends on the order of connecting, so one is cut and
-	// connected again.
+	// The newest association carries all traffic. Which one is the newest depends on the order of connecting, so that of
+	// newestLink is cut and connected again.
 	links[newestLink].Set(standin.LinkFaults{Cut: true})
 	time.Sleep(50 * time.Millisecond)
 	links[newestLink].Set(standin.LinkFaults{})
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -42,7 +42,7 @@
 type discoveryServer interface {
 	Publish(routers int, entries []standin.ListEntry) // sets the list for routers 0 to routers-1
 	Lag(router int, d time.Duration)                  // delays updates to a router
-	Gone(on bool)                                     // while on, all queries fail
+	Gone(on bool)                                     // makes all queries fail while on is true
 	Close()
 }
 
@@ -54,8 +54,8 @@
 	streamAddr(p [2]int) netip.AddrPort                  // M3UA address that the lower-numbered router of a pair connects to
 	readRecords(res *DayRecords) (storedRecords, error)  // audits the records of all routers
 	forEach(exchanges []int, do func(x int) error) error // runs do for several exchanges, concurrently on sockets
-	tapDelay() time.Duration                             // upper limit of the difference between two taps' recording delays
-	isupSwitches() bool                                  // switches use ISUP if all routers do
+	tapJitter() time.Duration                            // upper limit of the difference between the recording delays of two datagrams
+	isupSwitches() bool                                  // whether switches use ISUP if all routers do
 }
 
 // fleet is a set of routers with their stand-ins.
@@ -74,9 +74,9 @@
 	streams      map[[2]int]link     // M3UA links of the pairs that use ISUP
 	m3uaAddrs    []netip.AddrPort    // M3UA address of each router
 	circuits     map[[2]int]int      // size of each trunk group, by the pair of exchanges in ascending order
-	circuitShare map[[2]int]float64  // share of its circuits that each group has at present, 0 to 1
-	entries      []standin.ListEntry // exchange list
-	dataDir      string              // directory of all files
+	circuitShare map[[2]int]float64  // share of its circuits that each trunk group may use at present, 0 to 1; same keys
+	entries      []standin.ListEntry // exchange list as last changed
+	dataDir      string              // temporary directory of records and tariffs; "" until it is created
 }
 
 // socketEnvironment runs a fleet on loopback sockets and the wall clock.
@@ -93,7 +93,7 @@
 
 func (e *socketEnvironment) wallTime() time.Time { return time.Now() }
 
-func (e *socketEnvironment) tapDelay() time.Duration { return socketTapDelay }
+func (e *socketEnvironment) tapJitter() time.Duration { return socketTapJitter }
 
 func (e *socketEnvironment) isupSwitches() bool { return true }
 
@@ -133,8 +133,8 @@
 // warmUptime is the uptime that the exchange list gives for the processors when the fleet starts, so that none is cold.
 const warmUptime = 5 * time.Hour
 
-// socketTapDelay is the upper limit of the difference between the recording delays of two datagrams on a busy machine.
-const socketTapDelay = 40 * time.Millisecond
+// socketTapJitter is the upper limit of the difference between the recording delays of two datagrams on a busy machine.
+const socketTapJitter = 40 * time.Millisecond
 
 // anyPort is a loopback address whose port the system chooses.
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
@@ -160,11 +160,11 @@
 			f.close()
 		}
 	}()
-	if err := f.openDir(); err != nil {
+	if err := f.createDataDir(); err != nil {
 		return f, err
 	}
 	f.notice(capture.Notice{Parameters: f.parameters()})
-	f.drawGroups()
+	f.chooseCircuitCounts()
 	if e.discovery, err = standin.NewDiscoveryServer(tap, e.routerAddrFor); err != nil {
 		return f, err
 	}
@@ -277,11 +277,11 @@
 	return p
 }
 
-// region returns the region of an exchange: the regions take turns.
+// region returns the region of an exchange. Exchanges are assigned to the regions in rotation.
 func (f *fleet) region(x int) string { return f.script.Fleet.Regions[x%len(f.script.Fleet.Regions)] }
 
-// drawGroups chooses the number of circuits of each pair's trunk group at random; 0 is no group.
-func (f *fleet) drawGroups() {
+// chooseCircuitCounts chooses the number of circuits of each pair's trunk group at random; 0 stands for no trunk group.
+func (f *fleet) chooseCircuitCounts() {
 	s := &f.script.Fleet
 	for a := range s.Exchanges {
 		for b := a + 1; b < s.Exchanges; b++ {
@@ -295,10 +295,11 @@
 	}
 }
 
-// orderedPair returns two exchanges in ascending order, the key of links and groups.
+// orderedPair returns two exchanges in ascending order, as in the keys of links, streams and circuits.
 func orderedPair(a, b int) [2]int { return [2]int{min(a, b), max(a, b)} }
 
-// routerAddrFor returns the address at which the router viewer reaches the router of an exchange: an end of their link.
+// routerAddrFor returns the address at which the router of exchange viewer reaches the router of another exchange: one end
+// of the link between them.
 func (e *socketEnvironment) routerAddrFor(viewer, exchange int) netip.AddrPort {
 	if viewer == exchange {
 		return e.fleet.routerAddrs[exchange]
@@ -311,7 +312,7 @@
 	return atB
 }
 
-// linkFaults returns the faults that the link between two exchanges has all day.
+// linkFaults returns the faults that the link between two exchanges has throughout the day.
 func (f *fleet) linkFaults(a, b int) standin.LinkFaults {
 	s := &f.script.Fleet
 	delay := s.RegionDelay
@@ -332,31 +333,31 @@
 		Number: func(dest int, rng *rand.Rand) string {
 			return fmt.Sprintf("%s%05d", numberPrefix(dest), rng.IntN(100000))
 		}}
-	for _, cl := range s.Classes {
-		c.Classes = append(c.Classes, standin.CallerClass{Name: cl.Name, Share: cl.Share, Hold: cl.HoldTime, Patience: cl.Patience,
-			Deadline: cl.Deadline})
+	for _, class := range s.Classes {
+		c.Classes = append(c.Classes, standin.CallerClass{Name: class.Name, Share: class.Share, Hold: class.HoldTime, Patience: class.Patience,
+			Deadline: class.Deadline})
 	}
 	others := float64(s.Fleet.Exchanges - 1)
 	for d := range s.Fleet.Exchanges {
-		w := (1 - s.Load.LocalShare) / others
+		weight := (1 - s.Load.LocalShare) / others
 		if d == x {
-			w = s.Load.LocalShare
+			weight = s.Load.LocalShare
 		}
-		c.Weights = append(c.Weights, w)
+		c.Weights = append(c.Weights, weight)
 	}
 	return c
 }
 
-// settings formats a router's settings as TOML and parses them, as for an operator's file.
+// settings formats a router's settings as TOML and parses them in the same way as an operator's file.
 func (f *fleet) settings(x int) (*config.Settings, error) {
 	s := f.script
 	var b strings.Builder
 	add := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	add("[router]\nexchange = %d\nlisten = %q\ndefault_class = %q\nanswer_margin = \"120ms\"\nseed = %d", x, f.routerAddrs[x], s.Classes[0].Name,
 		s.Seed*1000+uint64(x)+1)
-	// The wait is longer than the one that the rules check: the far end and the tap count it from the arrival of the
-	// release, which the tap may record late.
-	add("[rules]\nrelease_wait = %q\ndrain_grace = %q\ncold_from = %v\ncold_for = %q\nfall_multiple = %v", s.Fleet.ReleaseWait+f.env.tapDelay(),
+	// The wait is longer than the one that the rules check. The neighbour and the tap count it from the arrival of
+	// the release, which the tap may record late.
+	add("[rules]\nrelease_wait = %q\ndrain_grace = %q\ncold_from = %v\ncold_for = %q\nfall_multiple = %v", s.Fleet.ReleaseWait+f.env.tapJitter(),
 		s.Fleet.DrainGrace, s.Fleet.ColdCapacity, s.Fleet.ColdDuration, s.Fleet.OverloadMultiple)
 	add("[list]\nregister = %q\nwait = \"10s\"", f.env.listURL(x))
 	add("[iax]\nmax_per_host = 0\ncall_tokens = true\nretry_first = \"300ms\"\naccept_delay = %q\nping_every = \"2s\"\nlinger = \"2s\"", s.Fleet.AcceptDelay)
@@ -421,7 +422,7 @@
 	return r.Kill()
 }
 
-// killAll kills routers concurrently, because one after another would take seconds.
+// killAll kills the routers of several exchanges, on sockets concurrently, because one after another takes seconds.
 func (f *fleet) killAll(exchanges []int) error { return f.env.forEach(exchanges, f.kill) }
 
 // forEach runs do for several exchanges concurrently and returns their errors joined.
@@ -435,7 +436,8 @@
 	return errors.Join(errs...)
 }
 
-// reload reloads all routers, so that both ends of every group have its present number of circuits.
+// reload applies the present settings to all running routers, so that both ends of every trunk group have the same number
+// of circuits.
 func (f *fleet) reload() error {
 	var errs []error
 	for x, r := range f.routers {
@@ -465,12 +467,12 @@
 }
 
 // setPhase changes the phase of an exchange's processor in the list and publishes it.
-func (f *fleet) setPhase(x int, p string) {
-	f.entry(x).Phase = p
+func (f *fleet) setPhase(x int, phase string) {
+	f.entry(x).Phase = phase
 	f.publish()
 }
 
-// replaceSwitch starts a cold processor in place of the old one, and publishes the list with it.
+// replaceSwitch restarts the switch of an exchange with a cold processor, and publishes the list with it.
 func (f *fleet) replaceSwitch(x int) {
 	id := f.switches[x].Restart()
 	f.entries = slices.DeleteFunc(f.entries, func(l standin.ListEntry) bool { return l.Exchange == x })
@@ -489,7 +491,7 @@
 				return err
 			}
 			if time.Now().After(limit) {
-				return errors.New("a router has no complete exchange list after 20 s")
+				return errors.New("at least one router has no complete exchange list after 20 s")
 			}
 		}
 	}
@@ -505,26 +507,26 @@
 }
 
 // heldResources sums the resources that the running routers hold.
-func (f *fleet) heldResources() (l HeldResources, err error) {
+func (f *fleet) heldResources() (held HeldResources, err error) {
 	for _, r := range f.routers {
 		if r == nil {
 			continue
 		}
-		derr := r.Do(func(n *node.Node, _ time.Duration) {
-			l.Calls += n.Core.OpenCalls()
-			l.Legs += n.Core.Legs()
-			l.Dialogs += n.Dialogs() + n.ISUP().Legs()
+		routerErr := r.Do(func(n *node.Node, _ time.Duration) {
+			held.Calls += n.Core.OpenCalls()
+			held.Legs += n.Core.Legs()
+			held.Dialogs += n.Dialogs() + n.ISUP().Legs()
 			for _, g := range n.Core.Groups() {
 				out, in := g.Used()
-				l.Circuits += out + in
+				held.Circuits += out + in
 			}
 		})
-		err = errors.Join(err, derr)
+		err = errors.Join(err, routerErr)
 	}
-	return l, err
+	return held, err
 }
 
-// awaitSignalling waits until every association is active, at most 20 s.
+// awaitSignalling waits until every association between routers, and to the switches that use ISUP, is active, at most 20 s.
 func (f *fleet) awaitSignalling() error {
 	limit := time.Now().Add(20 * time.Second)
 	pairs := slices.Collect(maps.Keys(f.streams))
@@ -553,10 +555,10 @@
 }
 
 // awaitReleased waits until no resources are held, at most for limit, and returns those still held.
-func (f *fleet) awaitReleased(limit time.Duration) (l HeldResources, err error) {
+func (f *fleet) awaitReleased(limit time.Duration) (held HeldResources, err error) {
 	for end := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
-		if l, err = f.heldResources(); err != nil || l == (HeldResources{}) || time.Now().After(end) {
-			return l, err
+		if held, err = f.heldResources(); err != nil || held == (HeldResources{}) || time.Now().After(end) {
+			return held, err
 		}
 	}
 }
@@ -566,7 +568,7 @@
 	for _, c := range f.callers {
 		c.Close()
 	}
-	_ = f.stopRouters() // the result is complete: a failure here does not change it
+	_ = f.stopRouters() // a failure is ignored: the result is complete by now
 	for _, l := range f.links {
 		l.Close()
 	}
@@ -579,11 +581,11 @@
 	if f.discovery != nil {
 		f.discovery.Close()
 	}
-	f.closeDir()
+	f.removeDataDir()
 }
 
-// closeDir removes the fleet's directory.
-func (f *fleet) closeDir() {
+// removeDataDir removes the fleet's directory.
+func (f *fleet) removeDataDir() {
 	if f.dataDir != "" {
 		_ = os.RemoveAll(f.dataDir) // a temporary directory: the system removes what remains
 	}
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -26,10 +26,10 @@
 	Progress     io.Writer     // gets a line for each rate
 }
 
-// FrontsResult is the capacity of one router for each pair of protocols, measured in one run.
+// FrontsResult is the capacity of one router for each pair of incoming and outgoing protocol, measured in one run.
 type FrontsResult struct {
 	CallsPerSecond  map[string]float64 `json:"calls_per_second"`  // highest rate without a missed deadline, by "in to out"
-	P99             map[string]float64 `json:"p99_us"`            // set-up delay at half of that rate
+	P99             map[string]float64 `json:"p99_us"`            // 99th percentile of the set-up delay at half of that rate, in µs
 	ISUPOverIAX2    float64            `json:"iax2_over_isup"`    // calls per second of IAX2 to IAX2 divided by those of ISUP to ISUP
 	BytesPerCircuit float64            `json:"bytes_per_circuit"` // heap per idle circuit, at one end
 	Calls           int                `json:"calls"`
@@ -39,12 +39,12 @@
 const (
 	routerPointCode    = 1
 	ownSwitchPointCode = 2
-	farPointCode       = 3
+	neighbourPointCode = 3
 	groupCircuits      = 4000
 )
 
 // MeasureFronts measures the complete calls per second of one router with IAX2 and ISUP on either side. Incoming ISUP calls
-// come from the router's own switch, outgoing ones go to the far exchange, each over one association.
+// come from the router's own switch, outgoing ones go to the neighbour exchange, each over one association.
 func MeasureFronts(ctx context.Context, o FrontsOptions) (*FrontsResult, error) {
 	res := &FrontsResult{CallsPerSecond: map[string]float64{}, P99: map[string]float64{}}
 	for _, in := range []string{"iax2", "isup"} {
@@ -80,7 +80,7 @@
 		}
 	}
 	before := heapInUse()
-	group := isup.NewGroup(isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: routerPointCode, FarPointCode: farPointCode})
+	group := isup.NewGroup(isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: routerPointCode, FarPointCode: neighbourPointCode})
 	res.BytesPerCircuit = (heapInUse() - before) / groupCircuits
 	goruntime.KeepAlive(group)
 	if isup := res.CallsPerSecond["isup to isup"]; isup > 0 {
@@ -89,15 +89,15 @@
 	return res, nil
 }
 
-// startFrontsRouter starts a router that uses the protocol in towards its own switch and out towards the far exchange. It
-// returns the router and its M3UA address.
-func startFrontsRouter(in, out string, far netip.AddrPort) (r *runtime.Server, m3ua netip.AddrPort, err error) {
+// startFrontsRouter starts a router that uses the protocol in towards its own switch and out towards the neighbour exchange,
+// whose address is neighbour. It returns the router and its M3UA address.
+func startFrontsRouter(in, out string, neighbour netip.AddrPort) (r *runtime.Server, m3ua netip.AddrPort, err error) {
 	if m3ua, err = freePort(); err != nil {
 		return nil, m3ua, err
 	}
 	group := fmt.Sprintf("circuits = %d", groupCircuits)
 	if out == "isup" {
-		group += fmt.Sprintf("\nfront = \"isup\"\npoint_code = %d", farPointCode)
+		group += fmt.Sprintf("\nfront = \"isup\"\npoint_code = %d", neighbourPointCode)
 	}
 	tables := fmt.Sprintf("[m3ua]\nlisten = %q\nmax_out = 4194304", m3ua)
 	if in == "isup" {
@@ -110,32 +110,32 @@
 	if r, err = runtime.Start(set, nil); err != nil {
 		return nil, m3ua, err
 	}
-	r.SetList(callsExchangeList(far))
+	r.SetList(callsExchangeList(neighbour))
 	return r, m3ua, nil
 }
 
-// frontsAtRate offers complete calls at a rate with the given protocols on either side.
+// frontsAtRate offers complete calls at a rate for the given length, with the protocols in and out on the two sides.
 func frontsAtRate(ctx context.Context, rate float64, length time.Duration, in, out string) (p passResult, err error) {
 	p = passResult{rate: rate, hist: hdrhistogram.New(1, 10_000_000, 3)}
 	spec := standin.SwitchSpec{Exchange: 1, Rate: 1e9, QueueWait: time.Second, Lines: 1e6}
-	farAddr := netip.MustParseAddrPort("127.0.0.1:9") // unused if the far exchange uses ISUP
+	neighbourAddr := netip.MustParseAddrPort("127.0.0.1:9") // unused if the neighbour exchange uses ISUP
 	if out == "iax2" {
 		sw, err := standin.NewSwitch(anyPort, spec, 1, nil)
 		if err != nil {
 			return p, err
 		}
 		defer sw.Close()
-		farAddr = sw.Addr()
+		neighbourAddr = sw.Addr()
 	}
-	r, m3ua, err := startFrontsRouter(in, out, farAddr)
+	r, m3ua, err := startFrontsRouter(in, out, neighbourAddr)
 	if err != nil {
 		return p, err
 	}
 	defer func() { err = errors.Join(err, r.Stop()) }()
 	if out == "isup" {
-		far := standin.NewISUPSwitch(m3ua, spec, isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: farPointCode, FarPointCode: routerPointCode}, 1, nil)
-		defer far.Close()
-		if err := far.Await(); err != nil {
+		neighbour := standin.NewISUPSwitch(m3ua, spec, isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: neighbourPointCode, FarPointCode: routerPointCode}, 1, nil)
+		defer neighbour.Close()
+		if err := neighbour.Await(); err != nil {
 			return p, err
 		}
 	}
@@ -190,12 +190,12 @@
 	defer mu.Unlock()
 	p.calls, p.missed = tries, tries-answeredTries+late
 	if offered := int(0.9 * rate * length.Seconds()); tries < offered {
-		p.missed += offered - tries // callers that found no idle circuit could not make a try
+		p.missed += offered - tries // a shortfall above a tenth is missed: callers without an idle circuit make no try
 	}
 	return p, nil
 }
 
-// awaitActive waits until the router's association to the far exchange is active, at most 10 s; without ISUP it returns
+// awaitActive waits until the router's association to the neighbour exchange is active, at most 10 s; without ISUP it returns
 // at once.
 func awaitActive(r *runtime.Server, out string) error {
 	up := out != "isup"
@@ -204,7 +204,7 @@
 			return err
 		}
 		if time.Now().After(limit) {
-			return errors.New("no active association to the far exchange after 10 s")
+			return errors.New("no active association to the neighbour exchange after 10 s")
 		}
 	}
 	return nil
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -22,23 +22,23 @@
 
 // KillOptions are the options of killing a real router process under load.
 type KillOptions struct {
-	Kills        int
-	Rate         float64 // calls per second; 0 is 400
-	Seed         uint64
-	Progress     io.Writer
-	ServeCommand []string // command that runs a router with the settings file appended to it; empty is this program
+	Kills        int       // number of kills under load; one more follows after all calls have ended
+	Rate         float64   // calls per second; 0 is 400
+	Seed         uint64    // seed of the calls and the times of the kills
+	Progress     io.Writer // gets a line for every 20 kills; nil for none
+	ServeCommand []string  // command that runs a router; the settings file is appended as its last argument. Empty is this program
 }
 
 // KillResult is the result of auditing the records after the kills.
 type KillResult struct {
 	Kills          int     `json:"kills"`
 	Calls          int     `json:"calls"`
-	Answered       int     `json:"answered"` // final answers that callers received
-	Recovered      int     `json:"recovered"`
+	Answered       int     `json:"answered"`  // final answers that callers received
+	Recovered      int     `json:"recovered"` // records of calls that a recovery closed
 	Records        int     `json:"records"`
 	Missing        int     `json:"records_missing"`
 	Duplicated     int     `json:"records_doubled"`
-	Wrong          int     `json:"records_wrong"`
+	Wrong          int     `json:"records_wrong"` // records whose end differs from the capture
 	ViolationCount int     `json:"rules_broken"`
 	LongestStartMS float64 `json:"longest_start_ms"` // from the start of the process until it serves
 
@@ -84,8 +84,8 @@
 	if err != nil {
 		return err
 	}
-	d := DayRecords{}
-	have, err := readStoredRecords(rec.Store(), 0, &d)
+	audit := DayRecords{}
+	stored, err := readStoredRecords(rec.Store(), 0, &audit)
 	if err == nil {
 		err = rec.Close()
 	} else {
@@ -94,9 +94,9 @@
 	if err != nil {
 		return err
 	}
-	d.match(rep.TryDetails, storedRecords{0: have}, nil)
-	r.Records, r.Recovered, r.Missing, r.Duplicated, r.Wrong = d.Records, d.Recovered, d.Missing, d.Duplicated, d.Wrong
-	r.Problems = append(r.Problems, d.Problems...)
+	audit.match(rep.TryDetails, storedRecords{0: stored}, nil)
+	r.Records, r.Recovered, r.Missing, r.Duplicated, r.Wrong = audit.Records, audit.Recovered, audit.Missing, audit.Duplicated, audit.Wrong
+	r.Problems = append(r.Problems, audit.Problems...)
 	return nil
 }
 
@@ -109,19 +109,19 @@
 		return err
 	}
 	defer sw.Close()
-	at, err := freePort()
+	listenAddr, err := freePort()
 	if err != nil {
 		return err
 	}
-	web, err := freePort()
+	httpAddr, err := freePort()
 	if err != nil {
 		return err
 	}
-	file, err := writeKillSettings(dir, at, web, sw.Addr())
+	file, err := writeKillSettings(dir, listenAddr, httpAddr, sw.Addr())
 	if err != nil {
 		return err
 	}
-	c, err := standin.NewCallers(anyPort, at, standin.CallersSpec{Exchange: 0, Rate: o.Rate, Weights: []float64{0, 1},
+	c, err := standin.NewCallers(anyPort, listenAddr, standin.CallersSpec{Exchange: 0, Rate: o.Rate, Weights: []float64{0, 1},
 		Classes: []standin.CallerClass{{Name: callsClass, Share: 1, Hold: callsHoldTime, Patience: callsPatience, Deadline: callsPatience}},
 		Number:  func(_ int, rng *rand.Rand) string { return fmt.Sprintf("1%05d", rng.IntN(100000)) }}, o.Seed, tap)
 	if err != nil {
@@ -130,7 +130,7 @@
 	defer c.Close()
 	rng := rand.New(rand.NewPCG(o.Seed, 21))
 	for i := range o.Kills + 1 {
-		p, err := startProcess(ctx, o.ServeCommand, file, web, res)
+		p, err := startProcess(ctx, o.ServeCommand, file, httpAddr, res)
 		if err != nil {
 			return fmt.Errorf("start %d: %w", i+1, err)
 		}
@@ -150,12 +150,12 @@
 		}
 		recordRouterState(tap, false)
 		err = p.Process.Kill()
-		_ = p.Wait() // the error is that it was killed
+		_ = p.Wait() // the error only says that the process was killed
 		if err != nil || !ok {
 			return errors.Join(err, ctx.Err())
 		}
 		if i%20 == 0 {
-			fmt.Fprintf(o.Progress, "%d kills done\n", i)
+			fmt.Fprintf(o.Progress, "kill %d done, numbered from 0\n", i)
 		}
 	}
 	return nil
@@ -170,13 +170,13 @@
 }
 
 // writeKillSettings writes the router's settings, exchange list and tariffs to dir and returns the settings file.
-func writeKillSettings(dir string, at, web, sw netip.AddrPort) (string, error) {
+func writeKillSettings(dir string, listenAddr, httpAddr, sw netip.AddrPort) (string, error) {
 	files := map[string]string{
 		"tariffs.toml": dayTariffs,
 		"list.toml":    fmt.Sprintf("[[exchange]]\nid = \"far\"\nnumber = 1\naddress = %q\n", sw),
-		"router.toml": string(callsSettingsText(0, fmt.Sprintf("listen = %q\nanswer_margin = \"120ms\"", at), "circuits = 5000",
+		"router.toml": string(callsSettingsText(0, fmt.Sprintf("listen = %q\nanswer_margin = \"120ms\"", listenAddr), "circuits = 5000",
 			fmt.Sprintf("file = %q", filepath.Join(dir, "list.toml")), fmt.Sprintf("[http]\nlisten = %q\n[records]\ndir = %q\n"+
-				"tariffs = \"tariffs.toml\"\nanswer_wait = \"100ms\"\n[log]\nlevel = \"error\"\n", web, filepath.Join(dir, "records")))),
+				"tariffs = \"tariffs.toml\"\nanswer_wait = \"100ms\"\n[log]\nlevel = \"error\"\n", httpAddr, filepath.Join(dir, "records")))),
 	}
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -187,7 +187,7 @@
 }
 
 // startProcess starts the router's process and waits until its health check succeeds, at most 20 s.
-func startProcess(ctx context.Context, serve []string, file string, web netip.AddrPort, res *KillResult) (*exec.Cmd, error) {
+func startProcess(ctx context.Context, serve []string, file string, httpAddr netip.AddrPort, res *KillResult) (*exec.Cmd, error) {
 	if len(serve) == 0 {
 		exe, err := os.Executable()
 		if err != nil {
@@ -205,7 +205,7 @@
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	for limit := began.Add(20 * time.Second); time.Now().Before(limit) && ctx.Err() == nil; time.Sleep(2 * time.Millisecond) {
-		resp, err := client.Get("http://" + web.String() + "/health")
+		resp, err := client.Get("http://" + httpAddr.String() + "/health")
 		if err != nil {
 			continue
 		}
@@ -217,5 +217,5 @@
 	}
 	_ = p.Process.Kill()
 	_ = p.Wait()
-	return nil, fmt.Errorf("router process does not serve after 20 s: %s", stderr.String())
+	return nil, fmt.Errorf("health check of the router process failed for 20 s: %s", stderr.String())
 }
--- a/internal/lab/kill_test.go
+++ b/internal/lab/kill_test.go
@@ -27,8 +27,8 @@
 	os.Exit(1)
 }
 
-// TestKilledProcess guards against records that are lost or duplicated when a router's process is killed under load: each
-// call whose answer the caller received has exactly one record.
+// TestKilledProcess guards against records that are lost or duplicated when a router's process is killed under load. Each
+// call whose answer the caller received must have exactly one record.
 func TestKilledProcess(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if !res.Good() {
-		t.Errorf("%d rule violations, still held %+v, %d overdue answers, %d failed actions, %d malformed messages:\n%s",
+		t.Errorf("%d rule violations, resources still held %+v, %d overdue answers, %d failed actions, %d malformed messages:\n%s",
 			res.ViolationCount, res.LeftOver, res.Overdue,
 			res.ActionFaults, res.Malformed, strings.Join(res.Violations, "\n"))
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestUnresponsiveSwitch guards against calls without a final answer when a switch stops responding during set-up. Each gets
-// one failure answer; the rules check that it is not attempted again within 300 ms.
+// TestUnresponsiveSwitch guards against calls without a final answer when a switch accepts set-ups and answers none. Each call
+// gets one failure answer; the rules check that it is not attempted again within 300 ms.
 func TestUnresponsiveSwitch(t *testing.T) {
 	res := runDayChecked(t, `
 length = "4s"
@@ -233,7 +233,7 @@
 	}
 }
 
-// TestCallersRegister checks that callers register with their router.
+// TestCallersRegister checks that callers register with the router of their exchange.
 func TestCallersRegister(t *testing.T) {
 	s, err := ParseScript("test.toml", []byte("[fleet]\nexchanges = 2\n"+classTable))
 	if err != nil {
@@ -259,9 +259,9 @@
 	}
 }
 
-// TestQuietNetworkAnswersEveryCall checks that a network without faults and with warm processors answers every call from the
-// first second on, with each front.
-func TestQuietNetworkAnswersEveryCall(t *testing.T) {
+// TestNetworkWithoutFaultsAnswersEveryCall checks that a network without faults and with warm processors answers every call
+// from the first second on, with each protocol between routers.
+func TestNetworkWithoutFaultsAnswersEveryCall(t *testing.T) {
 	for _, front := range FrontNames {
 		res := runDayChecked(t, `
 length = "2s"
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -31,16 +31,16 @@
 type RecordsResult struct {
 	DurablePerSecond float64            `json:"records_durable_per_second"` // with one writer on one core
 	RecordsPerCommit float64            `json:"records_per_commit"`
-	BytesPerRecord   float64            `json:"bytes_per_record"` // on disk, after compaction
-	EncodedBytes     float64            `json:"encoded_bytes"`
+	BytesPerRecord   float64            `json:"bytes_per_record"`          // on disk, after compaction
+	EncodedBytes     float64            `json:"encoded_bytes"`             // size of one encoded record
 	ExportPerSecond  map[string]float64 `json:"export_records_per_second"` // by format, to a directory
 	SetUpP50         map[string]float64 `json:"setup_p50_us"`              // by mode: none, at_once, durable; measured in one run
 	SetUpP99         map[string]float64 `json:"setup_p99_us"`
-	Missed           map[string]int     `json:"missed"`
+	Missed           map[string]int     `json:"missed"` // calls without an answer within the set-up target, by mode
 	Rate             float64            `json:"at_calls_per_second"`
 	RecoveryMS       map[string]float64 `json:"recovery_ms"` // by number of open calls at the kill
 	Calls            int                `json:"calls"`
-	ViolationCount   int                `json:"rules_broken"` // always 0: these passes have no capture; `lab calls` and days do
+	ViolationCount   int                `json:"rules_broken"` // always 0: these passes have no capture to check; those of `lab calls` and `day` have
 	Cores            int                `json:"cores"`
 }
 
@@ -142,7 +142,8 @@
 	if err := rec.Close(); err != nil {
 		return err
 	}
-	// The remaining write-ahead log would count the records twice. A reopened store has none.
+	// The store is closed and opened again before its size is taken: the write-ahead log, which holds the records a second
+	// time, is gone by then.
 	s, err := store.Open(store.Options{Dir: dir, Schema: records.Schema()})
 	if err != nil {
 		return err
@@ -177,7 +178,8 @@
 	return nil
 }
 
-// measureRecovery aborts a recorder with open calls, opens its records again and measures the recovery time.
+// measureRecovery aborts a recorder that has the given number of open calls, opens its records again and measures the time
+// of the recovery.
 func (r *RecordsResult) measureRecovery(dir string, open int) error {
 	done := make(chan uint64, 1)
 	rec, err := records.Open(recorderOptions(dir, func(upTo uint64) {
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -35,15 +35,15 @@
 	return filepath.Join(f.dataDir, fmt.Sprintf("records-%d", x))
 }
 
-// openDir creates the fleet's directory and its tariffs file.
-func (f *fleet) openDir() (err error) {
+// createDataDir creates the fleet's directory and its tariffs file.
+func (f *fleet) createDataDir() (err error) {
 	if f.dataDir, err = os.MkdirTemp("", "pipitring-day-"); err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(f.dataDir, "tariffs.toml"), []byte(dayTariffs), 0o600)
 }
 
-// stopRouters stops all running routers, as SIGTERM does when no calls stand.
+// stopRouters stops all running routers, in the same way as SIGTERM does when there are no standing calls.
 func (f *fleet) stopRouters() error {
 	var running []int
 	for x, r := range f.routers {
@@ -69,10 +69,10 @@
 
 // DayRecords is the result of auditing a day's records against its capture.
 type DayRecords struct {
-	Records      int      `json:"records"` // records of all routers, including tandems
-	Recovered    int      `json:"recovered"`
-	Unrated      int      `json:"unrated"`
-	TriesChecked int      `json:"tries_looked_for"`
+	Records      int      `json:"records"`          // records of all routers, including tandems
+	Recovered    int      `json:"recovered"`        // records of calls that a recovery closed
+	Unrated      int      `json:"unrated"`          // records that no tariff rated
+	TriesChecked int      `json:"tries_looked_for"` // tries in the capture whose record was looked for
 	Missing      int      `json:"missing"`
 	Duplicated   int      `json:"doubled"`
 	AtRisk       int      `json:"at_risk"` // missing at a killed router that may have answered before its records were durable
@@ -85,7 +85,7 @@
 	return d.Missing+d.Duplicated+d.Wrong+len(d.Problems)+d.Unrated == 0
 }
 
-// report adds a problem; only the first 50 are kept.
+// report adds a problem. It discards all but the first 50.
 func (d *DayRecords) report(format string, args ...any) {
 	if len(d.Problems) < 50 {
 		d.Problems = append(d.Problems, fmt.Sprintf(format, args...))
@@ -135,8 +135,8 @@
 	})
 }
 
-// hasDuplicate reports whether one incarnation of a router has two records of a try. A set-up that is retransmitted until
-// another incarnation accepts it is a new call there.
+// hasDuplicate reports whether one incarnation of a router has two records of a try. Records of different incarnations are
+// no duplicates: a set-up that is retransmitted until the next incarnation accepts it is a new call there.
 func hasDuplicate(found []storedRecord) bool {
 	seen := map[uint32]bool{}
 	for _, r := range found {
@@ -149,9 +149,10 @@
 }
 
 // match checks the record of every try in the capture. A try may have no record if its router was killed before the final
-// answer: the caller must try again.
+// answer; the caller has to try again then.
 //
-// notDurable are the routers that may send answers before their records are durable, as with a full or slow disk.
+// notDurable are the routers that may have sent answers before their records were durable, because a disk was full or slow.
+// Tries without a record at these routers count as at risk, not as missing.
 func (d *DayRecords) match(tries []rules.Try, stored storedRecords, notDurable map[int]bool) {
 	for _, t := range tries {
 		found := stored[t.Router][t.Call]
@@ -164,7 +165,7 @@
 			d.report("%s: %d records", try, len(found))
 		case len(found) == 0 && notDurable[t.Router]:
 			d.AtRisk++
-		case len(found) == 0 && !t.Acknowledged && !answered: // it may have been lost, or rejected for want of a call token
+		case len(found) == 0 && !t.Acknowledged && !answered: // the set-up may have been lost, or rejected because it had no call token
 		case len(found) == 0 && (answered && !(t.RouterDown && t.Outcome == rules.Failed) || !t.RouterDown):
 			d.Missing++
 			d.report("%s: no record", try)
--- a/internal/lab/script.go
+++ b/internal/lab/script.go
@@ -17,7 +17,7 @@
 // Script describes a day: a fleet, its load and the faults that occur.
 type Script struct {
 	Name    string        `toml:"name"`
-	Length  time.Duration `toml:"length"`
+	Length  time.Duration `toml:"length"` // time during which callers begin new calls
 	Seed    uint64        `toml:"seed"`
 	Virtual bool          `toml:"virtual"` // allows faults that only the virtual clock has
 	Fleet   FleetSpec     `toml:"fleet"`
@@ -49,8 +49,8 @@
 	LossRate         float64       `toml:"lose"`          // share of datagrams lost between routers
 	DuplicateRate    float64       `toml:"repeat"`        // share of datagrams duplicated between routers
 	ListLag          time.Duration `toml:"list_lag"`      // delay of list updates to routers
-	AcceptDelay      time.Duration `toml:"accept_delay"`
-	Front            string        `toml:"front"` // protocol between routers: iax2, m3ua or mixed
+	AcceptDelay      time.Duration `toml:"accept_delay"`  // accept_delay in the routers' [iax] settings
+	Front            string        `toml:"front"`         // protocol between routers: iax2, m3ua or mixed
 }
 
 // LoadSpec is the [load] table.
@@ -76,23 +76,23 @@
 // Fault is one [[trouble]] table.
 type Fault struct {
 	Kind      string        `toml:"kind"`
-	At        time.Duration `toml:"at"`        // begin, from the start of the day
+	At        time.Duration `toml:"at"`        // time from the start of the day to the beginning of the fault
 	For       time.Duration `toml:"for"`       // duration
 	Exchanges []int         `toml:"exchanges"` // affected exchanges; if empty, Share of all, chosen at random
 	Share     float64       `toml:"part"`      // share of the exchanges affected, 0 to 1; 0 is all
-	Region    string        `toml:"region"`    // affected region, for kinds that affect one; "" is the last
+	Region    string        `toml:"region"`    // affected region, for kinds that affect one; "" is the last of the fleet's
 	Size      float64       `toml:"size"`      // its meaning depends on the kind; 0 is the kind's default
 }
 
 // faultKinds describes the kinds of fault by name: the meaning of the size, its default and range, and what is affected.
-// Operators know the names from bench tests.
+// Operators know the names from their bench tests, so they do not change.
 var faultKinds = map[string]struct {
 	defaultSize float64
 	minSize     float64
 	maxSize     float64
 	region      bool // affects a region
 	description string
-	virtualOnly bool // available on the virtual clock only
+	virtualOnly bool // available only on the virtual clock
 }{
 	"burst":           {1.6, 1, 8, false, "call rate is multiplied by this factor", false},
 	"hot_caller":      {3, 1, 8, false, "call rate of the affected exchanges' callers is multiplied by this factor", false},
@@ -140,7 +140,7 @@
 //go:embed badday.toml
 var builtInScript []byte
 
-// BuiltInScript returns the script that runs if none is named.
+// BuiltInScript returns the script that is used if the command line names none.
 func BuiltInScript() (*Script, error) { return ParseScript("badday.toml", builtInScript) }
 
 // LoadScript reads and checks a script file.
@@ -234,36 +234,36 @@
 	}
 }
 
-func (s *Script) checkFault(d *tomlbind.Doc, key string, t *Fault) {
-	k, ok := faultKinds[t.Kind]
+func (s *Script) checkFault(d *tomlbind.Doc, key string, fault *Fault) {
+	k, ok := faultKinds[fault.Kind]
 	if !ok {
-		d.Report(key+".kind", "%q is not one of %s", t.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
+		d.Report(key+".kind", "%q is not one of %s", fault.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 		return
 	}
 	if k.virtualOnly && !s.Virtual {
-		d.Report(key+".kind", "%q requires the virtual clock: set virtual = true", t.Kind)
+		d.Report(key+".kind", "%q requires the virtual clock: set virtual = true", fault.Kind)
 	}
-	if t.Size == 0 {
-		t.Size = k.defaultSize
+	if fault.Size == 0 {
+		fault.Size = k.defaultSize
 	}
-	if t.Size < k.minSize || t.Size > k.maxSize {
-		d.Report(key+".size", "%v must be from %v to %v (%s)", t.Size, k.minSize, k.maxSize, k.description)
+	if fault.Size < k.minSize || fault.Size > k.maxSize {
+		d.Report(key+".size", "%v must be from %v to %v (%s)", fault.Size, k.minSize, k.maxSize, k.description)
 	}
-	if t.At < 0 || t.At >= s.Length || t.For < 0 {
-		d.Report(key+".at", "it must begin within the day and not last a negative time; at is %v", t.At)
+	if fault.At < 0 || fault.At >= s.Length || fault.For < 0 {
+		d.Report(key+".at", "%v must be from 0 to below the length of the day, and \"for\" must not be negative", fault.At)
 	}
-	if t.Share < 0 || t.Share > 1 {
-		d.Report(key+".part", "share %v must be from 0 to 1", t.Share)
+	if fault.Share < 0 || fault.Share > 1 {
+		d.Report(key+".part", "share %v must be from 0 to 1", fault.Share)
 	}
-	for _, x := range t.Exchanges {
+	for _, x := range fault.Exchanges {
 		if x < 0 || x >= s.Fleet.Exchanges {
 			d.Report(key+".exchanges", "there is no exchange %d in the fleet", x)
 		}
 	}
-	if t.Region != "" && !slices.Contains(s.Fleet.Regions, t.Region) {
-		d.Report(key+".region", "%q is not a region of the fleet", t.Region)
+	if fault.Region != "" && !slices.Contains(s.Fleet.Regions, fault.Region) {
+		d.Report(key+".region", "%q is not a region of the fleet", fault.Region)
 	}
-	if k.region && t.Region == "" {
-		t.Region = s.Fleet.Regions[len(s.Fleet.Regions)-1]
+	if k.region && fault.Region == "" {
+		fault.Region = s.Fleet.Regions[len(s.Fleet.Regions)-1]
 	}
 }
--- a/internal/lab/seeds.go
+++ b/internal/lab/seeds.go
@@ -19,40 +19,40 @@
 
 // SeedsOptions are the options of `lab seeds`.
 type SeedsOptions struct {
-	Count          int
+	Count          int // number of seeds
 	FirstSeed      uint64
-	Exchanges      int
-	Drift          float64 // upper limit of the relative drift of routers' clocks
-	Mutation       string  // name of a bug planted in router 0 of every seed; "" for none
-	SeedsPerMutant int     // limit of seeds to find each planted bug; 0 plants none
-	Shrink         bool
-	Jobs           int // number of days run in parallel; 0 is one per core
-	Progress       io.Writer
+	Exchanges      int       // number of exchanges, as in DrawOptions; 0 chooses it by the seed
+	Drift          float64   // upper limit of the relative drift of routers' clocks
+	Mutation       string    // name of a bug planted in router 0 of every seed; "" for none
+	SeedsPerMutant int       // limit of seeds to find each planted bug; 0 plants none
+	Shrink         bool      // reduce the scripts of failed seeds
+	Jobs           int       // number of days run in parallel; 0 is one per core
+	Progress       io.Writer // gets a line for every 200 seeds and each planted bug; nil for none
 }
 
 // SeedsResult is the coverage and the findings of an exploration.
 type SeedsResult struct {
-	Seeds                 int            `json:"seeds"` // fewer than requested if it was stopped
-	Failed                int            `json:"failed"`
-	Failures              []SeedFailure  `json:"failures,omitempty"`
-	ViolationCount        int            `json:"rules_broken"`
-	Calls                 int            `json:"calls"`
-	Steps                 uint64         `json:"steps"`
-	WallSeconds           float64        `json:"wall_seconds"`
-	VirtualSeconds        float64        `json:"virtual_seconds"`
-	VirtualSecondsPerCore float64        `json:"virtual_seconds_per_second_per_core"`
-	StepsPerSecond        float64        `json:"steps_per_second_per_core"`
-	Outcomes              map[string]int `json:"outcomes"`
-	SeedsByKind           map[string]int `json:"kinds"` // number of seeds with each kind of fault
-	PairsCovered          int            `json:"pairs_met"`
-	PairsTotal            int            `json:"pairs_in_all"`
-	PairsUncovered        []string       `json:"pairs_missing,omitempty"`
-	Messages              map[string]int `json:"messages"` // number of frames and messages, by name
-	Mutants               int            `json:"mutants"`
-	MutantsFound          int            `json:"mutants_found"`
-	MutantResults         []MutantResult `json:"mutants_found_after,omitempty"`
-	Cores                 int            `json:"cores"`
-	covered               map[[2]string]bool
+	Seeds                 int                `json:"seeds"` // fewer than requested if it was stopped
+	Failed                int                `json:"failed"`
+	Failures              []SeedFailure      `json:"failures,omitempty"`
+	ViolationCount        int                `json:"rules_broken"`
+	Calls                 int                `json:"calls"`
+	Steps                 uint64             `json:"steps"` // events processed by the virtual networks
+	WallSeconds           float64            `json:"wall_seconds"`
+	VirtualSeconds        float64            `json:"virtual_seconds"`
+	VirtualSecondsPerCore float64            `json:"virtual_seconds_per_second_per_core"`
+	StepsPerSecond        float64            `json:"steps_per_second_per_core"`
+	Outcomes              map[string]int     `json:"outcomes"`
+	SeedsByKind           map[string]int     `json:"kinds"` // number of seeds with each kind of fault
+	PairsCovered          int                `json:"pairs_met"`
+	PairsTotal            int                `json:"pairs_in_all"`
+	PairsUncovered        []string           `json:"pairs_missing,omitempty"`
+	Messages              map[string]int     `json:"messages"` // number of frames and messages, by name
+	Mutants               int                `json:"mutants"`
+	MutantsFound          int                `json:"mutants_found"`
+	MutantResults         []MutantResult     `json:"mutants_found_after,omitempty"`
+	Cores                 int                `json:"cores"`
+	covered               map[[2]string]bool // pairs of fault kinds, as kindPair returns them, that overlapped in a seed
 }
 
 // SeedFailure is a seed whose day failed.
@@ -64,15 +64,15 @@
 	Script   string   `json:"script,omitempty"` // the script, reduced by ShrinkScript
 }
 
-// MutantResult is the result of exploring seeds with one planted bug.
+// MutantResult is the result of exploring seeds with one planted bug, a mutant.
 type MutantResult struct {
 	Name       string `json:"name"`
-	Violates   string `json:"breaks"`
-	Seeds      int    `json:"seeds"` // number of seeds until it was found; 0 if it was not
-	DetectedBy string `json:"by,omitempty"`
+	Violates   string `json:"breaks"`       // rule or invariant that the bug violates
+	Seeds      int    `json:"seeds"`        // number of seeds until it was found; 0 if it was not
+	DetectedBy string `json:"by,omitempty"` // first problem of the first failed seed
 }
 
-// problems returns a text for everything that is wrong with a day.
+// problems returns one line for each thing that is wrong with a day.
 func (r *VirtualResult) problems() (out []string) {
 	out = append(out, r.Violations...)
 	if r.LeftOver != (HeldResources{}) {
@@ -113,17 +113,17 @@
 type seedResult struct {
 	seed     uint64
 	script   *Script
-	res      *VirtualResult
+	day      *VirtualResult
 	messages messageCounts
 	err      error
 }
 
-// runSeed runs the script of a seed on the virtual clock and counts its messages.
+// runSeed runs the script of a seed on the virtual clock and counts the messages of its day.
 func runSeed(ctx context.Context, seed uint64, s *Script, o VirtualOptions) seedResult {
-	e := seedResult{seed: seed, script: s, messages: messageCounts{}}
-	o.OnPacket = e.messages.add
-	e.res, e.err = RunVirtual(ctx, s, o)
-	return e
+	result := seedResult{seed: seed, script: s, messages: messageCounts{}}
+	o.OnPacket = result.messages.add
+	result.day, result.err = RunVirtual(ctx, s, o)
+	return result
 }
 
 // ExploreSeeds runs scripts generated from seeds on all cores and checks the rules after every step. If requested, it also
@@ -138,10 +138,10 @@
 	res := &SeedsResult{Outcomes: map[string]int{}, SeedsByKind: map[string]int{}, Messages: map[string]int{}, covered: map[[2]string]bool{},
 		Cores: o.Jobs}
 	began := time.Now()
-	const round = 50 // scripts kept in memory at a time
-	for done := 0; done < o.Count && ctx.Err() == nil; done += round {
+	const batchSize = 50 // scripts and results kept in memory at a time
+	for done := 0; done < o.Count && ctx.Err() == nil; done += batchSize {
 		var scripts []*Script
-		for i := done; i < min(done+round, o.Count); i++ {
+		for i := done; i < min(done+batchSize, o.Count); i++ {
 			scripts = append(scripts, DrawScript(o.FirstSeed+uint64(i), DrawOptions{Exchanges: o.Exchanges}))
 		}
 		for _, e := range runParallel(ctx, o, o.FirstSeed+uint64(done), scripts) {
@@ -153,7 +153,7 @@
 			}
 			res.add(ctx, e, o)
 		}
-		if (done/round)%4 == 3 {
+		if (done/batchSize)%4 == 3 {
 			fmt.Fprintf(o.Progress, "%d seeds, %d failed, %d of %d pairs of fault kinds covered\n", res.Seeds, res.Failed, len(res.covered), pairCount())
 		}
 	}
@@ -192,31 +192,31 @@
 }
 
 // add adds the result of one seed, and for a failed one its problems and how to reproduce them.
-func (r *SeedsResult) add(ctx context.Context, e seedResult, o SeedsOptions) {
+func (r *SeedsResult) add(ctx context.Context, result seedResult, o SeedsOptions) {
 	r.Seeds++
-	r.Calls += e.res.Calls
-	r.Steps += e.res.Steps
-	r.VirtualSeconds += e.res.VirtualTime.Seconds()
-	r.ViolationCount += e.res.ViolationCount
-	for _, by := range e.res.ByClass {
+	r.Calls += result.day.Calls
+	r.Steps += result.day.Steps
+	r.VirtualSeconds += result.day.VirtualTime.Seconds()
+	r.ViolationCount += result.day.ViolationCount
+	for _, by := range result.day.ByClass {
 		for k, n := range by {
 			r.Outcomes[string(k)] += n
 		}
 	}
-	for name, n := range e.messages {
+	for name, n := range result.messages {
 		r.Messages[name] += n
 	}
 	seen := map[string]bool{}
-	for _, t := range e.script.Faults {
-		seen[t.Kind] = true
+	for _, fault := range result.script.Faults {
+		seen[fault.Kind] = true
 	}
 	for k := range seen {
 		r.SeedsByKind[k]++
 	}
-	for _, p := range overlappingPairs(e.script) {
+	for _, p := range overlappingPairs(result.script) {
 		r.covered[p] = true
 	}
-	problems := e.res.problems()
+	problems := result.day.problems()
 	if len(problems) == 0 {
 		return
 	}
@@ -224,15 +224,15 @@
 	if len(r.Failures) >= 20 {
 		return
 	}
-	fail := SeedFailure{Seed: e.seed, Problems: problems[:min(len(problems), 10)],
-		Replay: fmt.Sprintf("pipitring lab seeds --count 1 --from %d --exchanges %d --drift %v", e.seed, o.Exchanges, o.Drift)}
+	failure := SeedFailure{Seed: result.seed, Problems: problems[:min(len(problems), 10)],
+		Replay: fmt.Sprintf("pipitring lab seeds --count 1 --from %d --exchanges %d --drift %v", result.seed, o.Exchanges, o.Drift)}
 	if o.Shrink {
-		shrunk := ShrinkScript(ctx, e.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
-		fail.Script = string(FormatScript(shrunk))
-		fail.Replay = "pipitring day --virtual SCRIPT, with the script below"
+		shrunk := ShrinkScript(ctx, result.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation})
+		failure.Script = string(FormatScript(shrunk))
+		failure.Replay = "pipitring day --virtual SCRIPT, with the script below"
 	}
-	fail.Events = lastEvents(ctx, e.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation}, e.res)
-	r.Failures = append(r.Failures, fail)
+	failure.Events = lastEvents(ctx, result.script, VirtualOptions{Drift: o.Drift, Mutation: o.Mutation}, result.day)
+	r.Failures = append(r.Failures, failure)
 }
 
 // lastEvents runs a day again and returns the last messages of the first call that violated a rule.
@@ -266,7 +266,7 @@
 // pairCount returns the number of pairs of fault kinds, pairs of a kind with itself included.
 func pairCount() int { n := len(faultKinds); return n * (n + 1) / 2 }
 
-// findUncovered fills in the counts of pairs of fault kinds and lists the pairs that no seed covered.
+// findUncovered fills in the counts of pairs of fault kinds and lists the pairs of which no seed had overlapping faults.
 func (r *SeedsResult) findUncovered() {
 	names := slices.Sorted(maps.Keys(faultKinds))
 	r.PairsTotal, r.PairsCovered = pairCount(), len(r.covered)
@@ -295,7 +295,7 @@
 				if e.err != nil {
 					return fmt.Errorf("planted bug %q, seed %d: %w", m.Name, e.seed, e.err)
 				}
-				if problems := e.res.problems(); len(problems) > 0 && found.Seeds == 0 {
+				if problems := e.day.problems(); len(problems) > 0 && found.Seeds == 0 {
 					found.Seeds, found.DetectedBy = n+i+1, problems[0]
 				}
 			}
@@ -304,7 +304,7 @@
 			r.MutantsFound++
 		}
 		r.MutantResults = append(r.MutantResults, found)
-		fmt.Fprintf(o.Progress, "planted bug %q: found after %d seeds: %s\n", m.Name, found.Seeds, found.DetectedBy)
+		fmt.Fprintf(o.Progress, "planted bug %q: found after %d seeds (0: not found): %s\n", m.Name, found.Seeds, found.DetectedBy)
 	}
 	return nil
 }
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -25,11 +25,11 @@
 		best = c
 		return true
 	}
-	for again := true; again && ctx.Err() == nil; {
-		again = false
+	for reduced := true; reduced && ctx.Err() == nil; {
+		reduced = false
 		for i := 0; i < len(best.Faults); {
 			if try(func(c *Script) { c.Faults = slices.Delete(c.Faults, i, i+1) }) {
-				again = true
+				reduced = true
 			} else {
 				i++
 			}
@@ -49,7 +49,7 @@
 				change(c)
 				c.dropOutOfRange()
 			}) && string(FormatScript(best)) != before {
-				again = true
+				reduced = true
 			}
 		}
 	}
@@ -67,17 +67,18 @@
 	return &c
 }
 
-// dropOutOfRange drops faults, and exchanges of faults, that a smaller fleet or a shorter day does not have.
+// dropOutOfRange drops the faults that begin after the end of the day or affect an unknown region, and the exchanges of
+// faults that are not in the fleet. Reductions of the fleet and the day leave such faults behind.
 func (s *Script) dropOutOfRange() {
-	s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool {
-		return t.At >= s.Length || t.Region != "" && !slices.Contains(s.Fleet.Regions, t.Region)
+	s.Faults = slices.DeleteFunc(s.Faults, func(fault Fault) bool {
+		return fault.At >= s.Length || fault.Region != "" && !slices.Contains(s.Fleet.Regions, fault.Region)
 	})
 	for i := range s.Faults {
 		s.Faults[i].Exchanges = slices.DeleteFunc(s.Faults[i].Exchanges, func(x int) bool { return x >= s.Fleet.Exchanges })
 	}
 }
 
-// FormatScript formats a script as TOML that ParseScript reads.
+// FormatScript formats a script as TOML that ParseScript can read.
 func FormatScript(s *Script) []byte {
 	b, err := toml.Marshal(scriptTables(s))
 	if err != nil {
@@ -102,13 +103,13 @@
 		classes = append(classes, map[string]any{"name": c.Name, "share": c.Share, "hold": c.HoldTime.String(), "aim": c.SetupTarget.String(),
 			"patience": c.Patience.String(), "deadline": c.Deadline.String(), "worth": c.Value, "late_worth": c.LateValue})
 	}
-	for _, t := range s.Faults {
-		m := map[string]any{"kind": t.Kind, "at": t.At.String(), "for": t.For.String(), "part": t.Share, "size": t.Size}
-		if len(t.Exchanges) > 0 {
-			m["exchanges"] = t.Exchanges
+	for _, fault := range s.Faults {
+		m := map[string]any{"kind": fault.Kind, "at": fault.At.String(), "for": fault.For.String(), "part": fault.Share, "size": fault.Size}
+		if len(fault.Exchanges) > 0 {
+			m["exchanges"] = fault.Exchanges
 		}
-		if t.Region != "" {
-			m["region"] = t.Region
+		if fault.Region != "" {
+			m["region"] = fault.Region
 		}
 		faults = append(faults, m)
 	}
--- a/internal/lab/start.go
+++ b/internal/lab/start.go
@@ -11,7 +11,7 @@
 	"pipitring/internal/standin"
 )
 
-// watchedSeconds is the number of seconds after a start in which tries are counted, each second by itself.
+// watchedSeconds is the number of seconds after a start for which tries are counted, by second.
 const watchedSeconds = 20
 
 // StartOptions are the options of `lab start`.
@@ -23,10 +23,10 @@
 // StartCase is the result for callers in the first seconds after one kind of start.
 type StartCase struct {
 	Case            string    `json:"case"`
-	Share           float64   `json:"answered_share_first_20s"`
+	Share           float64   `json:"answered_share_first_20s"` // share of the tries answered
 	BySecond        []float64 `json:"answered_share_by_second"` // share of the tries dialled in each second; -1 if there were none
 	FirstAnswer     float64   `json:"seconds_to_first_answer"`  // first second with an answered try; -1 if there is none
-	Calls           int       `json:"calls"`
+	Calls           int       `json:"calls"`                    // tries in the first 20 s
 	Answered        int       `json:"stood"`
 	ViolationCount  int       `json:"rules_broken"`
 	SwitchCollapses int       `json:"switches_fallen"`
@@ -42,7 +42,7 @@
 	Answered       int         `json:"stood"`
 }
 
-// startSpec describes one kind of start: a fleet, and which of its exchanges start when.
+// startSpec describes one kind of start: a fleet, which of its exchanges start, and when.
 type startSpec struct {
 	name      string
 	exchanges int
@@ -62,7 +62,8 @@
 		watched: []int{0, 1, 2, 3, 4, 5, 6, 7}, from: 3 * time.Second},
 }
 
-// startScript returns the script of a case. It has no other faults, and enough free circuits and processor capacity.
+// startScript returns the script of a kind of start. It has no faults other than the start, and enough circuits and
+// processor capacity for all calls.
 func startScript(c startSpec, front string) (*Script, error) {
 	text := fmt.Sprintf(`name = %q
 length = %q
--- a/internal/lab/trouble.go
+++ b/internal/lab/trouble.go
@@ -27,30 +27,31 @@
 	return all
 }
 
-// affected returns the exchanges of a fault: those it names, or a random share of all.
-func (f *fleet) affected(t *Fault) []int {
-	if len(t.Exchanges) > 0 {
-		return t.Exchanges
+// affected returns the exchanges of a fault: those it names, or a random share of all, at least one. It sets a share of 0
+// to 1.
+func (f *fleet) affected(fault *Fault) []int {
+	if len(fault.Exchanges) > 0 {
+		return fault.Exchanges
 	}
 	n := f.script.Fleet.Exchanges
-	if t.Share == 0 {
-		t.Share = 1
+	if fault.Share == 0 {
+		fault.Share = 1
 	}
-	k := max(1, int(t.Share*float64(n)+0.5))
+	k := max(1, int(fault.Share*float64(n)+0.5))
 	out := f.rng.Perm(n)[:k]
 	slices.Sort(out)
 	return out
 }
 
-// stepsOf returns the steps that begin and end a fault.
-func (f *fleet) stepsOf(t *Fault) []step {
-	exchanges := f.affected(t)
-	begin := func(do func() error) step { return step{t.At, t.Kind + " begins", do} }
-	end := func(do func() error) step { return step{t.At + t.For, t.Kind + " ends", do} }
+// stepsOf returns the steps that begin and end a fault. It panics for a kind that the script check should have rejected.
+func (f *fleet) stepsOf(fault *Fault) []step {
+	exchanges := f.affected(fault)
+	begin := func(do func() error) step { return step{fault.At, fault.Kind + " begins", do} }
+	end := func(do func() error) step { return step{fault.At + fault.For, fault.Kind + " ends", do} }
 	both := func(do func(on bool) error) []step {
 		return []step{begin(func() error { return do(true) }), end(func() error { return do(false) })}
 	}
-	callers := func(do func(c *standin.Callers, on bool)) []step {
+	callerSteps := func(do func(c *standin.Callers, on bool)) []step {
 		return both(func(on bool) error {
 			for _, x := range exchanges {
 				do(f.callers[x], on)
@@ -58,7 +59,7 @@
 			return nil
 		})
 	}
-	faults := func(set standin.Faults) []step {
+	switchSteps := func(set standin.Faults) []step {
 		return both(func(on bool) error {
 			current := set
 			if !on {
@@ -70,44 +71,44 @@
 			return nil
 		})
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "burst", "hot_caller":
-		return callers(func(c *standin.Callers, on bool) {
+		return callerSteps(func(c *standin.Callers, on bool) {
 			if on {
-				c.SetRateFactor(t.Size)
+				c.SetRateFactor(fault.Size)
 			} else {
 				c.SetRateFactor(1)
 			}
 		})
 	case "give_up":
-		return callers(func(c *standin.Callers, on bool) { c.SetHangUpShare(map[bool]float64{true: t.Size}[on]) })
+		return callerSteps(func(c *standin.Callers, on bool) { c.SetHangUpShare(map[bool]float64{true: fault.Size}[on]) })
 	case "retry_abuse":
-		return callers(func(c *standin.Callers, on bool) { c.RedialAtOnce(on) })
+		return callerSteps(func(c *standin.Callers, on bool) { c.RedialAtOnce(on) })
 	case "hang":
-		return faults(standin.Faults{Unresponsive: true})
+		return switchSteps(standin.Faults{Unresponsive: true})
 	case "slow":
-		return faults(standin.Faults{SlowFactor: t.Size})
+		return switchSteps(standin.Faults{SlowFactor: fault.Size})
 	case "late_answers":
-		return faults(standin.Faults{AnswerDelay: time.Duration(t.Size * float64(time.Second))})
+		return switchSteps(standin.Faults{AnswerDelay: time.Duration(fault.Size * float64(time.Second))})
 	case "answer_lost":
-		return faults(standin.Faults{LossRate: t.Size})
+		return switchSteps(standin.Faults{LossRate: fault.Size})
 	case "answer_repeated":
-		return faults(standin.Faults{DuplicateRate: t.Size})
+		return switchSteps(standin.Faults{DuplicateRate: fault.Size})
 	case "reject":
-		return faults(standin.Faults{RejectRate: t.Size})
+		return switchSteps(standin.Faults{RejectRate: fault.Size})
 	case "hang_up":
-		return faults(standin.Faults{HangUpRate: t.Size})
+		return switchSteps(standin.Faults{HangUpRate: fault.Size})
 	case "deploy":
-		return f.deploySteps(t, exchanges)
+		return f.deploySteps(fault, exchanges)
 	case "crash", "mass_restart", "reconnect":
-		return f.processorSteps(t, exchanges, begin, end)
+		return f.processorSteps(fault, exchanges, begin, end)
 	case "zone_cut", "lost_messages", "origin_slow":
-		return f.regionSteps(t, both)
+		return f.regionSteps(fault, both)
 	case "discovery_stale":
 		return both(func(on bool) error {
 			lag := f.script.Fleet.ListLag
 			if on {
-				lag += time.Duration(t.Size * float64(time.Second))
+				lag += time.Duration(fault.Size * float64(time.Second))
 			}
 			for _, x := range exchanges {
 				f.discovery.Lag(x, lag)
@@ -119,9 +120,9 @@
 	case "reorder", "stall", "half_cut", "disk_full", "disk_slow", "clock_set":
 		v, ok := f.env.(*virtualEnvironment)
 		if !ok {
-			panic("lab: fault of the virtual clock on sockets: the script check must reject it")
+			panic("lab: fault of the virtual clock on sockets: the script check should have rejected it")
 		}
-		return both(func(on bool) error { v.applyFault(t, exchanges, on); return nil })
+		return both(func(on bool) error { v.applyFault(fault, exchanges, on); return nil })
 	case "cold_site":
 		return both(func(on bool) error {
 			if on {
@@ -155,14 +156,14 @@
 			return errors.Join(errs...)
 		})
 	}
-	panic(fmt.Sprintf("lab: fault kind %q passed the script check but is not implemented", t.Kind))
+	panic(fmt.Sprintf("lab: fault kind %q passed the script check but is not implemented", fault.Kind))
 }
 
 // deploySteps returns the steps that drain, stop and replace the processors of the exchanges one after another.
-func (f *fleet) deploySteps(t *Fault, exchanges []int) (out []step) {
-	drain := time.Duration(t.Size * float64(time.Second))
+func (f *fleet) deploySteps(fault *Fault, exchanges []int) (out []step) {
+	drain := time.Duration(fault.Size * float64(time.Second))
 	for i, x := range exchanges {
-		from := t.At + t.For*time.Duration(i)/time.Duration(len(exchanges))
+		from := fault.At + fault.For*time.Duration(i)/time.Duration(len(exchanges))
 		out = append(out, step{from, fmt.Sprintf("exchange %d: processor drains", x), func() error { f.setPhase(x, "draining"); return nil }},
 			step{from + drain, fmt.Sprintf("exchange %d: processor is replaced", x), func() error {
 				f.switches[x].Stop()
@@ -174,7 +175,7 @@
 }
 
 // processorSteps returns the steps of faults that stop or restart processors, or cut their calls.
-func (f *fleet) processorSteps(t *Fault, exchanges []int, begin, end func(func() error) step) []step {
+func (f *fleet) processorSteps(fault *Fault, exchanges []int, begin, end func(func() error) step) []step {
 	forEach := func(do func(x int)) func() error {
 		return func() error {
 			for _, x := range exchanges {
@@ -183,7 +184,7 @@
 			return nil
 		}
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "mass_restart":
 		return []step{begin(forEach(func(x int) { f.switches[x].Stop(); f.replaceSwitch(x) }))}
 	case "reconnect":
@@ -191,7 +192,7 @@
 			for _, c := range f.callers {
 				c.RedialWhenCut(true)
 			}
-			f.switches[x].CutCalls(t.Size)
+			f.switches[x].CutCalls(fault.Size)
 		})), end(func() error {
 			for _, c := range f.callers {
 				c.RedialWhenCut(false)
@@ -202,34 +203,34 @@
 	return []step{begin(forEach(func(x int) { f.switches[x].Stop(); f.setPhase(x, "gone") })), end(forEach(f.replaceSwitch))}
 }
 
-// regionSteps returns the steps of faults on the links of a region, or on its trunk groups to the others.
-func (f *fleet) regionSteps(t *Fault, both func(func(bool) error) []step) []step {
+// regionSteps returns the steps of faults on the links of a region, or on its trunk groups to the other regions.
+func (f *fleet) regionSteps(fault *Fault, both func(func(bool) error) []step) []step {
 	return both(func(on bool) error {
 		for _, p := range f.linkedPairs() {
 			l := f.links[p]
-			inside := f.region(p[0]) == t.Region || f.region(p[1]) == t.Region
-			across := (f.region(p[0]) == t.Region) != (f.region(p[1]) == t.Region)
+			inside := f.region(p[0]) == fault.Region || f.region(p[1]) == fault.Region
+			across := (f.region(p[0]) == fault.Region) != (f.region(p[1]) == fault.Region)
 			faults := f.linkFaults(p[0], p[1])
 			switch {
-			case t.Kind == "zone_cut" && across:
+			case fault.Kind == "zone_cut" && across:
 				faults.Cut = on
 				l.Set(faults)
 				if st := f.streams[p]; st != nil {
 					st.Set(faults)
 				}
-			case t.Kind == "lost_messages" && inside:
+			case fault.Kind == "lost_messages" && inside:
 				if on {
-					faults.LossRate = t.Size
+					faults.LossRate = fault.Size
 				}
 				l.Set(faults)
-			case t.Kind == "origin_slow" && across:
+			case fault.Kind == "origin_slow" && across:
 				f.circuitShare[p] = 1
 				if on {
-					f.circuitShare[p] = t.Size
+					f.circuitShare[p] = fault.Size
 				}
 			}
 		}
-		if t.Kind == "origin_slow" {
+		if fault.Kind == "origin_slow" {
 			return f.reload()
 		}
 		return nil
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -67,7 +67,7 @@
 	return errors.Join(errs...)
 }
 
-func (e *virtualEnvironment) tapDelay() time.Duration { return 0 }
+func (e *virtualEnvironment) tapJitter() time.Duration { return 0 }
 
 func (e *virtualEnvironment) isupSwitches() bool { return false }
 
@@ -104,7 +104,7 @@
 	return out, nil
 }
 
-// virtualDiscovery is the discovery server on the virtual clock. Routers poll it with blocking queries, as in service.
+// virtualDiscovery is the discovery server on the virtual clock. Routers poll it with blocking queries, as the service does.
 type virtualDiscovery struct {
 	env         *virtualEnvironment
 	index       uint64
@@ -117,8 +117,8 @@
 	index      uint64
 	entries    []standin.ListEntry
 	lag        time.Duration
-	lastUpdate time.Duration // time at which the newest version becomes visible; keeps versions in order
-	queries    uint64        // number of queries, of all incarnations
+	lastUpdate time.Duration // time at which the newest version becomes visible; later versions do not become visible before it
+	queries    uint64        // number of queries by all incarnations of the router
 	blocked    func()        // answers the blocked query; nil if there is none
 }
 
@@ -128,39 +128,39 @@
 )
 
 // Lag delays list updates to a router.
-func (r *virtualDiscovery) Lag(x int, d time.Duration) { r.views[x].lag = d }
+func (d *virtualDiscovery) Lag(x int, lag time.Duration) { d.views[x].lag = lag }
 
 // Close does nothing: the discovery server lasts as long as the world.
-func (r *virtualDiscovery) Close() {}
+func (d *virtualDiscovery) Close() {}
 
 // Gone makes all queries fail while on, including blocked ones.
-func (r *virtualDiscovery) Gone(on bool) {
-	r.unavailable = on
-	for x := range r.views {
-		r.answerBlocked(x)
+func (d *virtualDiscovery) Gone(on bool) {
+	d.unavailable = on
+	for x := range d.views {
+		d.answerBlocked(x)
 	}
 }
 
 // answerBlocked answers a router's blocked query, if there is one.
-func (r *virtualDiscovery) answerBlocked(x int) {
-	if f := r.views[x].blocked; f != nil {
-		r.views[x].blocked = nil
+func (d *virtualDiscovery) answerBlocked(x int) {
+	if f := d.views[x].blocked; f != nil {
+		d.views[x].blocked = nil
 		f()
 	}
 }
 
 // Publish makes a new version of the list visible to routers 0 to n-1, to each after its lag.
-func (r *virtualDiscovery) Publish(n int, entries []standin.ListEntry) {
-	r.index++
-	index := r.index
+func (d *virtualDiscovery) Publish(n int, entries []standin.ListEntry) {
+	d.index++
+	index := d.index
 	entries = slices.Clone(entries)
 	for x := range n {
-		v := &r.views[x]
-		v.lastUpdate = max(v.lastUpdate, r.env.world.Now()+v.lag)
-		r.env.world.At(v.lastUpdate, func() {
+		v := &d.views[x]
+		v.lastUpdate = max(v.lastUpdate, d.env.world.Now()+v.lag)
+		d.env.world.At(v.lastUpdate, func() {
 			if index > v.index {
 				v.index, v.entries = index, entries
-				r.answerBlocked(x)
+				d.answerBlocked(x)
 			}
 		})
 	}
@@ -169,57 +169,58 @@
 // errDiscoveryUnavailable answers queries while the discovery server fails them or has no list yet.
 var errDiscoveryUnavailable = errors.New("lab: discovery server is unavailable")
 
-// poll runs the queries of a router until it stops, with the decisions of the discovery client in service.
-func (r *virtualDiscovery) poll(x int, running *vnet.Router) {
-	p := &registry.Poller{}
-	rng := r.env.world.Rand(fmt.Sprintf("register client %d %d", x, r.env.incarnations[x]))
+// poll queries the exchange list for a router until the router stops. registry.Poller decides about updates and retries, as
+// it does for the discovery client of the service.
+func (d *virtualDiscovery) poll(x int, running *vnet.Router) {
+	poller := &registry.Poller{}
+	rng := d.env.world.Rand(fmt.Sprintf("register client %d %d", x, d.env.incarnations[x]))
 	var query func()
 	answer := func(l registry.List, err error) {
-		r.env.world.After(queryDelay, func() {
-			if r.env.fleet.routers[x] != router(running) {
-				return // it was killed
+		d.env.world.After(queryDelay, func() {
+			if d.env.fleet.routers[x] != router(running) {
+				return // the router was stopped or killed
 			}
-			changed, wait := p.HandleResponse(l, err, func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(d, 1)))) })
+			changed, wait := poller.HandleResponse(l, err, func(limit time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(max(limit, 1)))) })
 			if changed {
-				r.recordUpdate(x, &l)
+				d.recordUpdate(x, &l)
 				running.SetList(l)
 			}
-			r.env.world.After(wait, query)
+			d.env.world.After(wait, query)
 		})
 	}
 	query = func() {
-		r.env.world.After(queryDelay, func() { r.serve(x, p.Index(), answer) })
+		d.env.world.After(queryDelay, func() { d.serve(x, poller.Index(), answer) })
 	}
 	query()
 }
 
 // serve answers a query for a version newer than after: at once if there is one or the server fails queries, otherwise
 // when one becomes visible, at the latest after queryTimeout.
-func (r *virtualDiscovery) serve(x int, after uint64, answer func(registry.List, error)) {
-	v := &r.views[x]
+func (d *virtualDiscovery) serve(x int, after uint64, answer func(registry.List, error)) {
+	v := &d.views[x]
 	v.queries++
 	query := v.queries
 	answerNow := func() {
-		if r.unavailable || v.index == 0 {
+		if d.unavailable || v.index == 0 {
 			answer(registry.List{}, errDiscoveryUnavailable)
 			return
 		}
-		answer(r.exchangeList(v), nil)
+		answer(d.exchangeList(v), nil)
 	}
-	if r.unavailable || v.index > after {
+	if d.unavailable || v.index > after {
 		answerNow()
 		return
 	}
 	v.blocked = answerNow
-	r.env.world.After(queryTimeout, func() {
+	d.env.world.After(queryTimeout, func() {
 		if v.queries == query {
-			r.answerBlocked(x)
+			d.answerBlocked(x)
 		}
 	})
 }
 
-// exchangeList returns a router's view as an exchange list, sorted by ID.
-func (r *virtualDiscovery) exchangeList(v *routerView) registry.List {
+// exchangeList returns a router's view as an exchange list, sorted by entry ID.
+func (d *virtualDiscovery) exchangeList(v *routerView) registry.List {
 	l := registry.List{Index: v.index}
 	phases := map[string]decide.Phase{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 	for _, entry := range v.entries {
@@ -231,30 +232,30 @@
 }
 
 // recordUpdate records in the capture a list update that a router gets.
-func (r *virtualDiscovery) recordUpdate(x int, l *registry.List) {
+func (d *virtualDiscovery) recordUpdate(x int, l *registry.List) {
 	update := capture.List{Router: x}
 	for _, e := range l.Entries {
 		update.Phases = append(update.Phases, capture.Phase{ID: e.ID, Exchange: e.Number, Phase: registry.PhaseName(e.Phase)})
 	}
-	r.env.fleet.notice(capture.Notice{List: &update})
+	d.env.fleet.notice(capture.Notice{List: &update})
 }
 
 // applyFault begins a fault that only the virtual clock has if on is true, and ends it otherwise.
-func (e *virtualEnvironment) applyFault(t *Fault, exchanges []int, on bool) {
+func (e *virtualEnvironment) applyFault(fault *Fault, exchanges []int, on bool) {
 	for _, p := range e.fleet.linkedPairs() {
 		l := e.world.Link(p[0], p[1])
 		faults := l.Faults()
-		inside := e.fleet.region(p[0]) == t.Region || e.fleet.region(p[1]) == t.Region
-		across := (e.fleet.region(p[0]) == t.Region) != (e.fleet.region(p[1]) == t.Region)
+		inside := e.fleet.region(p[0]) == fault.Region || e.fleet.region(p[1]) == fault.Region
+		across := (e.fleet.region(p[0]) == fault.Region) != (e.fleet.region(p[1]) == fault.Region)
 		switch {
-		case t.Kind == "reorder" && inside:
+		case fault.Kind == "reorder" && inside:
 			faults.ReorderRate, faults.MaxReorderDelay = 0, 0
 			if on {
-				faults.ReorderRate, faults.MaxReorderDelay = t.Size, 80*time.Millisecond
+				faults.ReorderRate, faults.MaxReorderDelay = fault.Size, 80*time.Millisecond
 			}
-		case t.Kind == "stall" && across:
+		case fault.Kind == "stall" && across:
 			faults.Stall = on
-		case t.Kind == "half_cut" && across:
+		case fault.Kind == "half_cut" && across:
 			faults.Blackhole = on
 		default:
 			continue
@@ -262,18 +263,18 @@
 		l.SetFaults(faults)
 	}
 	for _, x := range exchanges {
-		switch t.Kind {
+		switch fault.Kind {
 		case "disk_full":
 			e.disks[x].Full, e.notDurable[x] = on, true
 		case "disk_slow":
 			e.notDurable[x] = true
 			e.disks[x].SyncTime = diskSyncTime
 			if on {
-				e.disks[x].SyncTime = time.Duration(t.Size * float64(diskSyncTime))
+				e.disks[x].SyncTime = time.Duration(fault.Size * float64(diskSyncTime))
 			}
 		case "clock_set":
 			if r, ok := e.fleet.routers[x].(*vnet.Router); ok && on {
-				r.AdjustClock(time.Duration(t.Size * float64(time.Second)))
+				r.AdjustClock(time.Duration(fault.Size * float64(time.Second)))
 			}
 		}
 	}
@@ -297,16 +298,16 @@
 		}
 		e.mutation = all[i]
 	}
-	if err := f.openDir(); err != nil {
+	if err := f.createDataDir(); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			f.closeDir()
+			f.removeDataDir()
 		}
 	}()
 	f.notice(capture.Notice{Parameters: f.parameters()})
-	f.drawGroups()
+	f.chooseCircuitCounts()
 	drift := w.Rand("drift")
 	for x := range n {
 		if s.Fleet.Front != "iax2" {
@@ -338,11 +339,11 @@
 		}
 		f.callers = append(f.callers, c)
 	}
-	f.publish()
+	f.publish() // before the lag is set: the first version is visible at once
 	for x := range n {
 		f.discovery.Lag(x, s.Fleet.ListLag)
 	}
-	// Time for the lists and the associations before the first call.
+	// Time for the routers to get the list and for the associations to become active before the first call.
 	w.Run(2 * time.Second)
 	return e, nil
 }
@@ -363,7 +364,7 @@
 
 // RunVirtual runs a script on the virtual clock and checks the rules on the captured packets as they are sent.
 func RunVirtual(ctx context.Context, s *Script, o VirtualOptions) (*VirtualResult, error) {
-	copied := *s // running fills in defaults of its faults
+	copied := *s // the run fills in defaults of the faults
 	copied.Faults = slices.Clone(s.Faults)
 	s = &copied
 	began := time.Now()
@@ -379,7 +380,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer e.fleet.closeDir()
+	defer e.fleet.removeDataDir()
 	err = e.runScript(ctx, s, c, res)
 	if err != nil && !errors.Is(err, errRuleViolated) {
 		return nil, err
--- a/internal/lab/virtual_test.go
+++ b/internal/lab/virtual_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestVirtualBadDay guards against rule violations and nondeterminism: the built-in script runs twice on the virtual
-// clock with each front, the second time on one processor, and both runs must be identical.
+// clock with each protocol between routers, the second time with GOMAXPROCS 1, and both runs must be identical.
 func TestVirtualBadDay(t *testing.T) {
 	for _, front := range FrontNames {
 		s, err := BuiltInScript()
@@ -28,12 +28,12 @@
 		}
 		t.Logf("%s: %.2f s, %d steps, %d calls, %d answered, records %d, trace %x", front, res.WallSeconds, res.Steps, res.Calls, res.Answered, res.Records.Records, res.Trace)
 		if !res.Good() {
-			for i, b := range res.Violations {
+			for i, v := range res.Violations {
 				if i < 10 {
-					t.Log(b)
+					t.Log(v)
 				}
 			}
-			t.Errorf("%s: %d rule violations, still held %+v, overdue answers %d, failed actions %d, records %+v", front, res.ViolationCount, res.LeftOver, res.Overdue, res.ActionFaults, res.Records)
+			t.Errorf("%s: %d rule violations, resources still held %+v, overdue answers %d, failed actions %d, records %+v", front, res.ViolationCount, res.LeftOver, res.Overdue, res.ActionFaults, res.Records)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestPlantedBugsAreFound checks the checks: each planted bug must be found.
+// TestPlantedBugsAreFound guards against checks that find nothing: they must detect each planted bug.
 func TestPlantedBugsAreFound(t *testing.T) {
 	res, err := ExploreSeeds(context.Background(), SeedsOptions{Count: 1, FirstSeed: 1, SeedsPerMutant: 60})
 	if err != nil {
