--- a/cmd/pipitring/cdr.go
+++ b/cmd/pipitring/cdr.go
@@ -338,7 +338,7 @@
 	}
 	countBefore := exporter.BatchCount()
 	for failures := 0; ; {
-		sent, _, err := export.SendNext(ctx, exporter, target, ledger.LastNumber(), true, time.Now, records.Commit(s))
+		sent, _, err := export.SendNext(ctx, exporter, target, ledger.LastNumber(), true, time.Now, records.NewCommitFunc(s))
 		switch {
 		case err != nil && (failures == maxExportFailures || ctx.Err() != nil):
 			return exporter.BatchCount() - countBefore, err
--- a/cmd/pipitring/lab.go
+++ b/cmd/pipitring/lab.go
@@ -68,7 +68,7 @@
 			for _, name := range []string{"iax2 to iax2", "iax2 to isup", "isup to iax2", "isup to isup"} {
 				fmt.Printf("%s: %.0f calls/s without a missed deadline; set-up p99 at half of that %.0f us\n", name, r.CallsPerSecond[name], r.P99[name])
 			}
-			fmt.Printf("ratio of the IAX2 rate to the ISUP rate: %.2f; %.0f bytes per idle circuit\n", r.ISUPOverIAX2, r.BytesPerCircuit)
+			fmt.Printf("ratio of the IAX2 rate to the ISUP rate: %.2f; %.0f bytes per idle circuit\n", r.RatioIAX2ToISUP, r.BytesPerCircuit)
 			return nil
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object")
--- a/cmd/pipitring/platform.go
+++ b/cmd/pipitring/platform.go
@@ -71,7 +71,7 @@
 			return err
 		case <-ctx.Done():
 			log.Info("shutting down: heartbeats fail from now on, calls are still served")
-			p.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+			p.Execute(func(core *platform.Core, now time.Duration) { core.Shutdown(now) })
 			ctx = context.Background() // so that this case is not selected again
 		case <-hup:
 			next, err := runtime.LoadPlatformConfig(file)
--- a/decide/api.go
+++ b/decide/api.go
@@ -74,7 +74,7 @@
 	ClassPools   [][]int // with Pools: the pools that serve each class
 	Tenants      []Tenant
 
-	OverShareValue float64 // value of calls over their tenant's quota, as a share of their class's value
+	OverQuotaValue float64 // value of calls over their tenant's quota, as a share of their class's value
 	MaxAttempts    int     // most set-ups sent for one call
 
 	SendRetryAfter bool // refusals carry a retry-after time
@@ -82,7 +82,7 @@
 	RedialsMarked  bool // callers mark redials; otherwise calls to a number with a rejected call count as redials
 
 	MaxRetryAfter        time.Duration // longest retry-after time that callers observe
-	ReleaseGuard         time.Duration // wait before a call's next set-up after a time-out, cut or cancellation
+	ReleaseWait          time.Duration // wait before a call's next set-up after a time-out, cut or cancellation
 	ResendAfter          time.Duration // unanswered set-ups are resent after this; 0 is never
 	MaxSubscribeInterval time.Duration // with Subscribe: longest time between tries to subscribe
 	ColdCapacity         float64       // share of its full capacity that a processor has when it starts, 0 to 1
@@ -110,7 +110,7 @@
 	if s.MaxAttempts < 1 || s.Proxies < 1 {
 		return errors.New("maximum number of attempts and number of proxies must be at least one")
 	}
-	for _, d := range []time.Duration{s.MaxRetryAfter, s.ReleaseGuard, s.ResendAfter, s.MaxSubscribeInterval,
+	for _, d := range []time.Duration{s.MaxRetryAfter, s.ReleaseWait, s.ResendAfter, s.MaxSubscribeInterval,
 		s.ColdDuration} {
 		if d < 0 {
 			return fmt.Errorf("duration %v is negative", d)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -252,7 +252,7 @@
 	}
 	switch e.Outcome {
 	case TimedOut, Cut, Cancelled:
-		k.notBefore = c.now + c.settings.ReleaseGuard
+		k.notBefore = c.now + c.settings.ReleaseWait
 	}
 	if mayHaveRun(e.Outcome) && k.possibleRunOn == nil {
 		k.possibleRunOn, k.possibleRunSentAt = k.processor, k.sentAt
@@ -1025,7 +1025,7 @@
 
 // quotaFactor returns the share of its class's value that a call has: less over its tenant's quota. A proxy
 // sees only its own part of a tenant's calls and allows it an equal part of the quota, so a call over that
-// part is reduced only half way to OverShareValue.
+// part is reduced only half way to OverQuotaValue.
 func (c *Controller) quotaFactor(e Offer) float64 {
 	if e.Tenant < 0 || e.Tenant >= len(c.tenantBuckets) || c.settings.Tenants[e.Tenant].Quota <= 0 ||
 		e.Transit {
@@ -1035,7 +1035,7 @@
 	if c.tenantBuckets[e.Tenant].take(c.now, rate, max(2, 3*rate)) {
 		return 1
 	}
-	return (1 + c.settings.OverShareValue) / 2
+	return (1 + c.settings.OverQuotaValue) / 2
 }
 
 // poolServesClass reports whether calls of a class may be sent to a pool.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -12,9 +12,9 @@
 // settings returns the settings of a proxy at exchange 0 of a small mesh, with one class of calls.
 func settings() Settings {
 	return Settings{
-		OwnExchange: 0, Proxies: 4, MaxAttempts: 5, SendRetryAfter: true, OverShareValue: 0.05,
+		OwnExchange: 0, Proxies: 4, MaxAttempts: 5, SendRetryAfter: true, OverQuotaValue: 0.05,
 		Classes:       []Class{{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}},
-		MaxRetryAfter: 2 * time.Second, ReleaseGuard: 300 * ms,
+		MaxRetryAfter: 2 * time.Second, ReleaseWait: 300 * ms,
 		MaxSubscribeInterval: 10 * time.Second, ColdCapacity: 0.3, ColdDuration: 12 * time.Second, OverloadMultiple: 3,
 	}
 }
@@ -1220,7 +1220,7 @@
 // A call for the own exchange is sent to the own processor once while that is ready, and refused if there is
 // none.
 func TestDeliver(t *testing.T) {
-	s := Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 2, MaxAttempts: 3, ReleaseGuard: 300 * time.Millisecond,
+	s := Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 2, MaxAttempts: 3, ReleaseWait: 300 * time.Millisecond,
 		Classes: []Class{{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}}}
 	c := New(s, 1)
 	offer := func(id CallID, transit bool) []Action {
--- a/internal/call/core.go
+++ b/internal/call/core.go
@@ -107,10 +107,10 @@
 	sentAt       time.Duration
 }
 
-// Clock converts the router's clock to the controller's, on which 0 means long ago. The controller's clock is
+// ControllerTime converts the router's clock to the controller's, on which 0 means long ago. The controller's clock is
 // ahead by ColdDuration, so that a processor that started shortly before the router still has a start time
 // above 0.
-func (c *Core) Clock(now time.Duration) time.Duration {
+func (c *Core) ControllerTime(now time.Duration) time.Duration {
 	return now + c.settings.Decide.ColdDuration + 1
 }
 
@@ -134,8 +134,8 @@
 	return ok
 }
 
-// Close rejects all new calls from now on. Calls in progress continue.
-func (c *Core) Close() { c.closing = true }
+// RejectNewCalls rejects all new calls from now on. Calls in progress continue.
+func (c *Core) RejectNewCalls() { c.closing = true }
 
 // SetSuspended starts or stops rejecting new calls. Unlike Close, it can be undone.
 func (c *Core) SetSuspended(suspended bool) { c.suspended = suspended }
@@ -240,7 +240,7 @@
 		}
 		e := c.pendingEvents[0]
 		c.pendingEvents = append(c.pendingEvents[:0], c.pendingEvents[1:]...)
-		for _, a := range c.controller.Feed(c.Clock(now), e) {
+		for _, a := range c.controller.Feed(c.ControllerTime(now), e) {
 			c.execute(now, a)
 		}
 	}
--- a/internal/call/core_test.go
+++ b/internal/call/core_test.go
@@ -32,7 +32,7 @@
 	}
 	s := Settings{Seed: 7, Groups: groups, Plan: plan, AnswerMargin: 50 * ms, DrainGrace: time.Second,
 		Patience: []time.Duration{3 * time.Second, 2 * time.Second},
-		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseGuard: 300 * ms,
+		Decide: decide.Settings{OwnExchange: 0, DeliverLocal: true, Proxies: 4, MaxAttempts: 4, ReleaseWait: 300 * ms,
 			ColdCapacity: 0.3,
 			ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
 				{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1},
@@ -176,7 +176,7 @@
 		}
 		h.Closed(h.now, leg)
 	}
-	h.Close()
+	h.RejectNewCalls()
 	if _, o := h.offer("1"); o.Kind != Release || o.Cause != Congestion {
 		t.Errorf("closing: %+v", o)
 	}
--- a/internal/cdr/cdr_test.go
+++ b/internal/cdr/cdr_test.go
@@ -148,7 +148,7 @@
 			{Classes: []string{"status"}, PerMinute: amount(t, night)}}}
 	}
 	z := zone(t, "Australia/Sydney")
-	return &Tariffs{Currency: "AUD", Places: 4, Zone: z, Versions: []Tariff{year("2026", time.Date(2026, 1, 1, 0, 0, 0, 0, z), "0.12", "0.06"),
+	return &Tariffs{Currency: "AUD", Decimals: 4, Zone: z, Versions: []Tariff{year("2026", time.Date(2026, 1, 1, 0, 0, 0, 0, z), "0.12", "0.06"),
 		year("2027", time.Date(2027, 1, 1, 0, 0, 0, 0, z), "0.24", "0.12")}}
 }
 
@@ -209,7 +209,7 @@
 // Splitting a call in two at any moment must change nothing but the rounding of the parts.
 func TestRateAddsUp(t *testing.T) {
 	tariffs := testTariffs(t)
-	tariffs.Places = 12
+	tariffs.Decimals = 12
 	rapid.Check(t, func(t *rapid.T) {
 		from := time.Unix(rapid.Int64Range(1767186000, 1830258000).Draw(t, "from"), 0)
 		length := time.Duration(rapid.Int64Range(2, 3*86400).Draw(t, "s")) * time.Second
--- a/internal/cdr/codec.go
+++ b/internal/cdr/codec.go
@@ -18,8 +18,8 @@
 	ErrChecksum = errors.New("checksum mismatch")
 	// ErrUnknownLayout means that the record was written in a layout that this version does not know.
 	ErrUnknownLayout = errors.New("unknown record layout")
-	// ErrTruncated means that the record ends before its last field or continues after it.
-	ErrTruncated = errors.New("record length does not match its fields")
+	// ErrMalformed means that the record ends before its last field or continues after it.
+	ErrMalformed = errors.New("record length does not match its fields")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -163,7 +163,7 @@
 // Decode reads an encoded record. The record must fill all of b.
 func Decode(b []byte) (*Record, error) {
 	if len(b) < 5 {
-		return nil, ErrTruncated
+		return nil, ErrMalformed
 	}
 	body := b[:len(b)-4]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(b[len(b)-4:]) {
@@ -203,7 +203,7 @@
 	}
 	c.Billed = time.Duration(d.varint())
 	if d.malformed || len(d.b) != 0 {
-		return nil, ErrTruncated
+		return nil, ErrMalformed
 	}
 	return r, nil
 }
--- a/internal/cdr/export.go
+++ b/internal/cdr/export.go
@@ -212,9 +212,9 @@
 	return content, nil
 }
 
-// MarkPlaced records the batch's location at the target, before its content is sent; an empty one means that the batch has
+// SetLocation records the batch's location at the target, before its content is sent; an empty one means that the batch has
 // to be prepared again.
-func (e *Export) MarkPlaced(location string, b WriteBatch) {
+func (e *Export) SetLocation(location string, b WriteBatch) {
 	e.current.Location = location
 	e.save(b)
 }
--- a/internal/cdr/rate.go
+++ b/internal/cdr/rate.go
@@ -104,4 +104,4 @@
 }
 
 // formatAmount formats a sum with the currency's decimals, rounded half up.
-func (t *Tariffs) formatAmount(sum *big.Rat) string { return sum.FloatString(t.Places) }
+func (t *Tariffs) formatAmount(sum *big.Rat) string { return sum.FloatString(t.Decimals) }
--- a/internal/cdr/tariff.go
+++ b/internal/cdr/tariff.go
@@ -13,7 +13,7 @@
 // Tariffs are all tariffs of a router. At any time, the one that started last is in force.
 type Tariffs struct {
 	Currency string
-	Places   int // decimals that charges are rounded to, half up
+	Decimals int // decimals that charges are rounded to, half up
 	Zone     *time.Location
 	Versions []Tariff // sorted by From, earliest first
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	Records        Records    `toml:"records"`
 	HTTP           HTTP       `toml:"http"`
 	Log            Log        `toml:"log"`
-	OverShareValue float64    `toml:"over_share_worth"` // value of calls beyond a tenant's share
+	OverQuotaValue float64    `toml:"over_share_worth"` // value of calls beyond a tenant's share
 }
 
 // Router is the [router] table.
@@ -239,8 +239,8 @@
 // DecideSettings converts the settings to those of the decision module.
 func (s *Settings) DecideSettings() decide.Settings {
 	d := decide.Settings{OwnExchange: s.Router.Exchange, DeliverLocal: true, Proxies: s.Router.Routers,
-		OverShareValue: s.OverShareValue, MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true,
-		MaxRetryAfter: s.Rules.MaxRetryAfter, ReleaseGuard: s.lengthenForDrift(s.Rules.ReleaseWait),
+		OverQuotaValue: s.OverQuotaValue, MaxAttempts: s.Rules.MaxAttempts, SendRetryAfter: true,
+		MaxRetryAfter: s.Rules.MaxRetryAfter, ReleaseWait: s.lengthenForDrift(s.Rules.ReleaseWait),
 		ResendAfter: s.IAX.RetransmitInterval, ColdCapacity: s.Rules.ColdCapacity, ColdDuration: s.Rules.ColdDuration,
 		OverloadMultiple: s.Rules.OverloadMultiple}
 	for _, c := range s.Class {
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -17,7 +17,7 @@
 	iax := iax2.Config{MaxDialogs: x.MaxDialogs, MaxPerHost: x.MaxPerHost, RetransmitInterval: x.RetransmitInterval,
 		MaxRetransmitInterval: x.MaxRetransmitInterval, MaxRetransmits: x.MaxRetransmits, AckDelay: x.AckDelay,
 		AcceptDelay: x.AcceptDelay, Linger: x.Linger, PingInterval: x.PingInterval, MaxRefresh: x.MaxRefresh,
-		RequireTokens: x.CallTokens, Random: random, OpenCalls: !x.Challenge, NumberExists: hasRoute}
+		RequireTokens: x.CallTokens, Random: random, AcceptUnauthenticated: !x.Challenge, NumberExists: hasRoute}
 	if x.Challenge || len(s.User) > 0 {
 		iax.Secret = s.Secret
 	}
--- a/internal/config/records.go
+++ b/internal/config/records.go
@@ -233,7 +233,7 @@
 func ParseTariffs(path string, data []byte) (*cdr.Tariffs, error) {
 	f := tariffFile{Decimals: 2, Zone: "UTC"}
 	d := tomlbind.Read(path, data, &f)
-	t := &cdr.Tariffs{Currency: f.Currency, Places: f.Decimals}
+	t := &cdr.Tariffs{Currency: f.Currency, Decimals: f.Decimals}
 	var err error
 	if f.Currency == "" {
 		d.Report("currency", "a currency such as \"AUD\" is required")
--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -91,13 +91,13 @@
 	return b, errors.Join(err, file.Close())
 }
 
-// Commit calls build with an empty batch and makes the changes that build adds to it durable.
-type Commit func(build func(b cdr.WriteBatch) error) error
+// CommitFunc calls build with an empty batch and makes the changes that build adds to it durable.
+type CommitFunc func(build func(b cdr.WriteBatch) error) error
 
 // SendNext sends the next batch of an export, or none if there is none to send yet. nextCall is the time at which to call
 // it again. Each state change is durable before the next step, so that after a crash at any point the same batch is sent
 // again.
-func SendNext(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit Commit) (sent bool,
+func SendNext(ctx context.Context, e *cdr.Export, t Target, last uint64, flush bool, now func() time.Time, commit CommitFunc) (sent bool,
 	nextCall time.Time, err error) {
 	var d *cdr.Delivery
 	var content []byte
@@ -117,14 +117,14 @@
 
 // deliver prepares a batch if needed and sends it. If the target no longer knows the upload, it is prepared
 // and sent once more.
-func deliver(ctx context.Context, e *cdr.Export, t Target, d *cdr.Delivery, content []byte, commit Commit) error {
+func deliver(ctx context.Context, e *cdr.Export, t Target, d *cdr.Delivery, content []byte, commit CommitFunc) error {
 	for attempt := 0; ; attempt++ {
 		if d.Location == "" {
 			location, err := t.Prepare(ctx, d)
 			if err != nil {
 				return err
 			}
-			if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced(location, b); return nil }); err != nil {
+			if err := commit(func(b cdr.WriteBatch) error { e.SetLocation(location, b); return nil }); err != nil {
 				return err
 			}
 		}
@@ -132,7 +132,7 @@
 		if !errors.Is(err, ErrUnknownUpload) || attempt > 0 {
 			return err
 		}
-		if err := commit(func(b cdr.WriteBatch) error { e.MarkPlaced("", b); return nil }); err != nil {
+		if err := commit(func(b cdr.WriteBatch) error { e.SetLocation("", b); return nil }); err != nil {
 			return err
 		}
 	}
--- a/internal/front/isupfront/front.go
+++ b/internal/front/isupfront/front.go
@@ -169,7 +169,7 @@
 	cfg := f.config.Link
 	if exchange >= 0 {
 		assoc.group = f.group(exchange)
-		cfg.ASP = assoc.group.ownPointCode
+		cfg.ASPIdentifier = assoc.group.ownPointCode
 	}
 	assoc.link = m3ua.NewLink(now, exchange >= 0, cfg)
 	f.associations[id] = assoc
--- a/internal/iax2/config.go
+++ b/internal/iax2/config.go
@@ -45,8 +45,8 @@
 	Trusted func(Addr) bool
 	// Secret returns the secret of a user. If it is nil, anybody may call and nobody may register.
 	Secret func(user string) (secret string, known bool)
-	// OpenCalls accepts calls without a challenge even if Secret is set. Registrations are always challenged.
-	OpenCalls bool
+	// AcceptUnauthenticated accepts calls without a challenge even if Secret is set. Registrations are always challenged.
+	AcceptUnauthenticated bool
 	// NumberExists reports whether a called number is served, for the answer to DPREQ; nil accepts every number.
 	NumberExists func(number string) bool
 	// Random supplies challenges, token keys and the first call number; it must be unpredictable in production.
@@ -94,13 +94,13 @@
 	Secret string
 }
 
-// Kind is the type of an Event.
-type Kind uint8
+// EventKind is the type of an Event.
+type EventKind uint8
 
 // Kinds of Event. Every call, from Offered or the method Call on, ends with exactly one Closed.
 const (
 	// Offered reports an incoming call; Request is set.
-	Offered Kind = iota + 1
+	Offered EventKind = iota + 1
 	// Accepted reports that the far end has accepted the call.
 	Accepted
 	// Progress reports that the call is ringing, proceeding or in progress at the far end.
@@ -118,10 +118,10 @@
 	Registered
 	// Unregistered reports that a user has removed a registration here; User and From are set.
 	Unregistered
-	// RegisterDone reports that the peer has accepted our own registration; Refresh is set.
-	RegisterDone
-	// RegisterRejected reports that our own registration has failed; Cause is set.
-	RegisterRejected
+	// RegistrationAccepted reports that the peer has accepted our own registration; Refresh is set.
+	RegistrationAccepted
+	// RegistrationRejected reports that our own registration has failed; Cause is set.
+	RegistrationRejected
 )
 
 // Reason is why a dialog was lost.
@@ -139,13 +139,13 @@
 
 // Event reports one change of a dialog or a registration.
 type Event struct {
-	Kind   Kind
+	Kind   EventKind
 	Dialog *Dialog
 	// Cause is the Q.850 cause of Released or RegisterRejected; 0 if none was received.
 	Cause   uint8
 	Reason  Reason
 	Request Request // set on Offered
-	User    string  // set on Registered, Unregistered, RegisterDone and RegisterRejected
+	User    string  // set on Registered, Unregistered, RegistrationAccepted and RegistrationRejected
 	From    Addr
 	Refresh time.Duration
 }
--- a/internal/iax2/dialog_test.go
+++ b/internal/iax2/dialog_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func (nw *testNetwork) eventKinds(a Addr) (k []Kind) {
+func (nw *testNetwork) eventKinds(a Addr) (k []EventKind) {
 	for _, e := range nw.events[a] {
 		k = append(k, e.Kind)
 	}
@@ -154,7 +154,7 @@
 	nw.answerCalls()
 	d := nw.call(t, Request{Called: "5001", Calling: "77", Context: "alarm", User: "lift", Redirecting: "3"})
 	nw.run(time.Second)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Accepted, Answered}) {
 		t.Fatalf("events at the caller: %v\n%v", got, nw.log)
 	}
 	r := nw.events[addrB][0].Request
@@ -163,10 +163,10 @@
 	}
 	d.Release(nw.now, CauseNormal, "")
 	nw.run(10 * time.Second)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Accepted, Answered, Closed}) {
 		t.Errorf("events at the caller: %v", got)
 	}
-	if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
 		t.Errorf("events at the called end: %v", got)
 	}
 	if n := nw.endpoints[addrA].DialogCount() + nw.endpoints[addrB].DialogCount(); n != 0 {
@@ -208,10 +208,10 @@
 		nw.run(4 * time.Second)
 		d.Release(nw.now, CauseNormal, "")
 		nw.run(40 * time.Second)
-		if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered, Closed}) {
+		if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Accepted, Answered, Closed}) {
 			t.Errorf("frame %d lost: events at the caller: %v\n%v", lost, got, nw.log)
 		}
-		if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+		if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
 			t.Errorf("frame %d lost: events at the called end: %v\n%v", lost, got, nw.log)
 		}
 	}
@@ -223,7 +223,7 @@
 	nw.drop = func(*Frame) bool { return true }
 	nw.call(t, Request{Called: "1"})
 	nw.run(time.Minute)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Lost, Closed}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Lost, Closed}) {
 		t.Fatalf("events at the caller: %v", got)
 	}
 	want := []string{"0s 1>2 NEW", "500ms 1>2 NEW", "1.5s 1>2 NEW", "3.5s 1>2 NEW"}
@@ -241,7 +241,7 @@
 	nw.run(100 * ms)
 	d.Release(nw.now, CauseNormal, "")
 	nw.run(20 * time.Second)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Closed}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Closed}) {
 		t.Errorf("events at the caller: %v\n%v", got, nw.log)
 	}
 	for _, l := range nw.log[1:] {
@@ -262,7 +262,7 @@
 	nw.endpoints[addrA] = NewEndpoint(Config{}) // restarts without any state
 	nw.call(t, Request{Called: "2"})
 	nw.run(2 * time.Second)
-	if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Lost, Closed, Offered}) {
+	if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered, Lost, Closed, Offered}) {
 		t.Errorf("events at the called end: %v\n%v", got, nw.log)
 	}
 	if nw.events[addrB][1].Reason != Restarted {
@@ -296,7 +296,7 @@
 	nw.run(2 * time.Second)
 	nw.endpoints[addrB].Receive(nw.now, addrA, opening)
 	nw.run(3 * time.Second)
-	if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
 		t.Errorf("events at the called end: %v", got)
 	}
 }
@@ -315,7 +315,7 @@
 	d.Release(nw.now, CauseNormal, "")
 	far.Answer(nw.now)
 	nw.run(10 * time.Second)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Closed}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Accepted, Closed}) {
 		t.Errorf("events at the caller: %v", got)
 	}
 	if n := nw.endpoints[addrA].DialogCount() + nw.endpoints[addrB].DialogCount(); n != 0 {
@@ -328,7 +328,7 @@
 	nw.answerCalls()
 	nw.call(t, Request{Called: "1"})
 	nw.run(time.Second)
-	if got := nw.eventKinds(addrA); !slices.Equal(got, []Kind{Accepted, Answered}) {
+	if got := nw.eventKinds(addrA); !slices.Equal(got, []EventKind{Accepted, Answered}) {
 		t.Fatalf("events at the caller: %v\n%v", got, nw.log)
 	}
 	// Frames from spoofed addresses create no dialog and no state that grows.
@@ -358,7 +358,7 @@
 	nw.flush()
 	nw.transmit(addrA, addrB, again)
 	nw.run(5 * time.Second)
-	if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered}) {
+	if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered}) {
 		t.Errorf("events at the called end: %v\n%v", got, nw.log)
 	}
 }
@@ -383,12 +383,12 @@
 func TestChallenge(t *testing.T) {
 	for _, c := range []struct {
 		user, secret string
-		want         []Kind
+		want         []EventKind
 	}{
-		{"lift", "s3cret", []Kind{Accepted, Answered}},
-		{"lift", "wrong", []Kind{Released, Closed}},
-		{"nobody", "s3cret", []Kind{Released, Closed}},
-		{"lift", "", []Kind{Released, Closed}},
+		{"lift", "s3cret", []EventKind{Accepted, Answered}},
+		{"lift", "wrong", []EventKind{Released, Closed}},
+		{"nobody", "s3cret", []EventKind{Released, Closed}},
+		{"lift", "", []EventKind{Released, Closed}},
 	} {
 		nw := newTestNetwork(Config{}, Config{Secret: testSecret})
 		nw.answerCalls()
@@ -415,10 +415,10 @@
 		nw.events[addrA] = nil
 		return got[len(got)-1]
 	}
-	if e := register("bad", time.Hour); e.Kind != RegisterRejected {
+	if e := register("bad", time.Hour); e.Kind != RegistrationRejected {
 		t.Errorf("wrong secret: %+v", e)
 	}
-	if e := register("s3cret", time.Hour); e.Kind != RegisterDone || e.Refresh != 30*time.Second {
+	if e := register("s3cret", time.Hour); e.Kind != RegistrationAccepted || e.Refresh != 30*time.Second {
 		t.Errorf("right secret: %+v", e)
 	}
 	if a, ok := nw.endpoints[addrB].Registration(nw.now, "lift"); !ok || a != addrA {
@@ -427,7 +427,7 @@
 	if _, ok := nw.endpoints[addrB].Registration(nw.now+31*time.Second, "lift"); ok {
 		t.Error("a registration was still valid after its refresh time")
 	}
-	if e := register("s3cret", 0); e.Kind != RegisterDone {
+	if e := register("s3cret", 0); e.Kind != RegistrationAccepted {
 		t.Errorf("release: %+v", e)
 	}
 	if _, ok := nw.endpoints[addrB].Registration(nw.now, "lift"); ok {
@@ -461,7 +461,7 @@
 	}
 	d.Release(nw.now, CauseNormal, "")
 	nw.run(nw.now + 10*time.Second)
-	if got := nw.eventKinds(addrB); !slices.Equal(got, []Kind{Offered, Released, Closed}) {
+	if got := nw.eventKinds(addrB); !slices.Equal(got, []EventKind{Offered, Released, Closed}) {
 		t.Errorf("events at the called end: %v", got)
 	}
 }
@@ -572,7 +572,7 @@
 				case Closed:
 					closes[e.Dialog]++
 				case Answered, Lost, Released:
-					outcomes[e.Dialog] += map[Kind]int{Answered: 1, Lost: 100, Released: 100}[e.Kind]
+					outcomes[e.Dialog] += map[EventKind]int{Answered: 1, Lost: 100, Released: 100}[e.Kind]
 				}
 			}
 			for d, n := range outcomes {
--- a/internal/iax2/endpoint.go
+++ b/internal/iax2/endpoint.go
@@ -279,7 +279,7 @@
 	d.request = Request{Called: e.Text(CalledNumber), Calling: e.Text(CallingNumber), User: e.Text(Username),
 		CallingName: e.Text(CallingName), Context: e.Text(CalledContext), Redirecting: e.Text(RDNIS),
 		Format: format}
-	if ep.cfg.Secret != nil && !ep.cfg.OpenCalls && !ep.cfg.Trusted(from) {
+	if ep.cfg.Secret != nil && !ep.cfg.AcceptUnauthenticated && !ep.cfg.Trusted(from) {
 		d.challengeCall(now)
 		return
 	}
--- a/internal/iax2/register.go
+++ b/internal/iax2/register.go
@@ -111,7 +111,7 @@
 }
 
 // Register asks a peer to register a user for the time refresh, in whole seconds, or to remove the registration
-// if refresh is 0. RegisterDone or RegisterRejected follows. It returns ErrNoCallNumber if MaxDialogs dialogs
+// if refresh is 0. RegistrationAccepted or RegistrationRejected follows. It returns ErrNoCallNumber if MaxDialogs dialogs
 // are open.
 func (ep *Endpoint) Register(now time.Duration, to Addr, user, secret string, refresh time.Duration) (*Dialog, error) {
 	d := ep.newDialog(now, to)
@@ -167,9 +167,9 @@
 
 // reportRegistration reports the result of our own registration: success if cause is 0, otherwise rejection.
 func (d *Dialog) reportRegistration(now time.Duration, refresh time.Duration, cause uint8) {
-	kind := RegisterDone
+	kind := RegistrationAccepted
 	if cause != 0 {
-		kind = RegisterRejected
+		kind = RegistrationRejected
 	}
 	d.emitRegistration(Event{Kind: kind, Dialog: d, User: d.registration.user, Refresh: refresh, Cause: cause})
 	d.state = releasing // the result is reported once: no other event follows
--- a/internal/isup/group.go
+++ b/internal/isup/group.go
@@ -139,7 +139,7 @@
 // for a circuit that this end does not have. Glares counts dual seizures, Retransmits repeated messages and
 // Alarms Alarm events.
 type Stats struct {
-	In, Out, Malformed, Unknown, Unequipped, Glares, Retransmits, Alarms uint64
+	In, Out, Malformed, Unknown, Unequipped, DualSeizures, Retransmits, Alarms uint64
 }
 
 // Group is one end of a group of circuits.
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -358,7 +358,7 @@
 		}
 	}
 	p.deliverAll()
-	if n := p.ends[0].Stats.Glares + p.ends[1].Stats.Glares; n != 0 {
+	if n := p.ends[0].Stats.DualSeizures + p.ends[1].Stats.DualSeizures; n != 0 {
 		t.Errorf("%d dual seizures on a half full group", n)
 	}
 }
--- a/internal/isup/receive.go
+++ b/internal/isup/receive.go
@@ -58,7 +58,7 @@
 	switch c.state {
 	case idle:
 	case waitACM:
-		g.Stats.Glares++
+		g.Stats.DualSeizures++
 		if g.controls(c) {
 			return // the call of the far end gives way, and its IAM is ignored (2.9.1.4)
 		}
--- a/internal/lab/crash.go
+++ b/internal/lab/crash.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return &cdr.Tariffs{Currency: "AUD", Places: 4, Zone: time.UTC, Versions: []cdr.Tariff{{Name: "lab", Version: 1,
+	return &cdr.Tariffs{Currency: "AUD", Decimals: 4, Zone: time.UTC, Versions: []cdr.Tariff{{Name: "lab", Version: 1,
 		Rates: []cdr.Rate{{PerMinute: price, Step: 6 * time.Second}}}}}
 }
 
@@ -400,7 +400,7 @@
 	defer func() { _ = t.Close() }()
 	last := rec.Status().Last
 	for sent := true; sent; {
-		sent, _, err = export.SendNext(context.Background(), e, t, last, true, func() time.Time { return crashEpoch }, records.Commit(rec.Store()))
+		sent, _, err = export.SendNext(context.Background(), e, t, last, true, func() time.Time { return crashEpoch }, records.NewCommitFunc(rec.Store()))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -48,7 +48,7 @@
 	Overdue         uint64                           `json:"overdue"`         // calls answered by the watchdog
 	ActionFaults    uint64                           `json:"faults"`          // actions of the controller that could not be executed
 	SwitchCollapses int                              `json:"switches_fallen"` // collapses of cold processors by overload
-	Records         DayRecords                       `json:"records"`
+	Records         RecordsAudit                     `json:"records"`
 	WallSeconds     float64                          `json:"wall_seconds"`
 	stored          storedRecords                    // compared with the capture
 }
@@ -229,8 +229,8 @@
 	r.Cut, r.Attempts, r.Datagrams, r.Malformed = rep.Cut, rep.Attempts, rep.Datagrams, rep.Malformed
 	r.SetUpMS = map[string]float64{}
 	for name, q := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99} {
-		if n := len(rep.SetUps); n > 0 {
-			r.SetUpMS[name] = float64(rep.SetUps[min(n-1, int(q*float64(n)))].Microseconds()) / 1000
+		if n := len(rep.SetUpDelays); n > 0 {
+			r.SetUpMS[name] = float64(rep.SetUpDelays[min(n-1, int(q*float64(n)))].Microseconds()) / 1000
 		}
 	}
 }
--- a/internal/lab/trouble.go
+++ b/internal/lab/fault.go
@@ -66,7 +66,7 @@
 				current = standin.Faults{}
 			}
 			for _, x := range exchanges {
-				f.switches[x].Set(current)
+				f.switches[x].SetFaults(current)
 			}
 			return nil
 		})
@@ -83,7 +83,7 @@
 	case "give_up":
 		return callerSteps(func(c *standin.Callers, on bool) { c.SetHangUpShare(map[bool]float64{true: fault.Size}[on]) })
 	case "retry_abuse":
-		return callerSteps(func(c *standin.Callers, on bool) { c.RedialAtOnce(on) })
+		return callerSteps(func(c *standin.Callers, on bool) { c.SetRedialAtOnce(on) })
 	case "hang":
 		return switchSteps(standin.Faults{Unresponsive: true})
 	case "slow":
@@ -111,12 +111,12 @@
 				lag += time.Duration(fault.Size * float64(time.Second))
 			}
 			for _, x := range exchanges {
-				f.discovery.Lag(x, lag)
+				f.discovery.SetLag(x, lag)
 			}
 			return nil
 		})
 	case "register_gone":
-		return both(func(on bool) error { f.discovery.Gone(on); return nil })
+		return both(func(on bool) error { f.discovery.SetUnavailable(on); return nil })
 	case "reorder", "stall", "half_cut", "disk_full", "disk_slow", "clock_set":
 		v, ok := f.env.(*virtualEnvironment)
 		if !ok {
@@ -190,12 +190,12 @@
 	case "reconnect":
 		return []step{begin(forEach(func(x int) {
 			for _, c := range f.callers {
-				c.RedialWhenCut(true)
+				c.SetRedialWhenCut(true)
 			}
 			f.switches[x].CutCalls(fault.Size)
 		})), end(func() error {
 			for _, c := range f.callers {
-				c.RedialWhenCut(false)
+				c.SetRedialWhenCut(false)
 			}
 			return nil
 		})}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -41,8 +41,8 @@
 // discoveryServer distributes the exchange list to the routers.
 type discoveryServer interface {
 	Publish(routers int, entries []standin.ListEntry) // sets the list for routers 0 to routers-1
-	Lag(router int, d time.Duration)                  // delays updates to a router
-	Gone(on bool)                                     // makes all queries fail while on is true
+	SetLag(router int, d time.Duration)               // delays updates to a router
+	SetUnavailable(on bool)                           // makes all queries fail while on is true
 	Close()
 }
 
@@ -50,12 +50,12 @@
 type environment interface {
 	startRouter(x int, set *config.Settings) (router, error)
 	wallTime() time.Time
-	listURL(x int) string                                // discovery URL of a router
-	streamAddr(p [2]int) netip.AddrPort                  // M3UA address that the lower-numbered router of a pair connects to
-	readRecords(res *DayRecords) (storedRecords, error)  // audits the records of all routers
-	forEach(exchanges []int, do func(x int) error) error // runs do for several exchanges, concurrently on sockets
-	tapJitter() time.Duration                            // upper limit of the difference between the recording delays of two datagrams
-	isupSwitches() bool                                  // whether switches use ISUP if all routers do
+	listURL(x int) string                                 // discovery URL of a router
+	streamAddr(p [2]int) netip.AddrPort                   // M3UA address that the lower-numbered router of a pair connects to
+	readRecords(res *RecordsAudit) (storedRecords, error) // audits the records of all routers
+	forEach(exchanges []int, do func(x int) error) error  // runs do for several exchanges, concurrently on sockets
+	tapJitter() time.Duration                             // upper limit of the difference between the recording delays of two datagrams
+	isupSwitches() bool                                   // whether switches use ISUP if all routers do
 }
 
 // fleet is a set of routers with their stand-ins.
@@ -105,7 +105,7 @@
 type exchangeSwitch interface {
 	ID() string
 	Addr() netip.AddrPort
-	Set(standin.Faults)
+	SetFaults(standin.Faults)
 	Stop()
 	Restart() string
 	CutCalls(share float64)
@@ -196,7 +196,7 @@
 		}
 	}
 	for x := range n {
-		f.discovery.Lag(x, s.Fleet.ListLag)
+		f.discovery.SetLag(x, s.Fleet.ListLag)
 		c, err := standin.NewCallers(anyPort, f.routerAddrs[x], f.callersSpec(x), s.Seed, tap)
 		if err != nil {
 			return f, err
--- a/internal/lab/fronts.go
+++ b/internal/lab/fronts.go
@@ -30,7 +30,7 @@
 type FrontsResult struct {
 	CallsPerSecond  map[string]float64 `json:"calls_per_second"`  // highest rate without a missed deadline, by "in to out"
 	P99             map[string]float64 `json:"p99_us"`            // 99th percentile of the set-up delay at half of that rate, in µs
-	ISUPOverIAX2    float64            `json:"iax2_over_isup"`    // calls per second of IAX2 to IAX2 divided by those of ISUP to ISUP
+	RatioIAX2ToISUP float64            `json:"iax2_over_isup"`    // calls per second of IAX2 to IAX2 divided by those of ISUP to ISUP
 	BytesPerCircuit float64            `json:"bytes_per_circuit"` // heap per idle circuit, at one end
 	Calls           int                `json:"calls"`
 }
@@ -84,7 +84,7 @@
 	res.BytesPerCircuit = (heapInUse() - before) / groupCircuits
 	goruntime.KeepAlive(group)
 	if isup := res.CallsPerSecond["isup to isup"]; isup > 0 {
-		res.ISUPOverIAX2 = res.CallsPerSecond["iax2 to iax2"] / isup
+		res.RatioIAX2ToISUP = res.CallsPerSecond["iax2 to iax2"] / isup
 	}
 	return res, nil
 }
@@ -135,7 +135,7 @@
 	if out == "isup" {
 		neighbour := standin.NewISUPSwitch(m3ua, spec, isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: neighbourPointCode, FarPointCode: routerPointCode}, 1, nil)
 		defer neighbour.Close()
-		if err := neighbour.Await(); err != nil {
+		if err := neighbour.AwaitActive(); err != nil {
 			return p, err
 		}
 	}
@@ -155,7 +155,7 @@
 		c := standin.NewISUPCallers(m3ua, isup.Config{FirstCIC: 1, Circuits: groupCircuits, OwnPointCode: ownSwitchPointCode, FarPointCode: routerPointCode}, rate, callsHoldTime, "1555",
 			callsClass, answered)
 		defer c.Close()
-		if err := c.Await(); err != nil {
+		if err := c.AwaitActive(); err != nil {
 			return p, err
 		}
 		start, stop = c.Start, c.Stop
--- a/internal/lab/draw.go
+++ b/internal/lab/generate.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// DrawOptions are the options of generating a script from a seed.
-type DrawOptions struct {
+// GenerateOptions are the options of generating a script from a seed.
+type GenerateOptions struct {
 	Exchanges int           // number of exchanges; 0 chooses 3 to 12, or 12 to 40 in one of ten seeds
 	Length    time.Duration // length of the day; 0 chooses 6 to 14 s
 }
 
-// DrawScript generates a script with overlapping faults from a seed. The same seed and options give the same script.
-func DrawScript(seed uint64, o DrawOptions) *Script {
+// GenerateScript generates a script with overlapping faults from a seed. The same seed and options give the same script.
+func GenerateScript(seed uint64, o GenerateOptions) *Script {
 	rng := rand.New(rand.NewPCG(seed, 0xda4))
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*rng.Float64() }
 	durationBetween := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo)+1)) }
--- a/internal/lab/kill.go
+++ b/internal/lab/kill.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	audit := DayRecords{}
+	audit := RecordsAudit{}
 	stored, err := readStoredRecords(rec.Store(), 0, &audit)
 	if err == nil {
 		err = rec.Close()
--- a/internal/lab/recordcost.go
+++ b/internal/lab/recordcost.go
@@ -168,7 +168,7 @@
 		}
 		began := time.Now()
 		for sent := true; sent && err == nil; {
-			sent, _, err = export.SendNext(context.Background(), e, t, last, true, time.Now, records.Commit(rec.Store()))
+			sent, _, err = export.SendNext(context.Background(), e, t, last, true, time.Now, records.NewCommitFunc(rec.Store()))
 		}
 		if err = errors.Join(err, t.Close()); err != nil {
 			return err
--- a/internal/lab/records.go
+++ b/internal/lab/records.go
@@ -67,8 +67,8 @@
 // storedRecords are the records of subscribers' calls in the fleet's stores, by router and calling number.
 type storedRecords map[int]map[string][]storedRecord
 
-// DayRecords is the result of auditing a day's records against its capture.
-type DayRecords struct {
+// RecordsAudit is the result of auditing a day's records against its capture.
+type RecordsAudit struct {
 	Records      int      `json:"records"`          // records of all routers, including tandems
 	Recovered    int      `json:"recovered"`        // records of calls that a recovery closed
 	Unrated      int      `json:"unrated"`          // records that no tariff rated
@@ -81,19 +81,19 @@
 }
 
 // Good reports whether every call in the capture has exactly one record, which is rated and has the right end.
-func (d *DayRecords) Good() bool {
+func (d *RecordsAudit) Good() bool {
 	return d.Missing+d.Duplicated+d.Wrong+len(d.Problems)+d.Unrated == 0
 }
 
 // report adds a problem. It discards all but the first 50.
-func (d *DayRecords) report(format string, args ...any) {
+func (d *RecordsAudit) report(format string, args ...any) {
 	if len(d.Problems) < 50 {
 		d.Problems = append(d.Problems, fmt.Sprintf(format, args...))
 	}
 }
 
 // readRecords audits the stores of all routers and returns the records of subscribers' calls.
-func (e *socketEnvironment) readRecords(res *DayRecords) (storedRecords, error) {
+func (e *socketEnvironment) readRecords(res *RecordsAudit) (storedRecords, error) {
 	f := e.fleet
 	out := storedRecords{}
 	for x := range f.routers {
@@ -110,7 +110,7 @@
 }
 
 // readStoredRecords audits the store of router x and returns the records of subscribers' calls by calling number.
-func readStoredRecords(s cdr.Store, x int, res *DayRecords) (map[string][]storedRecord, error) {
+func readStoredRecords(s cdr.Store, x int, res *RecordsAudit) (map[string][]storedRecord, error) {
 	a, err := cdr.Verify(s)
 	if err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 //
 // notDurable are the routers that may have sent answers before their records were durable, because a disk was full or slow.
 // Tries without a record at these routers count as at risk, not as missing.
-func (d *DayRecords) match(tries []rules.Try, stored storedRecords, notDurable map[int]bool) {
+func (d *RecordsAudit) match(tries []rules.Try, stored storedRecords, notDurable map[int]bool) {
 	for _, t := range tries {
 		found := stored[t.Router][t.Call]
 		answered := t.Outcome == rules.Answered || t.Outcome == rules.Refused || t.Outcome == rules.Failed
--- a/internal/lab/seeds.go
+++ b/internal/lab/seeds.go
@@ -21,7 +21,7 @@
 type SeedsOptions struct {
 	Count          int // number of seeds
 	FirstSeed      uint64
-	Exchanges      int       // number of exchanges, as in DrawOptions; 0 chooses it by the seed
+	Exchanges      int       // number of exchanges, as in GenerateOptions; 0 chooses it by the seed
 	Drift          float64   // upper limit of the relative drift of routers' clocks
 	Mutation       string    // name of a bug planted in router 0 of every seed; "" for none
 	SeedsPerMutant int       // limit of seeds to find each planted bug; 0 plants none
@@ -142,7 +142,7 @@
 	for done := 0; done < o.Count && ctx.Err() == nil; done += batchSize {
 		var scripts []*Script
 		for i := done; i < min(done+batchSize, o.Count); i++ {
-			scripts = append(scripts, DrawScript(o.FirstSeed+uint64(i), DrawOptions{Exchanges: o.Exchanges}))
+			scripts = append(scripts, GenerateScript(o.FirstSeed+uint64(i), GenerateOptions{Exchanges: o.Exchanges}))
 		}
 		for _, e := range runParallel(ctx, o, o.FirstSeed+uint64(done), scripts) {
 			if ctx.Err() != nil {
@@ -287,7 +287,7 @@
 		for n := 0; n < o.SeedsPerMutant && found.Seeds == 0 && ctx.Err() == nil; n += o.Jobs {
 			var scripts []*Script
 			for i := range o.Jobs {
-				scripts = append(scripts, DrawScript(o.FirstSeed+uint64(n+i), DrawOptions{Exchanges: o.Exchanges}))
+				scripts = append(scripts, GenerateScript(o.FirstSeed+uint64(n+i), GenerateOptions{Exchanges: o.Exchanges}))
 			}
 			mutated := o
 			mutated.Mutation = m.Name
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -93,7 +93,7 @@
 	return r, nil
 }
 
-func (e *virtualEnvironment) readRecords(res *DayRecords) (storedRecords, error) {
+func (e *virtualEnvironment) readRecords(res *RecordsAudit) (storedRecords, error) {
 	out := storedRecords{}
 	for x, d := range e.disks {
 		var err error
@@ -127,14 +127,14 @@
 	queryTimeout = 10 * time.Second     // longest time that a query blocks
 )
 
-// Lag delays list updates to a router.
-func (d *virtualDiscovery) Lag(x int, lag time.Duration) { d.views[x].lag = lag }
+// SetLag delays list updates to a router.
+func (d *virtualDiscovery) SetLag(x int, lag time.Duration) { d.views[x].lag = lag }
 
 // Close does nothing: the discovery server lasts as long as the world.
 func (d *virtualDiscovery) Close() {}
 
-// Gone makes all queries fail while on, including blocked ones.
-func (d *virtualDiscovery) Gone(on bool) {
+// SetUnavailable makes all queries fail while on, including blocked ones.
+func (d *virtualDiscovery) SetUnavailable(on bool) {
 	d.unavailable = on
 	for x := range d.views {
 		d.answerBlocked(x)
@@ -341,7 +341,7 @@
 	}
 	f.publish() // before the lag is set: the first version is visible at once
 	for x := range n {
-		f.discovery.Lag(x, s.Fleet.ListLag)
+		f.discovery.SetLag(x, s.Fleet.ListLag)
 	}
 	// Time for the routers to get the list and for the associations to become active before the first call.
 	w.Run(2 * time.Second)
--- a/internal/lab/virtual_test.go
+++ b/internal/lab/virtual_test.go
@@ -85,7 +85,7 @@
 // TestShrink checks that a script that is formatted and parsed again gives the same day, and that the shrunk script of a
 // failing day is smaller and still fails.
 func TestShrink(t *testing.T) {
-	s := DrawScript(3, DrawOptions{Exchanges: 4})
+	s := GenerateScript(3, GenerateOptions{Exchanges: 4})
 	reparsed, err := ParseScript("again.toml", FormatScript(s))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/m3ua/link.go
+++ b/internal/m3ua/link.go
@@ -11,8 +11,8 @@
 	RoutingContext uint32
 	// Mode is the traffic mode; default TrafficOverride.
 	Mode uint32
-	// ASP is the ASP identifier sent with ASPUP; 0 sends none.
-	ASP uint32
+	// ASPIdentifier is the ASP identifier sent with ASPUP; 0 sends none.
+	ASPIdentifier uint32
 	// AckTimeout is T(ack), the time after which a request without an acknowledgement, such as ASPUP, is
 	// repeated; default 2 s.
 	AckTimeout time.Duration
@@ -66,10 +66,10 @@
 
 // Event reports one change of a link.
 type Event struct {
-	Kind EventKind
-	Data Data   // set on Received
-	PC   uint32 // point code, set on DestinationUnavailable and DestinationAvailable
-	Err  error  // set on AssociationDown
+	Kind      EventKind
+	Data      Data   // set on Received
+	PointCode uint32 // point code, set on DestinationUnavailable and DestinationAvailable
+	Err       error  // set on AssociationDown
 }
 
 // Link is one end of an association between two signalling processes. The IPSP double exchange is not used: the
@@ -98,7 +98,7 @@
 // Stats counts what a link has done since it was created. In and Out count messages received and sent, Errors ERR
 // messages sent, and Unknown received messages of unknown type.
 type Stats struct {
-	In, Out, Errors, Unknown uint64
+	In, Out, ErrorsSent, Unknown uint64
 }
 
 // NewLink starts an association over a newly opened connection; initiator is set at the end that opened it.
@@ -205,7 +205,7 @@
 }
 
 func (l *Link) sendError(code uint32) {
-	l.Stats.Errors++
+	l.Stats.ErrorsSent++
 	l.send(ERR, Uint32Param(TagErrorCode, code))
 }
 
@@ -218,8 +218,8 @@
 func (l *Link) requestParams(t Type) (p []Param) {
 	switch t {
 	case ASPUP:
-		if l.cfg.ASP != 0 {
-			p = append(p, Uint32Param(TagASPIdentifier, l.cfg.ASP))
+		if l.cfg.ASPIdentifier != 0 {
+			p = append(p, Uint32Param(TagASPIdentifier, l.cfg.ASPIdentifier))
 		}
 	case ASPAC:
 		p = append(p, Uint32Param(TagTrafficMode, l.cfg.Mode))
@@ -372,9 +372,9 @@
 		pc := uint32(pcs[1])<<16 | uint32(pcs[2])<<8 | uint32(pcs[3])
 		switch m.Type {
 		case DUNA, DUPU:
-			l.emit(Event{Kind: DestinationUnavailable, PC: pc})
+			l.emit(Event{Kind: DestinationUnavailable, PointCode: pc})
 		case DAVA:
-			l.emit(Event{Kind: DestinationAvailable, PC: pc})
+			l.emit(Event{Kind: DestinationAvailable, PointCode: pc})
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -116,9 +116,9 @@
 	for _, e := range changed {
 		started := time.Duration(0) // long ago
 		if age := n.starts.Age(now, e.ID); age < n.settings.Core.Decide.ColdDuration {
-			started = n.Core.Clock(now) - age
+			started = n.Core.ControllerTime(now) - age
 		}
-		event.Entries = append(event.Entries, decide.Entry{Exchange: e.Exchange(), Number: e.Number,
+		event.Entries = append(event.Entries, decide.Entry{Exchange: e.ExchangeID(), Number: e.Number,
 			Zone: n.zoneIndex(e.Zone), Phase: e.Phase, Started: started})
 		to := e.Address
 		if e.Number == n.settings.Core.Decide.OwnExchange {
@@ -127,12 +127,12 @@
 		addr, ok := iax2.AddrFrom(to)
 		switch {
 		case e.Phase == decide.Removed:
-			n.iax.RemoveRoute(e.Exchange())
-			n.isup.RemoveRoute(e.Exchange())
+			n.iax.RemoveRoute(e.ExchangeID())
+			n.isup.RemoveRoute(e.ExchangeID())
 		case n.isup.Serves(e.Number):
-			n.isup.AddRoute(e.Exchange(), e.Number)
+			n.isup.AddRoute(e.ExchangeID(), e.Number)
 		case ok:
-			n.iax.AddRoute(e.Exchange(), addr)
+			n.iax.AddRoute(e.ExchangeID(), addr)
 		}
 	}
 	if len(event.Entries) == 0 && kind == decide.ListChanges {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -69,7 +69,7 @@
 		}
 		node := New(Settings{Core: call.Settings{Seed: uint64(x + 1), Groups: sizes, OwnCircuits: 60, Plan: plans(x),
 			AnswerMargin: 80 * ms, DrainGrace: time.Second, Patience: []time.Duration{3 * time.Second},
-			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseGuard: 300 * ms,
+			Decide: decide.Settings{OwnExchange: x, DeliverLocal: true, Proxies: n, MaxAttempts: 4, ReleaseWait: 300 * ms,
 				ResendAfter:  500 * ms,
 				ColdCapacity: 0.3, ColdDuration: 10 * time.Second, OverloadMultiple: 3, Classes: []decide.Class{
 					{HoldTime: 10 * time.Second, Width: 1, SetupTarget: time.Second, Deadline: 9 * time.Second, Value: 1}}}},
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -315,9 +315,9 @@
 	return max(1, min(c.moduleTime(), time.UnixMilli(unixMs).Sub(c.wallStart)+clockOffset))
 }
 
-// Stop starts the shutdown: heartbeats fail from now on, and calls are still served as long as they can get their final
+// Shutdown starts the shutdown: heartbeats fail from now on, and calls are still served as long as they can get their final
 // answer before the process may be killed.
-func (c *Core) Stop(now time.Duration) {
+func (c *Core) Shutdown(now time.Duration) {
 	c.advanceClock(now)
 	if c.stoppingSince != 0 {
 		return
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -682,7 +682,7 @@
 		t.Fatal("heartbeat fails although all switches have reported")
 	}
 	p := newStandingCall(h)
-	h.Stop(h.clock)
+	h.Shutdown(h.clock)
 	if heartbeat(h) != 0 {
 		t.Fatal("heartbeat succeeds after SIGTERM")
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -26,7 +26,7 @@
 		transitSetUp := func(n int) string { return strings.Replace(setUp(n, 1, ";transit:1"), `"1500"`, `"9000"`, 1) }
 		h.receiveLines(p, transitSetUp(1), setUp(500, 1, ""))
 		h.receiveLines(sw, up(500)) // stands until the end
-		h.Stop(h.clock)
+		h.Shutdown(h.clock)
 		stoppedAt, n := h.clock, 1
 		for h.clock < stoppedAt+c.kill-50*ms {
 			h.advance(50 * ms)
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -238,8 +238,8 @@
 	return r.writer.Submit(items...)
 }
 
-// AddOverdue counts n answers that were sent before their record was durable.
-func (r *Recorder) AddOverdue(n int) { r.writer.AddOverdue(n) }
+// AddAnsweredNotDurable counts n answers that were sent before their record was durable.
+func (r *Recorder) AddAnsweredNotDurable(n int) { r.writer.AddAnsweredNotDurable(n) }
 
 // Status is the state of the records.
 type Status struct {
@@ -329,9 +329,9 @@
 	return export.OpenDirectory(fs, o.Dir)
 }
 
-// Commit returns a function that commits batches for an export. It may run concurrently with the writer, which changes
+// NewCommitFunc returns a function that commits batches for an export. It may run concurrently with the writer, which changes
 // other keys.
-func Commit(s *store.Store) export.Commit {
+func NewCommitFunc(s *store.Store) export.CommitFunc {
 	return func(build func(cdr.WriteBatch) error) error {
 		b := s.Batch()
 		if err := build(b); err != nil {
@@ -354,7 +354,7 @@
 			flush = true
 		case <-timer.C:
 		}
-		sent, nextAttempt, err := export.SendNext(ctx, e, t, r.lastDurable.Load(), flush, r.opt.Wall, Commit(r.store))
+		sent, nextAttempt, err := export.SendNext(ctx, e, t, r.lastDurable.Load(), flush, r.opt.Wall, NewCommitFunc(r.store))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -153,7 +153,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &cdr.Tariffs{Currency: "AUD", Places: 2, Zone: time.UTC,
+		return &cdr.Tariffs{Currency: "AUD", Decimals: 2, Zone: time.UTC,
 			Versions: []cdr.Tariff{{Name: "t" + s, Version: 1, Rates: []cdr.Rate{{SetUp: p}}}}}
 	}
 	h := newHarness(t, crashfs.New())
@@ -189,7 +189,7 @@
 // step runs one step of an export for a recorder that has no exports configured.
 func (h *harness) step(e *cdr.Export, target export.Target) (bool, error) {
 	sent, _, err := export.SendNext(h.t.Context(), e, target, h.rec.Status().Last, true,
-		func() time.Time { return day }, Commit(h.rec.Store()))
+		func() time.Time { return day }, NewCommitFunc(h.rec.Store()))
 	return sent, err
 }
 
@@ -230,7 +230,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Set(c.faults)
+			r.SetFaults(c.faults)
 			for attempts := 0; e.BatchCount() < 3 || e.LastConfirmed() < 25; attempts++ {
 				if attempts > 60 {
 					t.Fatalf("%s: not complete after 60 attempts: %d batches, %d records confirmed", c.name,
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -25,8 +25,8 @@
 	Switch  netip.AddrPort // of the processor itself, to which the router forwards set-ups that terminate there
 }
 
-// Exchange returns the entry's ID in the decision module's form: a 64-bit hash.
-func (e Entry) Exchange() decide.ExchangeID {
+// ExchangeID returns the entry's ID in the decision module's form: a 64-bit hash.
+func (e Entry) ExchangeID() decide.ExchangeID {
 	h := fnv.New64a()
 	h.Write([]byte(e.ID))
 	return decide.ExchangeID(h.Sum64())
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -71,17 +71,17 @@
 
 // Report is the result of checking a capture.
 type Report struct {
-	Violations []Violation
-	Tries      int
-	Outcomes   map[string]map[Outcome]int // by called context, which identifies the class
-	SetUps     []time.Duration            // from NEW to ANSWER as seen by the callers, ascending
-	Causes     map[uint8]int              // causes of final answers other than ANSWER
-	Cut        int                        // calls that were answered and then cut
-	Attempts   int                        // set-ups sent by routers
-	Malformed  int
-	Datagrams  int
-	Duration   time.Duration
-	TryDetails []Try // all classified tries, if Checker.KeepTries is set
+	Violations  []Violation
+	Tries       int
+	Outcomes    map[string]map[Outcome]int // by called context, which identifies the class
+	SetUpDelays []time.Duration            // from NEW to ANSWER as seen by the callers, ascending
+	Causes      map[uint8]int              // causes of final answers other than ANSWER
+	Cut         int                        // calls that were answered and then cut
+	Attempts    int                        // set-ups sent by routers
+	Malformed   int
+	Datagrams   int
+	Duration    time.Duration
+	TryDetails  []Try // all classified tries, if Checker.KeepTries is set
 }
 
 // Try is one try of a caller.
@@ -517,7 +517,7 @@
 	if answer && !d.answered && len(d.finalAnswers) == 1 {
 		d.answered, d.answeredAt = true, c.now
 		if d.opener.Kind == capture.Callers {
-			c.report.SetUps = append(c.report.SetUps, c.now-d.opened)
+			c.report.SetUpDelays = append(c.report.SetUpDelays, c.now-d.opened)
 			c.recordOutcome(d, Answered)
 			c.checkAnswerTime(d)
 		}
@@ -686,6 +686,6 @@
 	for _, x := range slices.Sorted(maps.Keys(c.coldStarts)) {
 		c.checkSlowStart(c.coldStarts[x])
 	}
-	slices.Sort(c.report.SetUps)
+	slices.Sort(c.report.SetUpDelays)
 	return &c.report
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -139,7 +139,7 @@
 	p := newCaptureBuilder(t)
 	playValidCall(p)
 	r := p.report()
-	if len(r.Violations) != 0 || r.Count(Answered) != 1 || r.Tries != 1 || r.Attempts != 3 || len(r.SetUps) != 1 || r.Cut != 0 {
+	if len(r.Violations) != 0 || r.Count(Answered) != 1 || r.Tries != 1 || r.Attempts != 3 || len(r.SetUpDelays) != 1 || r.Cut != 0 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/runtime/metrics.go
+++ b/internal/runtime/metrics.go
@@ -133,7 +133,7 @@
 		gauge(descAssoc, float64(g.Associations), to)
 		gauge(descCircuitsBusy, float64(g.Busy), to)
 		gauge(descCircuitsIdle, float64(g.Idle), to)
-		count(descGlares, g.Circuits.Glares, to)
+		count(descGlares, g.Circuits.DualSeizures, to)
 	}
 	front := &n.ISUP().Stats
 	count(descAlarms, front.Alarms)
--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -190,7 +190,7 @@
 			resume()
 		}
 	}
-	h.sw.Greet.Store(&greet)
+	h.sw.OnConnect.Store(&greet)
 	h.sw.Reset()
 	p := h.dial()
 	n := 100
@@ -253,7 +253,7 @@
 // shutting down, has no calls left and still buffers some of them.
 func TestShutdownWaitsForSlowReader(t *testing.T) {
 	h, p, requests := newSlowReader(t)
-	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Shutdown(now) })
 	await(t, "the proxy is exiting", func() bool { return h.proxy.exiting.Load() })
 	for n := 1; n <= requests; n++ {
 		h.expect(p, jsonl.TypeDown, n)
--- a/internal/runtime/platform_test.go
+++ b/internal/runtime/platform_test.go
@@ -232,7 +232,7 @@
 	h := newProxyHarness(t, 256)
 	p := h.dial()
 	h.call(p, 1)
-	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Stop(now) })
+	h.proxy.Execute(func(core *platform.Core, now time.Duration) { core.Shutdown(now) })
 	if h.heartbeatSucceeds() {
 		t.Fatal("heartbeats still succeed")
 	}
--- a/internal/runtime/records.go
+++ b/internal/runtime/records.go
@@ -117,7 +117,7 @@
 func (rc *recorder) submit(now time.Duration, recs []call.Record) {
 	rc.clock.Observe(now, time.Now())
 	if notDurable := rc.s.node.Core.Stats.AnsweredNotDurable; notDurable != rc.reportedNotDurable {
-		rc.rec.AddOverdue(int(notDurable - rc.reportedNotDurable))
+		rc.rec.AddAnsweredNotDurable(int(notDurable - rc.reportedNotDurable))
 		rc.reportedNotDurable = notDurable
 	}
 	if len(recs) == 0 {
--- a/internal/runtime/server.go
+++ b/internal/runtime/server.go
@@ -328,7 +328,7 @@
 // Drain rejects new calls, waits for standing ones until router.drain_limit has passed or ctx ends, then stops the router.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	if err := s.Do(func(n *node.Node, _ time.Duration) { n.Core.Close() }); err != nil {
+	if err := s.Do(func(n *node.Node, _ time.Duration) { n.Core.RejectNewCalls() }); err != nil {
 		return err
 	}
 	s.log.Info("draining", zap.Duration("limit", s.set.Router.DrainLimit))
--- a/internal/runtime/server_test.go
+++ b/internal/runtime/server_test.go
@@ -100,7 +100,7 @@
 }
 
 // until processes datagrams and timers until an event of a kind occurs, and fails after 20 s.
-func (p *peer) until(k iax2.Kind) iax2.Event {
+func (p *peer) until(k iax2.EventKind) iax2.Event {
 	p.t.Helper()
 	limit := time.Now().Add(20 * time.Second)
 	buf := make([]byte, 2048)
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -131,11 +131,11 @@
 // SetHangUpShare sets the share of tries that callers abandon while waiting.
 func (c *Callers) SetHangUpShare(share float64) { c.host.Do(func() { c.hangUpShare = share }) }
 
-// RedialAtOnce makes callers redial without the usual wait.
-func (c *Callers) RedialAtOnce(on bool) { c.host.Do(func() { c.redialAtOnce = on }) }
+// SetRedialAtOnce makes callers redial without the usual wait.
+func (c *Callers) SetRedialAtOnce(on bool) { c.host.Do(func() { c.redialAtOnce = on }) }
 
-// RedialWhenCut makes callers call again after a call was cut.
-func (c *Callers) RedialWhenCut(on bool) { c.host.Do(func() { c.redialWhenCut = on }) }
+// SetRedialWhenCut makes callers call again after a call was cut.
+func (c *Callers) SetRedialWhenCut(on bool) { c.host.Do(func() { c.redialWhenCut = on }) }
 
 // Registered reports whether the registration was accepted.
 func (c *Callers) Registered() (ok bool) {
@@ -285,7 +285,7 @@
 }
 
 func (c *Callers) handleEvent(e iax2.Event) {
-	if e.Kind == iax2.RegisterDone {
+	if e.Kind == iax2.RegistrationAccepted {
 		c.registered = true
 	}
 	t := c.openTries[e.Dialog]
--- a/internal/standin/register.go
+++ b/internal/standin/discovery.go
@@ -86,16 +86,16 @@
 	return v
 }
 
-// Lag sets the delay after which a router sees the updates that are published from now on.
-func (s *DiscoveryServer) Lag(router int, d time.Duration) {
+// SetLag sets the delay after which a router sees the updates that are published from now on.
+func (s *DiscoveryServer) SetLag(router int, d time.Duration) {
 	s.mu.Lock()
 	s.viewOf(router).lag = d
 	s.mu.Unlock()
 }
 
-// Gone makes the server answer all queries, including blocked ones, with an error, or makes it answer them normally
+// SetUnavailable makes the server answer all queries, including blocked ones, with an error, or makes it answer them normally
 // again.
-func (s *DiscoveryServer) Gone(on bool) {
+func (s *DiscoveryServer) SetUnavailable(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = on
--- a/internal/standin/isuphost.go
+++ b/internal/standin/isuphost.go
@@ -110,7 +110,7 @@
 		conn.Close()
 		return
 	}
-	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASP: h.config.OwnPointCode, MaxUnsentBytes: 4 << 20})
+	h.conn, h.link = conn, m3ua.NewLink(h.now(), true, m3ua.Config{ASPIdentifier: h.config.OwnPointCode, MaxUnsentBytes: 4 << 20})
 	h.streamOffsets, h.splitters = [2]uint32{}, [2]m3ua.Stream{}
 	h.runDue()
 	h.mu.Unlock()
@@ -237,9 +237,9 @@
 	return s
 }
 
-// Set sets the injected faults. Only Unresponsive, SlowFactor, AnswerDelay, RejectRate and HangUpRate have an
+// SetFaults sets the injected faults. Only Unresponsive, SlowFactor, AnswerDelay, RejectRate and HangUpRate have an
 // effect, since there are no datagrams to lose.
-func (s *ISUPSwitch) Set(f Faults) { s.Do(func() { s.faults = f }) }
+func (s *ISUPSwitch) SetFaults(f Faults) { s.Do(func() { s.faults = f }) }
 
 // Count returns the counters.
 func (s *ISUPSwitch) Count() (st SwitchStats) {
@@ -272,7 +272,7 @@
 	case s.rng.Float64() < s.faults.RejectRate:
 		s.group.Release(now, k, causeTemporaryFailure)
 	case len(s.calls) >= s.spec.Lines:
-		s.Stats.NoLine++
+		s.Stats.NoCircuit++
 		s.group.Release(now, k, causeNoCircuit)
 	default:
 		s.calls[k] = true
@@ -371,8 +371,8 @@
 
 var errNotActive = errors.New("standin: association not active within 10 s")
 
-// Await waits until the association is active. It returns an error after 10 s.
-func (h *ISUPHost) Await() error {
+// AwaitActive waits until the association is active. It returns an error after 10 s.
+func (h *ISUPHost) AwaitActive() error {
 	for limit := time.Now().Add(10 * time.Second); !h.Active(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(limit) {
 			return errNotActive
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -65,10 +65,10 @@
 // PlatformSwitch simulates a switch of the platform. It reports its load on each connection and passes received
 // messages to On.
 type PlatformSwitch struct {
-	// On is called for every message, one at a time over all connections.
-	On func(p *JSONPeer, m jsonl.Message)
-	// Greet, if set, is called for each new connection before anything is sent on it.
-	Greet atomic.Pointer[func(p *JSONPeer)]
+	// OnMessage is called for every message, one at a time over all connections.
+	OnMessage func(p *JSONPeer, m jsonl.Message)
+	// OnConnect, if set, is called for each new connection before anything is sent on it.
+	OnConnect atomic.Pointer[func(p *JSONPeer)]
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &PlatformSwitch{On: on, listener: listener, peers: map[*JSONPeer]bool{}}
+	s := &PlatformSwitch{OnMessage: on, listener: listener, peers: map[*JSONPeer]bool{}}
 	s.done.Go(func() { acceptAll(listener, s.serve, &s.done) })
 	return s, nil
 }
@@ -110,7 +110,7 @@
 		s.mu.Unlock()
 		conn.Close()
 	}()
-	if f := s.Greet.Load(); f != nil {
+	if f := s.OnConnect.Load(); f != nil {
 		(*f)(p)
 	}
 	if p.Send(`{"t":"gauge","f":{"load":"x0:100;x1:100"}}`+"\n") != nil {
@@ -122,7 +122,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.On(p, m)
+		s.OnMessage(p, m)
 		s.mu.Unlock()
 	}
 }
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -79,8 +79,8 @@
 	r.wg.Wait()
 }
 
-// Set sets the injected faults.
-func (r *Receiver) Set(f ReceiverFaults) {
+// SetFaults sets the injected faults.
+func (r *Receiver) SetFaults(f ReceiverFaults) {
 	r.mu.Lock()
 	r.faults = f
 	r.mu.Unlock()
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -57,7 +57,7 @@
 
 // SwitchStats are counters since the first start.
 type SwitchStats struct {
-	SetUps, Answered, QueueFull, NoLine, Collapsed int
+	SetUps, Answered, QueueFull, NoCircuit, Collapsed int
 }
 
 // NewSwitch starts a switch that is warm.
@@ -91,8 +91,8 @@
 // Close closes the socket and ends the goroutine.
 func (s *Switch) Close() { s.host.Close() }
 
-// Set sets the injected faults.
-func (s *Switch) Set(f Faults) {
+// SetFaults sets the injected faults.
+func (s *Switch) SetFaults(f Faults) {
 	s.host.Do(func() {
 		s.faults = f
 		s.host.dropIncoming = f.Unresponsive || s.stopped || s.collapsed
@@ -189,7 +189,7 @@
 	case s.rng.Float64() < s.faults.RejectRate:
 		d.Release(now, causeTemporaryFailure, "rejected")
 	case len(s.calls) >= s.spec.Lines:
-		s.Stats.NoLine++
+		s.Stats.NoCircuit++
 		d.Release(now, causeNoCircuit, "no line")
 	default:
 		s.calls[d] = true
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -35,15 +35,15 @@
 // Gate decides how a slow, full or failed disk affects new calls and waiting items. It does no I/O and reads no clock: the
 // time is passed to its methods. It must not be used concurrently.
 type Gate struct {
-	settings   GateSettings
-	full       bool
-	failed     bool
-	waiting    int
-	oldestAt   time.Duration // when the oldest waiting item was queued
-	stateSince time.Duration // when the current state began
-	state      State
-	Lost       uint64 // items lost because the queue was at its limit or the disk had failed
-	Overdue    uint64 // items that were relied on before they were durable
+	settings           GateSettings
+	full               bool
+	failed             bool
+	waiting            int
+	oldestAt           time.Duration // when the oldest waiting item was queued
+	stateSince         time.Duration // when the current state began
+	state              State
+	Lost               uint64 // items lost because the queue was at its limit or the disk had failed
+	AnsweredNotDurable uint64 // items that were relied on before they were durable
 }
 
 // NewGate returns a gate for a healthy disk.
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -103,23 +103,23 @@
 	w.mu.Unlock()
 }
 
-// AddOverdue counts n items that were relied on before they were durable.
-func (w *Writer[T]) AddOverdue(n int) {
+// AddAnsweredNotDurable counts n items that were relied on before they were durable.
+func (w *Writer[T]) AddAnsweredNotDurable(n int) {
 	w.mu.Lock()
-	w.gate.Overdue += uint64(n)
+	w.gate.AnsweredNotDurable += uint64(n)
 	w.mu.Unlock()
 }
 
 // Status is the state of a Writer.
 type Status struct {
-	State     State
-	Accepting bool   // new calls are accepted
-	Waiting   int    // items that a crash now would lose
-	Lost      uint64 // items lost because the queue was at its limit or the disk had failed
-	Overdue   uint64 // items that were relied on before they were durable
-	Accepted  uint64 // items queued since the start
-	Commits   uint64 // commits done
-	Err       error  // error that ended the writer, if any
+	State              State
+	Accepting          bool   // new calls are accepted
+	Waiting            int    // items that a crash now would lose
+	Lost               uint64 // items lost because the queue was at its limit or the disk had failed
+	AnsweredNotDurable uint64 // items that were relied on before they were durable
+	Queued             uint64 // items queued since the start
+	Commits            uint64 // commits done
+	Err                error  // error that ended the writer, if any
 }
 
 // Status returns the current state of the writer.
@@ -128,7 +128,7 @@
 	defer w.mu.Unlock()
 	w.updateGate(w.opt.Now())
 	state, _ := w.gate.State()
-	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.Overdue, w.queuedTotal, w.commits, w.err}
+	return Status{state, w.gate.Accepting(), w.gate.AtRisk(), w.gate.Lost, w.gate.AnsweredNotDurable, w.queuedTotal, w.commits, w.err}
 }
 
 // Close commits the waiting items, ends the writer and returns the error that ended it before, if any.
--- a/internal/vnet/mutation.go
+++ b/internal/vnet/mutation.go
@@ -76,8 +76,8 @@
 	every := func(k int) func(n int) bool { return func(n int) bool { return n%k == 0 } }
 	tenth, third := every(10), every(3)
 	return []*Mutation{
-		{Name: "no wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard = 0 }},
-		{Name: "half the wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseGuard /= 2 }},
+		{Name: "no wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseWait = 0 }},
+		{Name: "half the wait after a time-out", Violates: "rule 5", Settings: func(s *node.Settings) { s.Core.Decide.ReleaseWait /= 2 }},
 		{Name: "a drain is not told", Violates: "rule 3", AlterList: func(l *registry.List) {
 			for i := range l.Entries {
 				if l.Entries[i].Phase == decide.Draining {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -81,10 +81,10 @@
 	}
 	s := decide.Settings{
 		OwnExchange: decide.Unknown, Pools: t.FamilyInfo.Shape == "skills", Proxies: t.PeersTotal, ClassPools: t.FamilyInfo.ClassCells,
-		OverShareValue: t.OverShareWorth, MaxAttempts: max(t.Limits.MaxAttempts, 1),
+		OverQuotaValue: t.OverShareWorth, MaxAttempts: max(t.Limits.MaxAttempts, 1),
 		SendRetryAfter: t.Limits.RetryAfter, Subscribe: t.Discovery == "subscribe",
 		RedialsMarked: t.Clients.MarksRetry, MaxRetryAfter: Seconds(t.Limits.MaxRetryAfterS),
-		ReleaseGuard: Seconds(t.FamilyInfo.ReleaseGuardS), ResendAfter: Seconds(t.FamilyInfo.ResendS),
+		ReleaseWait: Seconds(t.FamilyInfo.ReleaseGuardS), ResendAfter: Seconds(t.FamilyInfo.ResendS),
 		MaxSubscribeInterval: Seconds(t.Contract.MustAskInS), ColdCapacity: t.Contract.ColdFrom,
 		ColdDuration: Seconds(t.Contract.ColdS), OverloadMultiple: t.Contract.FallMultiple,
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -161,7 +161,7 @@
 	}
 	s := got.Settings
 	if s.OwnExchange != 2 || s.Pools || s.Classes[1].Width != 4 || s.Classes[1].KeyScope != decide.ScopeExchange ||
-		s.Classes[0].HoldTime != 12100*time.Millisecond || s.ReleaseGuard != 300*time.Millisecond ||
+		s.Classes[0].HoldTime != 12100*time.Millisecond || s.ReleaseWait != 300*time.Millisecond ||
 		s.Classes[0].Repeat != decide.RepeatSafe {
 		t.Fatalf("got %+v", s)
 	}
