--- a/internal/runtime/platform_order_test.go
+++ b/internal/runtime/platform_order_test.go
@@ -205,7 +205,20 @@
 		}
 		return m.Type == jsonl.TypeUp
 	})
-	h.awaitProcessed()
+	// The failures before have left a high estimate, so that the next calls may be refused with a time to retry after.
+	p = h.dial()
+	await(t, "calls of another caller are answered", func() bool {
+		n++
+		if err := p.Send(setUpLine(n)); err != nil {
+			t.Fatal(err)
+		}
+		m, err := p.Receive()
+		refused := m.Type == jsonl.TypeDown && m.Cause == jsonl.CauseCongestion && m.Fields["wait"] != ""
+		if err != nil || m.Ref != callRef(n) || m.Type != jsonl.TypeUp && !refused {
+			t.Fatalf("got %+v, %v for call %d; want an answer, or a refusal with a time to retry after", m, err, n)
+		}
+		return m.Type == jsonl.TypeUp
+	})
 }
 
 // smallBufferListener is a listener whose connections have a small send buffer.
